--- a/src/guavamast/relay/caller_addresses.py
+++ b/src/guavamast/relay/caller_addresses.py
@@ -11,9 +11,9 @@
 VALIDITY_S: Final = 1.0
 """Seconds for which callers keep an answer. A leaving instance waits several times as long before
 it ends, and must be done within the platform's grace."""
-MOST_ADDRESSES: Final = 64
+MAX_ADDRESSES: Final = 64
 """Addresses that a caller takes from one answer."""
-ENOUGH_IN_DOMAIN: Final = 2
+MIN_NEAR_INSTANCES: Final = 2
 """Instances in the caller's failure domain from which on only these are named: with one alone, its
 end would leave the caller without an address that works."""
 
@@ -40,8 +40,8 @@
     """
     candidates = serving or fallback
     near = [record for record in candidates if record.failure_domain == place.failure_domain]
-    if len(near) < ENOUGH_IN_DOMAIN:
+    if len(near) < MIN_NEAR_INSTANCES:
         near = [record for record in candidates if record.region == place.region]
-    if len(near) < ENOUGH_IN_DOMAIN:
+    if len(near) < MIN_NEAR_INSTANCES:
         near = candidates
-    return sorted(record.callers_address for record in near)[:MOST_ADDRESSES]
+    return sorted(record.callers_address for record in near)[:MAX_ADDRESSES]
--- a/src/guavamast/relay/endpoint_groups.py
+++ b/src/guavamast/relay/endpoint_groups.py
@@ -9,7 +9,7 @@
 if TYPE_CHECKING:
     from guavamast.relay.endpoint_table import EndpointRecord, EndpointTable
 
-MOST_IN_GROUP: Final = 45
+MAX_MEAN_GROUP_SIZE: Final = 45
 """Endpoints of a group at most, on average: one scheduler compares all of its group for each
 request, and the larger the group, the better it can choose."""
 
@@ -33,12 +33,12 @@
 
     def list_members(self, service: str, group: str) -> list[EndpointRecord]:
         """Return the endpoints of a group that may get requests."""
-        return self._find(service).get(group, [])
+        return self._get_groups(service).get(group, [])
 
     def find_group(self, record: EndpointRecord) -> str:
         """Return the group in which an endpoint is scheduled."""
-        names = list(self._find(record.service)) or [_name(record.service, 0)]
-        return _find_best(record.endpoint_id, names)
+        names = list(self._get_groups(record.service)) or [_format_name(record.service, 0)]
+        return _select_group(record.endpoint_id, names)
 
     def rank(self, service: str, key: str) -> list[str]:
         """Return the groups of a service in the order in which a request asks them.
@@ -47,12 +47,12 @@
             service: The service.
             key: Requests with the same key have the same order.
         """
-        names = list(self._find(service))
+        names = list(self._get_groups(service))
         if len(names) > 1:
             names.sort(key=lambda name: compute_weight(key, name), reverse=True)
         return names
 
-    def _find(self, service: str) -> dict[str, list[EndpointRecord]]:
+    def _get_groups(self, service: str) -> dict[str, list[EndpointRecord]]:
         if self._revision != self._table.revision:
             self._revision = self._table.revision
             self._groups.clear()
@@ -65,22 +65,22 @@
 
 def count_groups(endpoints: int) -> int:
     """Return the number of groups for so many endpoints of a service."""
-    return max(1, -(-endpoints // MOST_IN_GROUP))
+    return max(1, -(-endpoints // MAX_MEAN_GROUP_SIZE))
 
 
 def _split(service: str, records: list[EndpointRecord]) -> dict[str, list[EndpointRecord]]:
-    names = [_name(service, number) for number in range(count_groups(len(records)))]
+    names = [_format_name(service, number) for number in range(count_groups(len(records)))]
     groups: dict[str, list[EndpointRecord]] = {name: [] for name in names}
     for record in records:
-        groups[_find_best(record.endpoint_id, names)].append(record)
+        groups[_select_group(record.endpoint_id, names)].append(record)
     return groups
 
 
-def _name(service: str, number: int) -> str:
+def _format_name(service: str, number: int) -> str:
     return f"{service}/{number}"
 
 
-def _find_best(endpoint_id: str, names: list[str]) -> str:
+def _select_group(endpoint_id: str, names: list[str]) -> str:
     if len(names) == 1:
         return names[0]
     return max(names, key=lambda name: compute_weight(endpoint_id, name))
--- a/src/guavamast/relay/placing.py
+++ b/src/guavamast/relay/placing.py
@@ -30,9 +30,9 @@
     from guavamast.relay.scheduling_client import PlacedRequest, ScheduledReply, SchedulingClient
     from guavamast.relay.scheduling_messages import PlacementReply
 
-MOST_GROUPS: Final = 3
+MAX_GROUPS: Final = 3
 """Groups of endpoints that are asked for one request before it is sent back."""
-AVOIDED_FAILURES: Final = 1.0
+FAILURE_THRESHOLD: Final = 1.0
 """Failures remembered by this instance alone from which on it asks for another endpoint: the way
 there may be broken for it and nobody else."""
 
@@ -106,7 +106,7 @@
             old_news=self._knowledge.peers.relayed,
         )
         choice = self._chooser.choose(
-            self._describe(request, progress, now=now),
+            self._build_placement(request, progress, now=now),
             self._knowledge.endpoints.list_ready(progress.service),
             exclude=progress.tried,
             now=now,
@@ -116,16 +116,16 @@
         )
         if choice is None or progress.sent > 0 or choice.forecast is None:
             return Placed(choice=choice)
-        later = self._admission.admit(
+        rejection = self._admission.admit(
             choice.forecast,
             terms,
             service=progress.service,
             urgency=progress.admitted.urgency,
             now=now,
         )
-        return Placed(choice=choice, later=later)
+        return Placed(choice=choice, later=rejection)
 
-    def _describe(
+    def _build_placement(
         self, request: CallerRequest, progress: RequestProgress, *, now: float
     ) -> Placement:
         return Placement(
@@ -160,7 +160,7 @@
         read_time: The local clock.
     """
 
-    __slots__ = ("_client", "_groups", "_knowledge", "_loads", "_own", "_read_time")
+    __slots__ = ("_client", "_groups", "_knowledge", "_loads", "_local_placer", "_read_time")
 
     def __init__(
         self,
@@ -172,7 +172,7 @@
         loads: EndpointLoads,
         read_time: Callable[[], float],
     ) -> None:
-        self._own = own
+        self._local_placer = own
         self._client = client
         self._groups = groups
         self._knowledge = knowledge
@@ -182,26 +182,30 @@
     async def place(self, request: CallerRequest, progress: RequestProgress) -> Placed:
         """Return where a request goes next."""
         if not self._knowledge.peers.relayed:
-            return self._own.decide(request, progress)
-        refused: Placed | None = None
+            return self._local_placer.decide(request, progress)
+        rejected: Placed | None = None
         key = request.shared_part or request.request_id
-        for group in self._groups.rank(progress.service, key)[:MOST_GROUPS]:
-            query = self._make_query(request, progress, group)
-            answer = await self._client.ask(query)
-            placed = self._take_reply(request, query, answer) if answer is not None else None
+        for group in self._groups.rank(progress.service, key)[:MAX_GROUPS]:
+            query = self._build_query(request, progress, group)
+            scheduled_reply = await self._client.ask(query)
+            placed = (
+                self._apply_reply(request, query, scheduled_reply)
+                if scheduled_reply is not None
+                else None
+            )
             if placed is None:
-                return self._decide_alone(request, progress)
+                return self._decide_locally(request, progress)
             if placed.later is None:
                 return placed
-            refused = _pick_sooner(refused, placed)
-        return refused or self._decide_alone(request, progress)
+            rejected = _select_earlier_retry(rejected, placed)
+        return rejected or self._decide_locally(request, progress)
 
-    def _make_query(
+    def _build_query(
         self, request: CallerRequest, progress: RequestProgress, group: str
     ) -> PlacementQuery:
         return PlacementQuery(
             asker=self._client.asker,
-            number=self._client.take_number(),
+            number=self._client.next_number(),
             group=group,
             service=progress.service,
             prompt_parts=request.prompt_parts,
@@ -219,14 +223,14 @@
         )
 
     def _list_excluded(self, progress: RequestProgress) -> tuple[str, ...]:
-        failing = self._loads.list_failing(least=AVOIDED_FAILURES, now=self._read_time())
+        failing = self._loads.list_failing(least=FAILURE_THRESHOLD, now=self._read_time())
         return tuple(progress.tried.union(failing))
 
-    def _take_reply(
-        self, request: CallerRequest, query: PlacementQuery, answer: ScheduledReply
+    def _apply_reply(
+        self, request: CallerRequest, query: PlacementQuery, scheduled_reply: ScheduledReply
     ) -> Placed | None:
         """Return what a reply decides; None if it names no endpoint that may be used."""
-        reply = answer.reply
+        reply = scheduled_reply.reply
         record = self._knowledge.endpoints.find(reply.endpoint_id)
         if reply.verdict is Verdict.UNKNOWN or record is None or not record.ready:
             if reply.verdict is Verdict.GRANTED:
@@ -234,53 +238,55 @@
             return None
         choice = Choice(
             record=record,
-            forecast=_read_forecast(query, reply),
-            unread_tokens=reply.unread_tokens,
-            own_lane=reply.own_lane,
-            load=Load(requests=reply.requests_there, prefill_tokens=reply.prefill_tokens_there),
+            forecast=_build_forecast(query, reply),
+            unread_tokens=reply.uncached_tokens,
+            own_lane=reply.own_bucket,
+            load=Load(
+                requests=reply.endpoint_requests, prefill_tokens=reply.endpoint_prefill_tokens
+            ),
         )
         if reply.verdict is Verdict.REFUSED:
-            later = ComeBack(retry_after_s=reply.retry_after_s)
-            return Placed(choice=choice, later=later, scheduled=answer)
-        work = _make_work(request, choice, number=query.number, delicate=query.delicate)
-        tracked = self._client.track(query.group, work, asked=True)
-        return Placed(choice=choice, work=tracked, scheduled=answer)
-
-    def _decide_alone(self, request: CallerRequest, progress: RequestProgress) -> Placed:
-        placed = self._own.decide(request, progress)
+            rejection = ComeBack(retry_after_s=reply.retry_after_s)
+            return Placed(choice=choice, later=rejection, scheduled=scheduled_reply)
+        work = _build_work(request, choice, number=query.number, pause_sensitive=query.delicate)
+        tracked = self._client.track(query.group, work, granted=True)
+        return Placed(choice=choice, work=tracked, scheduled=scheduled_reply)
+
+    def _decide_locally(self, request: CallerRequest, progress: RequestProgress) -> Placed:
+        placed = self._local_placer.decide(request, progress)
         if placed.choice is None or placed.later is not None:
             return placed
-        number = self._client.take_number()
-        work = _make_work(request, placed.choice, number=number, delicate=progress.delicate)
+        number = self._client.next_number()
+        work = _build_work(request, placed.choice, number=number, pause_sensitive=progress.delicate)
         group = self._groups.find_group(placed.choice.record)
-        tracked = self._client.track(group, work, asked=False)
+        tracked = self._client.track(group, work, granted=False)
         return Placed(choice=placed.choice, work=tracked)
 
 
-def _read_forecast(query: PlacementQuery, reply: PlacementReply) -> Forecast | None:
+def _build_forecast(query: PlacementQuery, reply: PlacementReply) -> Forecast | None:
     if query.prompt_tokens == 0:
         return None
     return Forecast(
-        start_ms=reply.start_ms, waiting_ms=reply.waiting_ms, reading_ms=reply.reading_ms
+        start_ms=reply.start_ms, waiting_ms=reply.waiting_ms, reading_ms=reply.prefill_ms
     )
 
 
-def _make_work(
-    request: CallerRequest, choice: Choice, *, number: int, delicate: bool
+def _build_work(
+    request: CallerRequest, choice: Choice, *, number: int, pause_sensitive: bool
 ) -> PlacedWork:
     return PlacedWork(
         number=number,
         endpoint_id=choice.record.endpoint_id,
         phase=WorkPhase.WAITING,
         shared_part=request.shared_part,
-        unread_tokens=choice.unread_tokens,
-        memory_tokens=request.prompt_tokens + request.output_tokens,
+        uncached_tokens=choice.unread_tokens,
+        kv_tokens=request.prompt_tokens + request.output_tokens,
         # Among long prompts it will be late anyway; long prompts need not keep off for it.
-        delicate=delicate and choice.own_lane,
+        pause_sensitive=pause_sensitive and choice.own_lane,
     )
 
 
-def _pick_sooner(one: Placed | None, other: Placed) -> Placed:
+def _select_earlier_retry(one: Placed | None, other: Placed) -> Placed:
     """Return the refusal with the sooner time to come back."""
     if one is None or one.later is None or other.later is None:
         return other
--- a/src/guavamast/relay/scheduler.py
+++ b/src/guavamast/relay/scheduler.py
@@ -55,7 +55,7 @@
         now: The present time, from which it learns.
     """
 
-    __slots__ = ("_admission", "_began", "_chooser", "_demand", "_returns", "work")
+    __slots__ = ("_admission", "_started_at", "_chooser", "_demand", "_expected_retries", "work")
 
     def __init__(self, *, random: Random, now: float) -> None:
         self.work = ScheduledWork()
@@ -63,12 +63,12 @@
         self._demand = PromptDemand()
         self._chooser = EndpointChooser(loads=self.work.loads, cache=self.work.cache, random=random)
         self._admission = AdmissionControl(history=RefusalHistory(), random=random)
-        self._began = now
-        self._returns = ExpectedReturns()
+        self._started_at = now
+        self._expected_retries = ExpectedReturns()
 
     def is_learning(self, *, now: float) -> bool:
         """Return whether it may not know all work yet."""
-        return now - self._began < LEARNING_S
+        return now - self._started_at < LEARNING_S
 
     def decide(
         self,
@@ -86,30 +86,30 @@
             facts: What holds for all of them.
             now: The present time.
         """
-        self.work.hear(query.asker, now=now)
+        self.work.renew_lease(query.asker, now=now)
         learning = self.is_learning(now=now)
-        placement = self._describe(query, facts, learning=learning, now=now)
-        terms = self._make_terms(query, learning=learning, now=now)
+        placement = self._build_placement(query, facts, learning=learning, now=now)
+        wait_terms = self._build_wait_terms(query, learning=learning, now=now)
         choice = self._chooser.choose(
             placement,
             candidates,
             exclude=frozenset(query.excluded),
             now=now,
             has_room=self._admission.find_filter(
-                terms, service=query.service, urgency=query.urgency, now=now
+                wait_terms, service=query.service, urgency=query.urgency, now=now
             ),
         )
         if choice is None:
             return PlacementReply(number=query.number, verdict=Verdict.UNKNOWN, learning=learning)
-        later = self._admit(query, choice, terms, now=now)
-        if later is not None:
-            return _make_reply(
-                query, choice, Verdict.REFUSED, learning=learning, retry_after_s=later
+        retry_after_s = self._admit(query, choice, wait_terms, now=now)
+        if retry_after_s is not None:
+            return _build_reply(
+                query, choice, Verdict.REFUSED, learning=learning, retry_after_s=retry_after_s
             )
         self.work.grant(query, choice, now=now)
-        return _make_reply(query, choice, Verdict.GRANTED, learning=learning)
+        return _build_reply(query, choice, Verdict.GRANTED, learning=learning)
 
-    def _describe(
+    def _build_placement(
         self, query: PlacementQuery, facts: ServiceFacts, *, learning: bool, now: float
     ) -> Placement:
         if query.prompt_tokens:
@@ -132,41 +132,41 @@
             objective_s=query.objective_s,
             delicate=query.delicate,
             shortest_pause_s=facts.shortest_pause_s,
-            memory_limit=_find_memory_limit(query, learning=learning),
+            memory_limit=_select_memory_limit(query, learning=learning),
             loads_late=learning,
         )
 
-    def _make_terms(self, query: PlacementQuery, *, learning: bool, now: float) -> WaitTerms:
+    def _build_wait_terms(self, query: PlacementQuery, *, learning: bool, now: float) -> WaitTerms:
         return WaitTerms(
             objective_s=query.objective_s,
             patient=query.patient,
             first=query.first,
             old_news=learning,
-            fresh=not self._returns.recall(query, now=now),
+            fresh=not self._expected_retries.recall(query, now=now),
         )
 
     def _admit(
-        self, query: PlacementQuery, choice: Choice, terms: WaitTerms, *, now: float
+        self, query: PlacementQuery, choice: Choice, wait_terms: WaitTerms, *, now: float
     ) -> float | None:
         """Return the seconds after which a request should come back; None if it may be sent."""
         if choice.forecast is None or not query.refusable:
             return None
-        later = self._admission.admit(
-            choice.forecast, terms, service=query.service, urgency=query.urgency, now=now
+        rejection = self._admission.admit(
+            choice.forecast, wait_terms, service=query.service, urgency=query.urgency, now=now
         )
-        if later is None:
+        if rejection is None:
             return None
-        self._returns.note(query, now=now)
-        return later.retry_after_s
+        self._expected_retries.note(query, now=now)
+        return rejection.retry_after_s
 
 
-def _find_memory_limit(query: PlacementQuery, *, learning: bool) -> MemoryLimit:
+def _select_memory_limit(query: PlacementQuery, *, learning: bool) -> MemoryLimit:
     if learning:
         return LATE_LIMIT
     return FIRST_LIMIT if query.first else PATIENT_LIMIT
 
 
-def _make_reply(
+def _build_reply(
     query: PlacementQuery,
     choice: Choice,
     verdict: Verdict,
@@ -174,18 +174,18 @@
     learning: bool,
     retry_after_s: float = 0.0,
 ) -> PlacementReply:
-    expected = choice.forecast
+    forecast = choice.forecast
     return PlacementReply(
         number=query.number,
         verdict=verdict,
         endpoint_id=choice.record.endpoint_id,
-        unread_tokens=choice.unread_tokens,
-        own_lane=choice.own_lane,
-        start_ms=expected.start_ms if expected else 0.0,
-        waiting_ms=expected.waiting_ms if expected else 0.0,
-        reading_ms=expected.reading_ms if expected else 0.0,
-        requests_there=choice.load.requests,
-        prefill_tokens_there=choice.load.prefill_tokens,
+        uncached_tokens=choice.unread_tokens,
+        own_bucket=choice.own_lane,
+        start_ms=forecast.start_ms if forecast else 0.0,
+        waiting_ms=forecast.waiting_ms if forecast else 0.0,
+        prefill_ms=forecast.reading_ms if forecast else 0.0,
+        endpoint_requests=choice.load.requests,
+        endpoint_prefill_tokens=choice.load.prefill_tokens,
         retry_after_s=retry_after_s,
         learning=learning,
     )
--- a/src/guavamast/relay/scheduler_directory.py
+++ b/src/guavamast/relay/scheduler_directory.py
@@ -13,25 +13,25 @@
     from guavamast.relay.store import InstanceRecord
 
 SCHEDULER_KEY: Final = "schedulers"
-CANDIDATES: Final = 16
+MAX_CANDIDATES: Final = 16
 """Instances among which the schedulers of all groups are, those with the most processor share."""
-RENEW_S: Final = 0.5
+REFRESH_S: Final = 0.5
 """Seconds for which the list of candidates is used before it is made anew."""
-SILENT_ANSWERS: Final = 2
+TIMEOUTS_BEFORE_BACKOFF: Final = 2
 """Failures to answer in a row after which an instance is passed over."""
-PASSED_OVER_S: Final = 1.0
+BACKOFF_S: Final = 1.0
 """Seconds for which it is passed over the first time; doubled with each further."""
-LONGEST_PASSED_OVER_S: Final = 8.0
+MAX_BACKOFF_S: Final = 8.0
 """Seconds for which it is passed over at most."""
 
 
 @dataclass(slots=True, kw_only=True)
-class _Silence:
+class _Timeouts:
     """Queries that an instance has not answered."""
 
     in_a_row: int = 0
-    times: int = 0
-    until: float = 0.0
+    backoffs: int = 0
+    backoff_until: float = 0.0
 
 
 class SchedulerDirectory:
@@ -49,51 +49,51 @@
         peers: The others.
     """
 
-    __slots__ = ("_candidates", "_found", "_listed", "_peers", "_record", "_silences")
+    __slots__ = ("_candidates", "_rankings", "_refreshed_at", "_peers", "_record", "_timeouts")
 
     def __init__(self, *, record: InstanceRecord, peers: Peers) -> None:
         self._record = record
         self._peers = peers
         self._candidates: list[InstanceRecord] = []
-        self._found: dict[str, list[InstanceRecord]] = {}
-        self._listed: float | None = None
-        self._silences: dict[str, _Silence] = {}
+        self._rankings: dict[str, list[InstanceRecord]] = {}
+        self._refreshed_at: float | None = None
+        self._timeouts: dict[str, _Timeouts] = {}
 
-    def find(self, group: str, *, now: float) -> InstanceRecord:
+    def select(self, group: str, *, now: float) -> InstanceRecord:
         """Return the instance to ask about a group; possibly this one."""
-        self._renew(now=now)
-        ranked = self._found.get(group)
+        self._refresh(now=now)
+        ranked = self._rankings.get(group)
         if ranked is None:
             ranked = sorted(
                 self._candidates,
                 key=lambda one: compute_weight(group, one.name),
                 reverse=True,
             )
-            self._found[group] = ranked
+            self._rankings[group] = ranked
         for record in ranked:
-            silence = self._silences.get(record.name)
-            if silence is None or now >= silence.until:
+            timeouts = self._timeouts.get(record.name)
+            if timeouts is None or now >= timeouts.backoff_until:
                 return record
         return ranked[0]
 
-    def note_answer(self, name: str) -> None:
+    def record_reply(self, name: str) -> None:
         """Note that an instance has answered."""
-        self._silences.pop(name, None)
+        self._timeouts.pop(name, None)
 
-    def note_silence(self, name: str, *, now: float) -> bool:
+    def record_timeout(self, name: str, *, now: float) -> bool:
         """Note that an instance has not answered in time; returns whether it is passed over now."""
-        silence = self._silences.setdefault(name, _Silence())
-        silence.in_a_row += 1
-        if silence.in_a_row < SILENT_ANSWERS or now < silence.until:
+        timeouts = self._timeouts.setdefault(name, _Timeouts())
+        timeouts.in_a_row += 1
+        if timeouts.in_a_row < TIMEOUTS_BEFORE_BACKOFF or now < timeouts.backoff_until:
             return False
-        silence.until = now + min(LONGEST_PASSED_OVER_S, PASSED_OVER_S * 2**silence.times)
-        silence.times += 1
+        timeouts.backoff_until = now + min(MAX_BACKOFF_S, BACKOFF_S * 2**timeouts.backoffs)
+        timeouts.backoffs += 1
         return True
 
-    def _renew(self, *, now: float) -> None:
-        if self._listed is not None and now - self._listed < RENEW_S:
+    def _refresh(self, *, now: float) -> None:
+        if self._refreshed_at is not None and now - self._refreshed_at < REFRESH_S:
             return
-        self._listed = now
+        self._refreshed_at = now
         records = [self._record] + [
             peer.record
             for peer in self._peers.list_live(now=now)
@@ -103,7 +103,7 @@
             key=lambda one: (one.processor_share, compute_weight(SCHEDULER_KEY, one.name)),
             reverse=True,
         )
-        candidates = records[:CANDIDATES]
+        candidates = records[:MAX_CANDIDATES]
         if [one.name for one in candidates] != [one.name for one in self._candidates]:
-            self._found.clear()
+            self._rankings.clear()
         self._candidates = candidates
--- a/src/guavamast/relay/scheduler_host.py
+++ b/src/guavamast/relay/scheduler_host.py
@@ -59,12 +59,12 @@
             memory_tokens=self._knowledge.find_memory(query.service),
             shortest_pause_s=self._knowledge.find_shortest_pause(query.service),
         )
-        scheduler = self._find(query.group, now=now)
+        scheduler = self._get_or_create(query.group, now=now)
         reply = scheduler.decide(query, candidates, facts, now=now)
         self._counters.add(f'placements_decided_total{{verdict="{reply.verdict}"}}')
         return reply
 
-    def take_update(self, update: WorkUpdate, *, now: float) -> None:
+    def apply_update(self, update: WorkUpdate, *, now: float) -> None:
         """Note that work has come further."""
         scheduler = self._schedulers.get(update.group)
         if scheduler is None:
@@ -74,21 +74,21 @@
         if ended is not None and record is not None:
             self._profiles.record_pause(
                 record.service,
-                unread_tokens=ended.most_reading,
+                unread_tokens=ended.max_prefill_tokens,
                 pause_ms=ended.longest_pause_s * 1000.0,
                 now=now,
             )
 
-    def take_report(self, report: WorkReport, *, now: float) -> None:
+    def apply_report(self, report: WorkReport, *, now: float) -> None:
         """Take an instance's word on all its work at a group."""
-        self._find(report.group, now=now).work.take_report(report, now=now)
+        self._get_or_create(report.group, now=now).work.apply_report(report, now=now)
 
     def count_grants(self, group: str) -> int:
         """Return the requests that are counted at the endpoints of a group."""
         scheduler = self._schedulers.get(group)
         return scheduler.work.count() if scheduler is not None else 0
 
-    def keep_house(self, *, endpoint_ids: set[str], now: float) -> None:
+    def clean_up(self, *, endpoint_ids: set[str], now: float) -> None:
         """Drop the work of silent instances, and groups that nobody asks about any more.
 
         Args:
@@ -96,18 +96,18 @@
             now: The present time.
         """
         for name, scheduler in list(self._schedulers.items()):
-            dropped = scheduler.work.drop_silent(now=now)
+            dropped = scheduler.work.drop_expired(now=now)
             if dropped:
                 self._counters.add("grants_dropped_total", dropped)
             scheduler.work.cache.keep_only(endpoint_ids)
             scheduler.work.loads.keep_only(endpoint_ids)
             if scheduler.work.is_idle(now=now):
                 del self._schedulers[name]
-        granted = sum(scheduler.work.count() for scheduler in self._schedulers.values())
+        grants = sum(scheduler.work.count() for scheduler in self._schedulers.values())
         self._counters.set("groups_scheduled", len(self._schedulers))
-        self._counters.set("grants_held", granted)
+        self._counters.set("grants_held", grants)
 
-    def _find(self, group: str, *, now: float) -> GroupScheduler:
+    def _get_or_create(self, group: str, *, now: float) -> GroupScheduler:
         scheduler = self._schedulers.get(group)
         if scheduler is None:
             scheduler = GroupScheduler(random=self._random, now=now)
--- a/src/guavamast/relay/scheduling.py
+++ b/src/guavamast/relay/scheduling.py
@@ -91,11 +91,11 @@
         if isinstance(message, PlacementQuery):
             self._send(encode_scheduling(self.host.decide(message, now=now)), source)
         elif isinstance(message, PlacementReply):
-            self.client.take_reply(message)
+            self.client.receive_reply(message)
         elif isinstance(message, WorkUpdate):
-            self.host.take_update(message, now=now)
+            self.host.apply_update(message, now=now)
         elif isinstance(message, WorkReport):
-            self.host.take_report(message, now=now)
+            self.host.apply_report(message, now=now)
 
     def keep_house(self, *, endpoint_ids: set[str], now: float) -> None:
         """Drop what nobody confirms any more.
@@ -104,7 +104,7 @@
             endpoint_ids: The endpoints that there are.
             now: The present time.
         """
-        self.host.keep_house(endpoint_ids=endpoint_ids, now=now)
+        self.host.clean_up(endpoint_ids=endpoint_ids, now=now)
 
     def _send_to_instance(self, message: SchedulingMessage, target: InstanceRecord) -> None:
         self._send(encode_scheduling(message), (target.ip, target.peer_port))
--- a/src/guavamast/relay/scheduling_client.py
+++ b/src/guavamast/relay/scheduling_client.py
@@ -27,33 +27,33 @@
 
 REPORT_INTERVAL_S: Final = 1.0
 """Seconds between two reports of an instance's work to the schedulers of it."""
-REMEMBERED_S: Final = 10.0
+ENDED_WORK_RETENTION_S: Final = 10.0
 """Seconds for which ended work is told to a new scheduler: its prompt's parts may still be in its
 engine's memory."""
 GRANT_VALID_S: Final = 1.0
 """Seconds after which a grant is void: its scheduler may have dropped it since, when this process
 stood still."""
-FIRST_ROUND_TRIP_S: Final = 0.01
+INITIAL_ROUND_TRIP_S: Final = 0.01
 """Seconds between a query and its reply before any has been seen."""
 ROUND_TRIP_WEIGHT: Final = 0.1
 """Share that the latest round trip has in the mean."""
-SILENCE_FACTOR: Final = 1.2
+TIMEOUT_GROWTH: Final = 1.2
 """Factor on the mean round trip after a reply that did not come: it may have been too slow."""
-PATIENCE_ROUND_TRIPS: Final = 4.0
+TIMEOUT_ROUND_TRIPS: Final = 4.0
 """Factor on the mean round trip for which a reply is waited for."""
-LEAST_PATIENCE_S: Final = 0.02
+MIN_TIMEOUT_S: Final = 0.02
 """Seconds for which a reply is waited for at the least: a turn of a busy process."""
-MOST_PATIENCE_S: Final = 0.06
+MAX_TIMEOUT_S: Final = 0.06
 """Seconds for which it is waited for at the most, below any objective."""
 
 
 @dataclass(slots=True, kw_only=True)
-class _Tracked:
+class _TrackedWork:
     """Work that this instance has placed, for reports."""
 
     group: str
     work: PlacedWork
-    ended: float | None = None
+    ended_at: float | None = None
 
 
 @dataclass(frozen=True, slots=True, kw_only=True)
@@ -75,24 +75,24 @@
         granted: Local time.
     """
 
-    __slots__ = ("_begun", "_client", "_ended", "_granted", "_number")
+    __slots__ = ("_begun", "_client", "_ended", "_granted_at", "_number")
 
-    def __init__(self, *, client: SchedulingClient, number: int, granted: float) -> None:
+    def __init__(self, *, client: SchedulingClient, number: int, granted_at: float) -> None:
         self._client = client
         self._number = number
-        self._granted = granted
+        self._granted_at = granted_at
         self._begun = False
         self._ended = False
 
     def is_void(self, *, now: float) -> bool:
         """Return whether the grant is too old for a send."""
-        return now - self._granted > GRANT_VALID_S
+        return now - self._granted_at > GRANT_VALID_S
 
     def begin(self) -> None:
         """Tell that the first event has come; a second call changes nothing."""
         if not self._begun:
             self._begun = True
-            self._client.note_phase(self._number, WorkPhase.RUNNING)
+            self._client.report_phase(self._number, WorkPhase.RUNNING)
 
     def end(self, *, failure_weight: float = 0.0, longest_pause_s: float = 0.0) -> None:
         """Tell that the request is over; a second call changes nothing.
@@ -104,7 +104,7 @@
         if self._ended:
             return
         self._ended = True
-        self._client.note_phase(
+        self._client.report_phase(
             self._number,
             WorkPhase.ENDED,
             failure_weight=failure_weight,
@@ -130,14 +130,14 @@
         "_counters",
         "directory",
         "_host",
-        "_informed",
-        "_number",
+        "_reported_to",
+        "_last_number",
         "_read_time",
         "_record",
         "_round_trip_s",
         "_send",
         "_tracked",
-        "_waiting",
+        "_pending",
     )
 
     def __init__(
@@ -159,11 +159,11 @@
         self._send = send
         self._counters = counters
         self._read_time = read_time
-        self._number = 0
-        self._round_trip_s = FIRST_ROUND_TRIP_S
-        self._waiting: dict[int, asyncio.Future[PlacementReply]] = {}
-        self._tracked: dict[int, _Tracked] = {}
-        self._informed: dict[str, str] = {}
+        self._last_number = 0
+        self._round_trip_s = INITIAL_ROUND_TRIP_S
+        self._pending: dict[int, asyncio.Future[PlacementReply]] = {}
+        self._tracked: dict[int, _TrackedWork] = {}
+        self._reported_to: dict[str, str] = {}
         """Name of the scheduler that knows this instance's work, by group."""
 
     @property
@@ -171,10 +171,10 @@
         """How this process names itself to schedulers."""
         return self._asker
 
-    def take_number(self) -> int:
+    def next_number(self) -> int:
         """Return the number of the next request to be placed."""
-        self._number += 1
-        return self._number
+        self._last_number += 1
+        return self._last_number
 
     async def ask(self, query: PlacementQuery) -> ScheduledReply | None:
         """Return the scheduler's reply; None if it does not come in time.
@@ -183,20 +183,20 @@
         is on its way holds nothing.
         """
         now = self._read_time()
-        scheduler = self.directory.find(query.group, now=now)
-        self._inform(query.group, scheduler)
+        scheduler = self.directory.select(query.group, now=now)
+        self._report_to_new_scheduler(query.group, scheduler)
         if scheduler.name == self._record.name:
             reply = self._host.decide(query, now=now)
             return ScheduledReply(reply=reply, scheduler=scheduler.name, took_s=0.0)
         waiter: asyncio.Future[PlacementReply] = asyncio.get_running_loop().create_future()
-        self._waiting[query.number] = waiter
+        self._pending[query.number] = waiter
         self._send(query, scheduler)
-        patience_s = self._compute_patience()
-        timer = asyncio.get_running_loop().call_later(patience_s, _give_up, waiter)
+        timeout_s = self._compute_timeout()
+        timer = asyncio.get_running_loop().call_later(timeout_s, _time_out, waiter)
         try:
             reply = await waiter
         except TimeoutError:
-            self._note_silence(scheduler)
+            self._record_timeout(scheduler)
             self._withdraw(query, scheduler)
             return None
         except asyncio.CancelledError:
@@ -204,14 +204,14 @@
             raise
         finally:
             timer.cancel()
-            del self._waiting[query.number]
+            del self._pending[query.number]
         took_s = self._read_time() - now
-        self._note_reply(scheduler, took_s=took_s)
+        self._record_reply(scheduler, took_s=took_s)
         return ScheduledReply(reply=reply, scheduler=scheduler.name, took_s=took_s)
 
-    def take_reply(self, reply: PlacementReply) -> None:
+    def receive_reply(self, reply: PlacementReply) -> None:
         """Hand a reply to whoever waits for it; a late one finds nobody."""
-        waiter = self._waiting.get(reply.number)
+        waiter = self._pending.get(reply.number)
         if waiter is not None and not waiter.done():
             waiter.set_result(reply)
         else:
@@ -219,9 +219,9 @@
 
     def withdraw(self, query: PlacementQuery) -> None:
         """Give a grant back unused."""
-        self._withdraw(query, self.directory.find(query.group, now=self._read_time()))
+        self._withdraw(query, self.directory.select(query.group, now=self._read_time()))
 
-    def track(self, group: str, work: PlacedWork, *, asked: bool) -> PlacedRequest:
+    def track(self, group: str, work: PlacedWork, *, granted: bool) -> PlacedRequest:
         """Count a request that goes to an endpoint, and return what its end is told to.
 
         Args:
@@ -230,12 +230,12 @@
             asked: Whether the scheduler has granted it; if not, it is told at once.
         """
         now = self._read_time()
-        self._tracked[work.number] = _Tracked(group=group, work=work)
-        if not asked:
-            self._tell(group, self._make_report(group))
-        return PlacedRequest(client=self, number=work.number, granted=now)
+        self._tracked[work.number] = _TrackedWork(group=group, work=work)
+        if not granted:
+            self._send_to_scheduler(group, self._build_report(group))
+        return PlacedRequest(client=self, number=work.number, granted_at=now)
 
-    def note_phase(
+    def report_phase(
         self,
         number: int,
         phase: WorkPhase,
@@ -260,12 +260,12 @@
             endpoint_id=work.endpoint_id,
             phase=phase,
             shared_part=work.shared_part,
-            unread_tokens=work.unread_tokens,
-            memory_tokens=work.memory_tokens,
-            delicate=work.delicate,
+            uncached_tokens=work.uncached_tokens,
+            kv_tokens=work.kv_tokens,
+            pause_sensitive=work.pause_sensitive,
         )
         if phase is WorkPhase.ENDED:
-            tracked.ended = self._read_time()
+            tracked.ended_at = self._read_time()
         update = WorkUpdate(
             asker=self._asker,
             group=tracked.group,
@@ -274,7 +274,7 @@
             failure_weight=failure_weight,
             longest_pause_s=longest_pause_s,
         )
-        self._tell(tracked.group, update)
+        self._send_to_scheduler(tracked.group, update)
 
     async def run(self) -> None:
         """Report this instance's work to its schedulers until cancelled."""
@@ -285,49 +285,49 @@
     def report(self) -> None:
         """Tell each scheduler all work that this instance has at its group."""
         now = self._read_time()
-        self._forget_ended(now=now)
-        groups = {one.group for one in self._tracked.values() if one.ended is None}
+        self._expire_ended(now=now)
+        groups = {one.group for one in self._tracked.values() if one.ended_at is None}
         for group in groups:
-            scheduler = self.directory.find(group, now=now)
-            if not self._inform(group, scheduler):
-                self._tell(group, self._make_report(group))
+            scheduler = self.directory.select(group, now=now)
+            if not self._report_to_new_scheduler(group, scheduler):
+                self._send_to_scheduler(group, self._build_report(group))
 
-    def _inform(self, group: str, scheduler: InstanceRecord) -> bool:
+    def _report_to_new_scheduler(self, group: str, scheduler: InstanceRecord) -> bool:
         """Tell a scheduler that has not scheduled the group so far what it has to know."""
-        if self._informed.get(group) == scheduler.name:
+        if self._reported_to.get(group) == scheduler.name:
             return False
-        self._informed[group] = scheduler.name
-        self._forget_ended(now=self._read_time())
-        report = self._make_report(group, with_ended=True)
+        self._reported_to[group] = scheduler.name
+        self._expire_ended(now=self._read_time())
+        report = self._build_report(group, with_ended=True)
         if report.works:
             self._deliver(report, scheduler)
         return True
 
-    def _make_report(self, group: str, *, with_ended: bool = False) -> WorkReport:
+    def _build_report(self, group: str, *, with_ended: bool = False) -> WorkReport:
         works = tuple(
             one.work
             for one in self._tracked.values()
-            if one.group == group and (with_ended or one.ended is None)
+            if one.group == group and (with_ended or one.ended_at is None)
         )
         return WorkReport(asker=self._asker, group=group, works=works)
 
-    def _forget_ended(self, *, now: float) -> None:
+    def _expire_ended(self, *, now: float) -> None:
         self._tracked = {
             number: one
             for number, one in self._tracked.items()
-            if one.ended is None or now - one.ended < REMEMBERED_S
+            if one.ended_at is None or now - one.ended_at < ENDED_WORK_RETENTION_S
         }
 
-    def _tell(self, group: str, message: WorkUpdate | WorkReport) -> None:
-        self._deliver(message, self.directory.find(group, now=self._read_time()))
+    def _send_to_scheduler(self, group: str, message: WorkUpdate | WorkReport) -> None:
+        self._deliver(message, self.directory.select(group, now=self._read_time()))
 
     def _deliver(self, message: WorkUpdate | WorkReport, scheduler: InstanceRecord) -> None:
         if scheduler.name != self._record.name:
             self._send(message, scheduler)
         elif isinstance(message, WorkUpdate):
-            self._host.take_update(message, now=self._read_time())
+            self._host.apply_update(message, now=self._read_time())
         else:
-            self._host.take_report(message, now=self._read_time())
+            self._host.apply_report(message, now=self._read_time())
 
     def _withdraw(self, query: PlacementQuery, scheduler: InstanceRecord) -> None:
         update = WorkUpdate(
@@ -335,22 +335,22 @@
         )
         self._deliver(update, scheduler)
 
-    def _compute_patience(self) -> float:
-        patience_s = PATIENCE_ROUND_TRIPS * self._round_trip_s
-        return min(MOST_PATIENCE_S, max(LEAST_PATIENCE_S, patience_s))
+    def _compute_timeout(self) -> float:
+        timeout_s = TIMEOUT_ROUND_TRIPS * self._round_trip_s
+        return min(MAX_TIMEOUT_S, max(MIN_TIMEOUT_S, timeout_s))
 
-    def _note_reply(self, scheduler: InstanceRecord, *, took_s: float) -> None:
-        self.directory.note_answer(scheduler.name)
+    def _record_reply(self, scheduler: InstanceRecord, *, took_s: float) -> None:
+        self.directory.record_reply(scheduler.name)
         self._round_trip_s += ROUND_TRIP_WEIGHT * (took_s - self._round_trip_s)
         self._counters.observe("placement_seconds", took_s)
 
-    def _note_silence(self, scheduler: InstanceRecord) -> None:
+    def _record_timeout(self, scheduler: InstanceRecord) -> None:
         self._counters.add("silent_schedulers_total")
-        self._round_trip_s = min(MOST_PATIENCE_S, SILENCE_FACTOR * self._round_trip_s)
-        if self.directory.note_silence(scheduler.name, now=self._read_time()):
+        self._round_trip_s = min(MAX_TIMEOUT_S, TIMEOUT_GROWTH * self._round_trip_s)
+        if self.directory.record_timeout(scheduler.name, now=self._read_time()):
             self._counters.add("schedulers_passed_over_total")
 
 
-def _give_up(waiter: asyncio.Future[PlacementReply]) -> None:
+def _time_out(waiter: asyncio.Future[PlacementReply]) -> None:
     if not waiter.done():
         waiter.set_exception(TimeoutError())
--- a/src/guavamast/relay/scheduling_messages.py
+++ b/src/guavamast/relay/scheduling_messages.py
@@ -68,15 +68,15 @@
     """Of the query."""
     verdict: Verdict
     endpoint_id: str = ""
-    unread_tokens: int = 0
-    own_lane: bool = True
+    uncached_tokens: int = 0
+    own_bucket: bool = True
     start_ms: float = 0.0
     waiting_ms: float = 0.0
-    reading_ms: float = 0.0
+    prefill_ms: float = 0.0
     """With the two above, what the request would meet; all 0 for plain services."""
-    requests_there: int = 0
+    endpoint_requests: int = 0
     """At the endpoint before this one."""
-    prefill_tokens_there: int = 0
+    endpoint_prefill_tokens: int = 0
     """Prompt tokens that waited to be read there before this one."""
     retry_after_s: float = 0.0
     learning: bool = False
@@ -115,10 +115,10 @@
     phase: WorkPhase
     shared_part: str | None
     """Id of the longest part that other requests share."""
-    unread_tokens: int
+    uncached_tokens: int
     """Prompt tokens that its endpoint had to read when it was sent."""
-    memory_tokens: int
-    delicate: bool
+    kv_tokens: int
+    pause_sensitive: bool
 
 
 @dataclass(frozen=True, slots=True, kw_only=True)
--- a/src/guavamast/relay/scheduling_wire.py
+++ b/src/guavamast/relay/scheduling_wire.py
@@ -121,13 +121,13 @@
         reply.number,
         _VERDICTS[reply.verdict],
         reply.endpoint_id,
-        reply.unread_tokens,
-        int(reply.own_lane),
+        reply.uncached_tokens,
+        int(reply.own_bucket),
         round(reply.start_ms, 1),
         round(reply.waiting_ms, 1),
-        round(reply.reading_ms, 1),
-        reply.requests_there,
-        reply.prefill_tokens_there,
+        round(reply.prefill_ms, 1),
+        reply.endpoint_requests,
+        reply.endpoint_prefill_tokens,
         round(reply.retry_after_s, 3),
         int(reply.learning),
     ]
@@ -151,13 +151,13 @@
         number=int(number),
         verdict=_VERDICT_LIST[verdict],
         endpoint_id=str(endpoint_id),
-        unread_tokens=int(unread_tokens),
-        own_lane=bool(own_lane),
+        uncached_tokens=int(unread_tokens),
+        own_bucket=bool(own_lane),
         start_ms=float(start_ms),
         waiting_ms=float(waiting_ms),
-        reading_ms=float(reading_ms),
-        requests_there=int(requests_there),
-        prefill_tokens_there=int(prefill_tokens_there),
+        prefill_ms=float(reading_ms),
+        endpoint_requests=int(requests_there),
+        endpoint_prefill_tokens=int(prefill_tokens_there),
         retry_after_s=float(retry_after_s),
         learning=bool(learning),
     )
@@ -202,9 +202,9 @@
             work.endpoint_id,
             _PHASES[work.phase],
             work.shared_part,
-            work.unread_tokens,
-            work.memory_tokens,
-            int(work.delicate),
+            work.uncached_tokens,
+            work.kv_tokens,
+            int(work.pause_sensitive),
         ]
         for work in report.works
     ]
@@ -235,9 +235,9 @@
         endpoint_id=str(endpoint_id),
         phase=_PHASE_LIST[phase],
         shared_part=None if shared_part is None else str(shared_part),
-        unread_tokens=int(unread_tokens),
-        memory_tokens=int(memory_tokens),
-        delicate=bool(delicate),
+        uncached_tokens=int(unread_tokens),
+        kv_tokens=int(memory_tokens),
+        pause_sensitive=bool(delicate),
     )
 
 
--- a/src/guavamast/relay/work_knowledge.py
+++ b/src/guavamast/relay/work_knowledge.py
@@ -14,7 +14,7 @@
     from guavamast.relay.beats import Beat, BeatBundle, LoadNotice
     from guavamast.relay.engine_profile import ProfileEstimates
 
-DOMAIN_MARK: Final = "domain "
+DOMAIN_PREFIX: Final = "domain "
 """Begins the name of a source that is a failure domain."""
 
 
@@ -42,7 +42,7 @@
     def take_bundle(self, bundle: BeatBundle) -> None:
         """Replace what the instances of failure domains have told together."""
         for domain, profiles in bundle.profiles.items():
-            self.profiles.take_peer(_name_domain(domain), profiles)
+            self.profiles.take_peer(_format_domain_source(domain), profiles)
 
     def sum_up_profiles(
         self, domain: str, instances: list[str], *, now: float
@@ -55,9 +55,9 @@
             now: The present time.
         """
         domains = {
-            source.removeprefix(DOMAIN_MARK): profiles
+            source.removeprefix(DOMAIN_PREFIX): profiles
             for source, profiles in self.profiles.list_peers().items()
-            if source.startswith(DOMAIN_MARK)
+            if source.startswith(DOMAIN_PREFIX)
         }
         domains[domain] = self.profiles.combine(instances, now=now)
         return domains
@@ -74,10 +74,10 @@
         self.loads.keep_peers(instances)
         self.demand.keep_peers(instances)
         self.refusals.keep_peers(instances)
-        domains = {one for one in self.profiles.list_peers() if one.startswith(DOMAIN_MARK)}
+        domains = {one for one in self.profiles.list_peers() if one.startswith(DOMAIN_PREFIX)}
         self.profiles.keep_peers(instances | domains)
 
 
-def _name_domain(domain: str) -> str:
+def _format_domain_source(domain: str) -> str:
     """Return the source of what a failure domain has told, unlike any instance's name."""
-    return DOMAIN_MARK + domain
+    return DOMAIN_PREFIX + domain
--- a/tests/scheduling_world.py
+++ b/tests/scheduling_world.py
@@ -79,10 +79,10 @@
     return PlacementQuery(**(values | changes))
 
 
-class Member:
+class SimulatedInstance:
     """One instance of the fleet."""
 
-    def __init__(self, number: int, world: SchedulingWorld) -> None:
+    def __init__(self, number: int, world: SimulatedFleet) -> None:
         self.record = InstanceRecord(
             name=f"i{number}",
             ip=f"10.0.0.{number}",
@@ -108,14 +108,14 @@
             read_time=lambda: world.now,
         )
 
-    def list_endpoints(self, records: list[EndpointRecord], *, reading: float) -> None:
+    def apply_endpoints(self, records: list[EndpointRecord], *, reading: float) -> None:
         """Take a table of engines."""
         self.knowledge.take_endpoints(
             EndpointReading(records=records, digest=f"d{reading}", reading=reading)
         )
 
 
-class SchedulingWorld:
+class SimulatedFleet:
     """All instances, and the datagrams between them, which arrive after a turn of the loop."""
 
     def __init__(self, *, engines: int = 6) -> None:
@@ -124,22 +124,24 @@
         """Names of the instances that get nothing and answer nothing."""
         self.sent: list[tuple[str, str]] = []
         """Sender and receiver of each datagram."""
-        self._held: dict[str, list[tuple[SchedulingMessage, tuple[str, int]]]] = {}
-        self.members = {f"i{number}": Member(number, self) for number in range(INSTANCES)}
-        self._names = {one.record.ip: name for name, one in self.members.items()}
+        self._held_messages: dict[str, list[tuple[SchedulingMessage, tuple[str, int]]]] = {}
+        self.instances = {
+            f"i{number}": SimulatedInstance(number, self) for number in range(INSTANCES)
+        }
+        self._names = {one.record.ip: name for name, one in self.instances.items()}
         self.engines = [
             make_endpoint(f"e{number}", service=POOL, slots=8) for number in range(engines)
         ]
-        for member in self.members.values():
-            member.list_endpoints(self.engines, reading=1.0)
-        self.beat()
+        for member in self.instances.values():
+            member.apply_endpoints(self.engines, reading=1.0)
+        self.exchange_heartbeats()
 
-    def beat(self) -> None:
+    def exchange_heartbeats(self) -> None:
         """Have all instances that are not silent hear each other."""
-        for member in self.members.values():
-            for other in self.members.values():
+        for member in self.instances.values():
+            for other in self.instances.values():
                 if other.record.name not in self.silent:
-                    member.peers.take(self._make_beat(other), now=self.now)
+                    member.peers.take(self._build_heartbeat(other), now=self.now)
 
     def send(self, sender: InstanceRecord, data: bytes, address: tuple[str, int]) -> None:
         """Deliver a datagram in the next turn."""
@@ -149,28 +151,28 @@
             return
         source = (sender.ip, sender.peer_port)
         message = decode_scheduling(data)
-        held = self._held.get(receiver)
+        held = self._held_messages.get(receiver)
         if held is not None:
             held.append((message, source))
             return
-        scheduling = self.members[receiver].scheduling
+        scheduling = self.instances[receiver].scheduling
         asyncio.get_running_loop().call_soon(scheduling.take, message, source)
 
-    def freeze(self, name: str) -> None:
+    def pause(self, name: str) -> None:
         """Have an instance stand still; what comes waits in its socket."""
-        self._held[name] = []
+        self._held_messages[name] = []
 
-    def wake(self, name: str) -> None:
+    def resume(self, name: str) -> None:
         """Have an instance go on with what has come meanwhile."""
-        for message, source in self._held.pop(name):
-            self.members[name].scheduling.take(message, source)
+        for message, source in self._held_messages.pop(name):
+            self.instances[name].scheduling.take(message, source)
 
     def find_scheduler(self, asker: str, group: str = GROUP) -> str:
         """Return the name of the instance that an instance asks about a group."""
-        directory = self.members[asker].scheduling.client.directory
-        return directory.find(group, now=self.now).name
+        directory = self.instances[asker].scheduling.client.directory
+        return directory.select(group, now=self.now).name
 
-    def _make_beat(self, member: Member) -> Beat:
+    def _build_heartbeat(self, member: SimulatedInstance) -> Beat:
         return Beat(
             record=member.record,
             incarnation=1,
--- a/tests/test_relay_scheduler.py
+++ b/tests/test_relay_scheduler.py
@@ -5,10 +5,10 @@
 import unittest
 from random import Random
 
-from guavamast.relay.endpoint_groups import MOST_IN_GROUP, EndpointGroups, count_groups
+from guavamast.relay.endpoint_groups import MAX_MEAN_GROUP_SIZE, EndpointGroups, count_groups
 from guavamast.relay.endpoint_load import Load
 from guavamast.relay.endpoint_table import EndpointTable
-from guavamast.relay.scheduled_work import LEASE_S, UNCONFIRMED_S
+from guavamast.relay.scheduled_work import LEASE_S, UNCONFIRMED_GRANT_S
 from guavamast.relay.scheduler import LEARNING_S, GroupScheduler, ServiceFacts
 from guavamast.relay.scheduling_messages import (
     Asker,
@@ -50,7 +50,7 @@
 
     def report(self, *works: PlacedWork, now: float = NOW, incarnation: int = 1) -> None:
         asker = Asker(instance="i1", incarnation=incarnation)
-        self.scheduler.work.take_report(WorkReport(asker=asker, group=GROUP, works=works), now=now)
+        self.scheduler.work.apply_report(WorkReport(asker=asker, group=GROUP, works=works), now=now)
 
     def sum_up(self) -> Load:
         total = Load()
@@ -96,7 +96,7 @@
         """
         self.ask(1, asker="i1")
         self.ask(1, asker="i2", now=NOW + LEASE_S)
-        self.assertEqual(self.scheduler.work.drop_silent(now=NOW + LEASE_S + 0.1), 1)
+        self.assertEqual(self.scheduler.work.drop_expired(now=NOW + LEASE_S + 0.1), 1)
         self.assertEqual(self.sum_up().requests, 1)
 
     def test_the_next_process_of_an_asker_replaces_its_work(self) -> None:
@@ -108,7 +108,7 @@
         self.ask(1)
         self.report(now=NOW + 0.5)
         self.assertEqual(self.sum_up().requests, 1, "the report may have crossed the grant")
-        self.report(now=NOW + UNCONFIRMED_S + 0.1)
+        self.report(now=NOW + UNCONFIRMED_GRANT_S + 0.1)
         self.assertEqual(self.sum_up(), Load())
 
     def test_a_new_scheduler_learns_from_reports(self) -> None:
@@ -123,9 +123,9 @@
             endpoint_id="e0",
             phase=WorkPhase.WAITING,
             shared_part="shared",
-            unread_tokens=900,
-            memory_tokens=1_200,
-            delicate=False,
+            uncached_tokens=900,
+            kv_tokens=1_200,
+            pause_sensitive=False,
         )
         self.report(work)
         self.assertEqual(
@@ -146,9 +146,9 @@
             endpoint_id="e2",
             phase=WorkPhase.ENDED,
             shared_part="shared",
-            unread_tokens=900,
-            memory_tokens=1_200,
-            delicate=False,
+            uncached_tokens=900,
+            kv_tokens=1_200,
+            pause_sensitive=False,
         )
         self.report(work)
         self.assertEqual(self.sum_up(), Load())
@@ -221,7 +221,7 @@
         }
 
     def test_few_endpoints_are_one_group(self) -> None:
-        self.assertEqual(list(self.list_groups(MOST_IN_GROUP)), [GROUP])
+        self.assertEqual(list(self.list_groups(MAX_MEAN_GROUP_SIZE)), [GROUP])
 
     def test_each_endpoint_is_in_one_group(self) -> None:
         groups = self.list_groups(400)
--- a/tests/test_relay_scheduler_properties.py
+++ b/tests/test_relay_scheduler_properties.py
@@ -49,7 +49,7 @@
 
     @settings(max_examples=EXAMPLES, deadline=None)
     @given(steps)
-    def test_never_more_is_granted_than_an_engine_has(self, story: list) -> None:
+    def test_never_more_is_granted_than_an_engine_has(self, events: list) -> None:
         """Requests of three instances come, run, end and are reported in any order.
 
         What runs is judged by what was granted, so a report that names less than runs is not among
@@ -59,7 +59,7 @@
         now = LEARNING_S + 1.0
         running: dict[int, tuple[PlacementQuery, str]] = {}
         number = 0
-        for kind, value, first in story:
+        for kind, value, first in events:
             if kind == "ask":
                 number += 1
                 query = make_query(
@@ -73,7 +73,7 @@
                 reply = scheduler.decide(query, ENGINES, FACTS, now=now)
                 if reply.verdict is Verdict.GRANTED:
                     running[number] = (query, reply.endpoint_id)
-                    self.check(running, reply.endpoint_id, first=first)
+                    self.check_kv_limit(running, reply.endpoint_id, first=first)
             elif kind == "wait":
                 now += value / 1000.0
                 for place in range(3):
@@ -89,7 +89,7 @@
                 if ended:
                     del running[value]
 
-    def check(
+    def check_kv_limit(
         self, running: dict[int, tuple[PlacementQuery, str]], endpoint_id: str, *, first: bool
     ) -> None:
         taken = sum(
@@ -116,9 +116,9 @@
                 endpoint_id=endpoint_id,
                 phase=WorkPhase.WAITING,
                 shared_part=None,
-                unread_tokens=query.prompt_tokens,
-                memory_tokens=query.prompt_tokens + query.output_tokens,
-                delicate=False,
+                uncached_tokens=query.prompt_tokens,
+                kv_tokens=query.prompt_tokens + query.output_tokens,
+                pause_sensitive=False,
             )
             for number, (query, endpoint_id) in running.items()
             if query.asker == asker
@@ -126,7 +126,7 @@
         report = WorkReport(asker=asker, group=GROUP, works=works)
         decoded = decode_scheduling(encode_scheduling(report))
         self.assertEqual(decoded, report)
-        scheduler.work.take_report(report, now=now)
+        scheduler.work.apply_report(report, now=now)
 
 
 class WireTest(unittest.TestCase):
--- a/tests/test_relay_scheduling.py
+++ b/tests/test_relay_scheduling.py
@@ -17,16 +17,16 @@
 from guavamast.relay.refusal_history import RefusalHistory
 from guavamast.relay.request_progress import RequestProgress, begin_progress
 from guavamast.relay.scheduled_work import LEASE_S
-from guavamast.relay.scheduler_directory import PASSED_OVER_S, SILENT_ANSWERS
-from guavamast.relay.scheduling_client import GRANT_VALID_S, MOST_PATIENCE_S
+from guavamast.relay.scheduler_directory import BACKOFF_S, TIMEOUTS_BEFORE_BACKOFF
+from guavamast.relay.scheduling_client import GRANT_VALID_S, MAX_TIMEOUT_S
 from tests.relay_facts import PROFILE, make_request
-from tests.scheduling_world import GROUP, PARTS, POOL, SchedulingWorld
+from tests.scheduling_world import GROUP, PARTS, POOL, SimulatedFleet
 
 if TYPE_CHECKING:
     from guavamast.relay.messages import CallerRequest
-    from tests.scheduling_world import Member
+    from tests.scheduling_world import SimulatedInstance
 
-ASKER = "i30"
+REQUESTER = "i30"
 OTHER = "i31"
 
 
@@ -34,11 +34,11 @@
     """A request goes where its scheduler says, or where its instance thinks best."""
 
     async def asyncSetUp(self) -> None:
-        self.world = SchedulingWorld()
-        self.scheduler = self.world.find_scheduler(ASKER)
-        self.assertNotIn(self.scheduler, (ASKER, OTHER))
+        self.fleet = SimulatedFleet()
+        self.scheduler = self.fleet.find_scheduler(REQUESTER)
+        self.assertNotIn(self.scheduler, (REQUESTER, OTHER))
 
-    def make_placer(self, member: Member) -> ScheduledPlacer:
+    def build_placer(self, member: SimulatedInstance) -> ScheduledPlacer:
         loads = EndpointLoads()
         own = OwnPlacer(
             knowledge=member.knowledge,
@@ -47,7 +47,7 @@
             profiles=member.profiles,
             refusals=RefusalHistory(),
             random=Random(1),
-            read_time=lambda: self.world.now,
+            read_time=lambda: self.fleet.now,
         )
         return ScheduledPlacer(
             own=own,
@@ -55,10 +55,10 @@
             groups=member.scheduling.groups,
             knowledge=member.knowledge,
             loads=loads,
-            read_time=lambda: self.world.now,
+            read_time=lambda: self.fleet.now,
         )
 
-    def make_progress(self, member: Member, request: CallerRequest) -> RequestProgress:
+    def build_progress(self, member: SimulatedInstance, request: CallerRequest) -> RequestProgress:
         catalog = member.knowledge.catalog
         assert catalog is not None
         route = catalog.find_route("portal.example", "/answers/")
@@ -68,27 +68,27 @@
             request, admitted, service=POOL, shortest_s=0.3, profile=PROFILE, first=True
         )
 
-    async def place(self, name: str = ASKER, **changes: object) -> Placed:
+    async def place(self, name: str = REQUESTER, **changes: object) -> Placed:
         """Have an instance place a short prompt."""
-        member = self.world.members[name]
+        member = self.fleet.instances[name]
         values = {"prompt_parts": PARTS, "prompt_tokens": 1_000, "output_tokens": 200}
         request = make_request(**(values | changes))
-        return await self.make_placer(member).place(request, self.make_progress(member, request))
+        return await self.build_placer(member).place(request, self.build_progress(member, request))
 
-    async def settle(self) -> None:
+    async def deliver_datagrams(self) -> None:
         """Let all datagrams arrive."""
         for _ in range(5):
             await asyncio.sleep(0)
 
     def count_grants(self, name: str) -> int:
-        host = self.world.members[name].scheduling.host
-        host.keep_house(endpoint_ids=set(), now=self.world.now)
+        host = self.fleet.instances[name].scheduling.host
+        host.clean_up(endpoint_ids=set(), now=self.fleet.now)
         return host.count_grants(GROUP)
 
     async def test_all_instances_ask_the_same_one(self) -> None:
-        found = {self.world.find_scheduler(name) for name in self.world.members}
+        found = {self.fleet.find_scheduler(name) for name in self.fleet.instances}
         self.assertEqual(found, {self.scheduler})
-        self.assertEqual(self.world.members[self.scheduler].record.processor_share, 2.0)
+        self.assertEqual(self.fleet.instances[self.scheduler].record.processor_share, 2.0)
 
     async def test_a_grant_is_held_until_its_end(self) -> None:
         placed = await self.place()
@@ -96,21 +96,21 @@
         self.assertEqual(self.count_grants(self.scheduler), 1)
         placed.work.begin()
         placed.work.end()
-        await self.settle()
+        await self.deliver_datagrams()
         self.assertEqual(self.count_grants(self.scheduler), 0)
 
     async def test_the_scheduler_places_its_own_requests_without_a_datagram(self) -> None:
-        self.world.sent.clear()
+        self.fleet.sent.clear()
         placed = await self.place(self.scheduler)
         self.assertIsNotNone(placed.work)
-        self.assertEqual(self.world.sent, [])
+        self.assertEqual(self.fleet.sent, [])
         self.assertEqual(self.count_grants(self.scheduler), 1)
 
     async def test_requests_of_all_instances_are_compared(self) -> None:
         """Engines are shared evenly although no instance tells another of its requests."""
-        self.world = SchedulingWorld(engines=8)
+        self.fleet = SimulatedFleet(engines=8)
         chosen = []
-        for name in list(self.world.members)[:32]:
+        for name in list(self.fleet.instances)[:32]:
             placed = await self.place(name, prompt_parts=())
             assert placed.choice is not None
             chosen.append(placed.choice.record.endpoint_id)
@@ -123,39 +123,39 @@
         The query finds nobody. After a few hundredths of a second the instance decides by what it
         knows; after two such waits it asks the next candidate.
         """
-        self.world.silent = {self.scheduler}
+        self.fleet.silent = {self.scheduler}
         loop = asyncio.get_running_loop()
-        for _ in range(SILENT_ANSWERS):
+        for _ in range(TIMEOUTS_BEFORE_BACKOFF):
             began = loop.time()
             placed = await self.place()
             self.assertIsNotNone(placed.choice)
-            self.assertLess(loop.time() - began, 10 * MOST_PATIENCE_S)
-        following = self.world.find_scheduler(ASKER)
+            self.assertLess(loop.time() - began, 10 * MAX_TIMEOUT_S)
+        following = self.fleet.find_scheduler(REQUESTER)
         self.assertNotEqual(following, self.scheduler)
         await self.place()
-        self.assertEqual(self.count_grants(following), SILENT_ANSWERS + 1)
+        self.assertEqual(self.count_grants(following), TIMEOUTS_BEFORE_BACKOFF + 1)
 
     async def test_a_scheduler_that_is_back_is_asked_again(self) -> None:
-        self.world.silent = {self.scheduler}
-        for _ in range(SILENT_ANSWERS):
+        self.fleet.silent = {self.scheduler}
+        for _ in range(TIMEOUTS_BEFORE_BACKOFF):
             await self.place()
-        self.world.silent = set()
-        self.world.now += PASSED_OVER_S
-        self.assertEqual(self.world.find_scheduler(ASKER), self.scheduler)
+        self.fleet.silent = set()
+        self.fleet.now += BACKOFF_S
+        self.assertEqual(self.fleet.find_scheduler(REQUESTER), self.scheduler)
 
     async def test_a_late_grant_holds_nothing(self) -> None:
         """A scheduler that stood still answers seconds later; nothing is counted for its answer.
 
         It finds the query and the word that it was given up in its socket, in this order.
         """
-        self.world.freeze(self.scheduler)
+        self.fleet.pause(self.scheduler)
         placed = await self.place()
         self.assertIsNotNone(placed.choice)
-        await self.settle()
-        self.world.wake(self.scheduler)
-        await self.settle()
+        await self.deliver_datagrams()
+        self.fleet.resume(self.scheduler)
+        await self.deliver_datagrams()
         self.assertEqual(self.count_grants(self.scheduler), 1, "the one that it was told of")
-        counters = self.world.members[ASKER].counters.render()
+        counters = self.fleet.instances[REQUESTER].counters.render()
         self.assertIn("late_replies_total 1", counters)
 
     async def test_a_new_scheduler_knows_what_runs(self) -> None:
@@ -167,15 +167,15 @@
         for _ in range(3):
             await self.place()
         await self.place(OTHER)
-        self.world.silent = {self.scheduler}
-        self.world.now += 4.0
-        self.world.beat()
-        following = self.world.find_scheduler(ASKER)
+        self.fleet.silent = {self.scheduler}
+        self.fleet.now += 4.0
+        self.fleet.exchange_heartbeats()
+        following = self.fleet.find_scheduler(REQUESTER)
         self.assertNotEqual(following, self.scheduler)
         await self.place()
         self.assertEqual(self.count_grants(following), 4)
-        self.world.members[OTHER].scheduling.client.report()
-        await self.settle()
+        self.fleet.instances[OTHER].scheduling.client.report()
+        await self.deliver_datagrams()
         self.assertEqual(self.count_grants(following), 5)
 
     async def test_two_schedulers_at_once_each_count_their_own(self) -> None:
@@ -184,17 +184,17 @@
         One has not heard of an instance with more room that has just started; the group has two
         schedulers, each counts what it granted, and both hear of the ends.
         """
-        member = self.world.members[OTHER]
-        member.scheduling.client.directory.note_silence(self.scheduler, now=self.world.now)
-        member.scheduling.client.directory.note_silence(self.scheduler, now=self.world.now)
-        second = self.world.find_scheduler(OTHER)
+        member = self.fleet.instances[OTHER]
+        member.scheduling.client.directory.record_timeout(self.scheduler, now=self.fleet.now)
+        member.scheduling.client.directory.record_timeout(self.scheduler, now=self.fleet.now)
+        second = self.fleet.find_scheduler(OTHER)
         self.assertNotEqual(second, self.scheduler)
         first_placed, second_placed = await self.place(), await self.place(OTHER)
         self.assertEqual([self.count_grants(name) for name in (self.scheduler, second)], [1, 1])
         for placed in (first_placed, second_placed):
             assert placed.work is not None
             placed.work.end()
-        await self.settle()
+        await self.deliver_datagrams()
         self.assertEqual([self.count_grants(name) for name in (self.scheduler, second)], [0, 0])
 
     async def test_an_endpoint_that_the_asker_does_not_list_is_not_used(self) -> None:
@@ -202,15 +202,15 @@
 
         The scheduler has not read the newer table yet and grants a place at an engine that is gone.
         """
-        member = self.world.members[ASKER]
+        member = self.fleet.instances[REQUESTER]
         gone = (await self.place()).choice
         assert gone is not None
-        left = [one for one in self.world.engines if one.endpoint_id != gone.record.endpoint_id]
-        member.list_endpoints(left, reading=2.0)
+        left = [one for one in self.fleet.engines if one.endpoint_id != gone.record.endpoint_id]
+        member.apply_endpoints(left, reading=2.0)
         placed = await self.place()
         assert placed.choice is not None
         self.assertNotEqual(placed.choice.record.endpoint_id, gone.record.endpoint_id)
-        await self.settle()
+        await self.deliver_datagrams()
         self.assertEqual(self.count_grants(self.scheduler), 2, "the refused grant is given back")
 
     async def test_a_caller_that_leaves_while_the_scheduler_is_asked_holds_nothing(self) -> None:
@@ -218,19 +218,19 @@
         await asyncio.sleep(0)
         asking.cancel()
         await asyncio.gather(asking, return_exceptions=True)
-        await self.settle()
+        await self.deliver_datagrams()
         self.assertEqual(self.count_grants(self.scheduler), 0)
 
     async def test_a_frozen_asker_sends_by_no_old_grant(self) -> None:
         """An engine is not overrun by an instance that comes back after its grants were dropped."""
         placed = await self.place()
         assert placed.work is not None
-        self.assertFalse(placed.work.is_void(now=self.world.now + GRANT_VALID_S))
+        self.assertFalse(placed.work.is_void(now=self.fleet.now + GRANT_VALID_S))
         self.assertLess(GRANT_VALID_S, LEASE_S)
-        self.assertTrue(placed.work.is_void(now=self.world.now + LEASE_S))
+        self.assertTrue(placed.work.is_void(now=self.fleet.now + LEASE_S))
 
     async def test_a_third_that_reaches_no_scheduler_still_serves(self) -> None:
-        self.world.silent = {name for name in self.world.members if int(name[1:]) < 20}
+        self.fleet.silent = {name for name in self.fleet.instances if int(name[1:]) < 20}
         placed = await self.place()
         self.assertIsNotNone(placed.choice)
 
@@ -239,7 +239,7 @@
         for one in placed:
             assert one.work is not None
             one.work.end(failure_weight=1.0)
-        await self.settle()
+        await self.deliver_datagrams()
         self.assertEqual(self.count_grants(self.scheduler), 0)
 
     async def test_a_full_group_sends_back(self) -> None:
