--- a/src/guavamast/relay/caller_addresses.py
+++ b/src/guavamast/relay/caller_addresses.py
@@ -1,4 +1,4 @@
-"""Which instances a caller is told to connect to."""
+"""Selection of the instance addresses that a caller is given."""
 
 from __future__ import annotations
 
@@ -9,18 +9,18 @@
     from guavamast.relay.store import InstanceRecord
 
 VALIDITY_S: Final = 1.0
-"""Seconds for which callers keep an answer. A leaving instance waits several times as long before
-it ends, and must be done within the platform's grace."""
+"""Seconds for which callers cache an answer. A leaving instance waits several times as long before
+it exits, and must finish within the platform's termination grace period."""
 MAX_ADDRESSES: Final = 64
-"""Addresses that a caller takes from one answer."""
+"""Addresses that a caller uses from one answer at most."""
 MIN_NEAR_INSTANCES: Final = 2
-"""Instances in the caller's failure domain from which on only these are named: with one alone, its
-end would leave the caller without an address that works."""
+"""Instances in the caller's failure domain from which on only these are returned: if there were one
+and it ended, the caller would have no working address."""
 
 
 @dataclass(frozen=True, slots=True, kw_only=True)
 class CallerPlace:
-    """Where a caller is."""
+    """Location of a caller."""
 
     region: str
     failure_domain: str
@@ -34,9 +34,9 @@
     """Return the addresses for a caller.
 
     Args:
-        place: Where the caller is.
-        serving: Instances that take new work.
-        fallback: Instances to name when none of those is known.
+        place: Location of the caller.
+        serving: Instances that accept new requests.
+        fallback: Instances to return when no serving one is known.
     """
     candidates = serving or fallback
     near = [record for record in candidates if record.failure_domain == place.failure_domain]
--- a/src/guavamast/relay/endpoint_groups.py
+++ b/src/guavamast/relay/endpoint_groups.py
@@ -1,4 +1,4 @@
-"""Which endpoints of a service are scheduled together."""
+"""Partition of a service's endpoints into groups that are scheduled together."""
 
 from __future__ import annotations
 
@@ -10,18 +10,18 @@
     from guavamast.relay.endpoint_table import EndpointRecord, EndpointTable
 
 MAX_MEAN_GROUP_SIZE: Final = 45
-"""Endpoints of a group at most, on average: one scheduler compares all of its group for each
-request, and the larger the group, the better it can choose."""
+"""Endpoints of a group at most, on average: a scheduler compares all endpoints of its group for
+each request, and a larger group gives it a better choice."""
 
 
 class EndpointGroups:
-    """The groups of all services, made anew when the table of endpoints has changed.
+    """Groups of all services, rebuilt when the endpoint table changes.
 
-    Each endpoint has its group by rendezvous, so that another one more or less moves no other but
-    where the number of groups changes. Instances with the same table have the same groups.
+    Rendezvous hashing assigns each endpoint to a group, so that adding or removing one moves others
+    only when the number of groups changes. Instances with the same table have the same groups.
 
     Args:
-        table: The endpoints.
+        table: Endpoints of all services.
     """
 
     __slots__ = ("_groups", "_revision", "_table")
@@ -32,16 +32,16 @@
         self._groups: dict[str, dict[str, list[EndpointRecord]]] = {}
 
     def list_members(self, service: str, group: str) -> list[EndpointRecord]:
-        """Return the endpoints of a group that may get requests."""
+        """Return the endpoints of a group that accept requests."""
         return self._get_groups(service).get(group, [])
 
     def find_group(self, record: EndpointRecord) -> str:
-        """Return the group in which an endpoint is scheduled."""
+        """Return the name of the group in which an endpoint is scheduled."""
         names = list(self._get_groups(record.service)) or [_format_name(record.service, 0)]
         return _select_group(record.endpoint_id, names)
 
     def rank(self, service: str, key: str) -> list[str]:
-        """Return the groups of a service in the order in which a request asks them.
+        """Return the groups of a service in the order in which a request queries them.
 
         Args:
             service: The service.
@@ -64,7 +64,7 @@
 
 
 def count_groups(endpoints: int) -> int:
-    """Return the number of groups for so many endpoints of a service."""
+    """Return the number of groups for a number of endpoints of a service."""
     return max(1, -(-endpoints // MAX_MEAN_GROUP_SIZE))
 
 
--- a/src/guavamast/relay/placing.py
+++ b/src/guavamast/relay/placing.py
@@ -1,4 +1,4 @@
-"""Where one request goes next: asked of a scheduler, or decided by what this instance knows."""
+"""Placement of a request: by a scheduler, or locally by this instance's own state."""
 
 from __future__ import annotations
 
@@ -31,45 +31,45 @@
     from guavamast.relay.scheduling_messages import PlacementReply
 
 MAX_GROUPS: Final = 3
-"""Groups of endpoints that are asked for one request before it is sent back."""
+"""Groups whose schedulers are queried for one request before it is rejected."""
 FAILURE_THRESHOLD: Final = 1.0
-"""Failures remembered by this instance alone from which on it asks for another endpoint: the way
-there may be broken for it and nobody else."""
+"""Failures recorded by this instance from which on it excludes an endpoint: the path there may be
+broken for this instance only."""
 
 
 @dataclass(frozen=True, slots=True, kw_only=True)
 class Placed:
-    """What was decided on a request."""
+    """Decision on a request."""
 
     choice: Choice | None
-    """The endpoint; None if there is none."""
+    """Endpoint; None if there is none."""
     later: ComeBack | None = None
-    """When the caller should come back, if there is no room in time."""
+    """Rejection with the retry delay, if no endpoint has capacity in time."""
     work: PlacedRequest | None = None
-    """What is told to the scheduler; None where there is none."""
+    """Handle that reports progress to the scheduler; None where no scheduler is involved."""
     scheduled: ScheduledReply | None = None
-    """What the scheduler has said that decided, which knows all work there."""
+    """Reply of the scheduler that decided, which knows all work there."""
 
 
 class Placer(ABC):
-    """Decides where requests go."""
+    """Selects endpoints for requests."""
 
     @abstractmethod
     async def place(self, request: CallerRequest, progress: RequestProgress) -> Placed:
-        """Return where a request goes next."""
+        """Return the next endpoint for a request, or its rejection."""
 
 
 class OwnPlacer(Placer):
-    """Decides by what this instance knows.
+    """Places requests by this instance's own state, without a scheduler.
 
     Args:
         knowledge: Endpoints, services and other instances.
-        chooser: Chooses endpoints.
-        demand: Work asked for in each lane.
-        profiles: How fast the engines are.
-        refusals: Requests sent back lately.
-        random: Spreads the times to come back.
-        read_time: The local clock.
+        chooser: Selects endpoints.
+        demand: Work requested in each length bucket.
+        profiles: Speed of the engines.
+        refusals: Recently rejected requests.
+        random: Spreads retry delays.
+        read_time: Local clock.
     """
 
     __slots__ = ("_admission", "_chooser", "_demand", "_knowledge", "_profiles", "_read_time")
@@ -93,13 +93,13 @@
         self._read_time = read_time
 
     async def place(self, request: CallerRequest, progress: RequestProgress) -> Placed:
-        """Return the endpoint with the least cost, or when to come back."""
+        """Return the endpoint with the least cost, or a rejection."""
         return self.decide(request, progress)
 
     def decide(self, request: CallerRequest, progress: RequestProgress) -> Placed:
-        """Return the endpoint with the least cost, or when to come back."""
+        """Return the endpoint with the least cost, or a rejection."""
         now = self._read_time()
-        terms = WaitTerms(
+        wait_terms = WaitTerms(
             objective_s=progress.admitted.route.objective_s,
             patient=progress.patient,
             first=progress.first,
@@ -111,14 +111,14 @@
             exclude=progress.tried,
             now=now,
             has_room=self._admission.find_filter(
-                terms, service=progress.service, urgency=progress.admitted.urgency, now=now
+                wait_terms, service=progress.service, urgency=progress.admitted.urgency, now=now
             ),
         )
         if choice is None or progress.sent > 0 or choice.forecast is None:
             return Placed(choice=choice)
         rejection = self._admission.admit(
             choice.forecast,
-            terms,
+            wait_terms,
             service=progress.service,
             urgency=progress.admitted.urgency,
             now=now,
@@ -146,18 +146,18 @@
 
 
 class ScheduledPlacer(Placer):
-    """Asks the schedulers of the service's endpoints.
+    """Queries the schedulers of the service's endpoints.
 
-    A scheduler that is silent or knows nothing costs one short wait; the request is then decided on
-    by what this instance knows, and the scheduler is told.
+    A scheduler that does not reply or knows no endpoint costs one short timeout at most; the
+    request is then placed by this instance's own state and reported to the scheduler.
 
     Args:
-        own: Decides where no scheduler does.
-        client: Asks schedulers.
-        groups: The endpoints of each group.
+        own: Places requests without a scheduler.
+        client: Queries schedulers.
+        groups: Endpoints of each group.
         knowledge: Endpoints and other instances.
-        loads: Failures that this instance has met.
-        read_time: The local clock.
+        loads: Failures that this instance has recorded.
+        read_time: Local clock.
     """
 
     __slots__ = ("_client", "_groups", "_knowledge", "_loads", "_local_placer", "_read_time")
@@ -180,7 +180,7 @@
         self._read_time = read_time
 
     async def place(self, request: CallerRequest, progress: RequestProgress) -> Placed:
-        """Return where a request goes next."""
+        """Return the next endpoint for a request, or its rejection."""
         if not self._knowledge.peers.relayed:
             return self._local_placer.decide(request, progress)
         rejected: Placed | None = None
@@ -229,7 +229,7 @@
     def _apply_reply(
         self, request: CallerRequest, query: PlacementQuery, scheduled_reply: ScheduledReply
     ) -> Placed | None:
-        """Return what a reply decides; None if it names no endpoint that may be used."""
+        """Return the decision in a reply; None if it names no usable endpoint."""
         reply = scheduled_reply.reply
         record = self._knowledge.endpoints.find(reply.endpoint_id)
         if reply.verdict is Verdict.UNKNOWN or record is None or not record.ready:
@@ -281,13 +281,13 @@
         shared_part=request.shared_part,
         uncached_tokens=choice.unread_tokens,
         kv_tokens=request.prompt_tokens + request.output_tokens,
-        # Among long prompts it will be late anyway; long prompts need not keep off for it.
+        # On an endpoint of another length bucket it is late anyway; long prompts need not avoid it.
         pause_sensitive=pause_sensitive and choice.own_lane,
     )
 
 
 def _select_earlier_retry(one: Placed | None, other: Placed) -> Placed:
-    """Return the refusal with the sooner time to come back."""
+    """Return the rejection with the shorter retry delay."""
     if one is None or one.later is None or other.later is None:
         return other
     return one if one.later.retry_after_s <= other.later.retry_after_s else other
--- a/src/guavamast/relay/scheduled_work.py
+++ b/src/guavamast/relay/scheduled_work.py
@@ -1,4 +1,4 @@
-"""The requests that a scheduler counts at endpoints, as instances tell how they go on."""
+"""Requests that a scheduler counts at endpoints, as reported by the instances."""
 
 from __future__ import annotations
 
@@ -21,45 +21,45 @@
     )
 
 LEASE_S: Final = 3.5
-"""Seconds without a word after which the work of an instance is dropped: several reports."""
+"""Seconds without a message after which the work of an instance is dropped: several reports."""
 UNCONFIRMED_GRANT_S: Final = 1.5
-"""Seconds for which work that a report does not name is kept: the grant and the report may have
-crossed."""
+"""Seconds for which work that is missing from a report is kept: the report may have been sent
+before the grant arrived."""
 MAX_FAILURE_WEIGHT: Final = 1.0
-"""Failures that one report counts for at most: an instance that is cut off finds all endpoints
-failing."""
+"""Failures that one update counts for at most: an instance that is cut off from the network
+sees all endpoints fail."""
 
 
 @dataclass(frozen=True, slots=True, kw_only=True)
 class EndedStream:
-    """What a stream that has ended met at its endpoint."""
+    """Pauses of an ended stream and the prefill load that it ran beside."""
 
     endpoint_id: str
     longest_pause_s: float
-    """Between two of its events."""
+    """Longest time between two of its events."""
     max_prefill_tokens: int
-    """Prompt tokens that its endpoint had to read at once, at most, while it ran."""
+    """Most prompt tokens that its endpoint had to prefill at once while it ran."""
 
 
 @dataclass(slots=True, kw_only=True, eq=False)
 class _Grant:
-    """One request at its endpoint."""
+    """One request counted at its endpoint."""
 
     endpoint_id: str
     work: Work
     granted_at: float
-    """Local time."""
+    """Local time of the grant."""
     running: bool = False
-    """Whether its first event has come."""
+    """Whether its first event has arrived."""
     max_prefill_tokens: int = 0
-    """Prompt tokens that its endpoint had to read at once, at most, while it ran."""
+    """Most prompt tokens that its endpoint had to prefill at once while it ran."""
 
 
 class ScheduledWork:
-    """The requests at the endpoints of one group, by the process that has each.
+    """Requests at the endpoints of one group, by the process that sends them.
 
-    It is soft: work of an instance that falls silent or does not confirm it is dropped, and what
-    runs already is learnt from the reports of all.
+    This state is soft: work of an instance that stops reporting or does not confirm it is dropped,
+    and work that already runs is learnt from the reports of all instances.
     """
 
     __slots__ = ("_grants_by_endpoint", "_grants", "_received_at", "cache", "loads")
@@ -71,25 +71,25 @@
         self._grants_by_endpoint: dict[str, list[_Grant]] = {}
         self._received_at: dict[Asker, float] = {}
 
-    def renew_lease(self, asker: Asker, *, now: float) -> None:
-        """Note that a process lives."""
-        self._received_at[asker] = now
+    def renew_lease(self, requester: Asker, *, now: float) -> None:
+        """Record a message from a process."""
+        self._received_at[requester] = now
 
     def is_idle(self, *, now: float) -> bool:
-        """Return whether nobody has been heard for long."""
+        """Return whether the leases of all processes have expired."""
         return all(now - received_at > LEASE_S for received_at in self._received_at.values())
 
     def count(self) -> int:
-        """Return the requests that are counted at endpoints."""
+        """Return the number of requests counted at endpoints."""
         return sum(len(grants) for grants in self._grants.values())
 
     def grant(self, query: PlacementQuery, choice: Choice, *, now: float) -> None:
-        """Count a request at the endpoint that was chosen for it.
+        """Count a request at the endpoint selected for it.
 
         Args:
             query: The request.
             choice: Its endpoint.
-            now: The present time.
+            now: Current time.
         """
         endpoint_id = choice.record.endpoint_id
         parts = query.prompt_parts
@@ -106,10 +106,10 @@
         self._record_prefill(endpoint_id, grant)
 
     def take_update(self, update: WorkUpdate, *, now: float) -> EndedStream | None:
-        """Note that work has begun to run or has ended.
+        """Record that a request has begun to run or has ended.
 
         Returns:
-            What the stream met that has ended, if one has.
+            Pauses and prefill load of the stream, if one has ended.
         """
         self._received_at[update.asker] = now
         grants = self._grants.get(update.asker, {})
@@ -132,7 +132,7 @@
         )
 
     def apply_report(self, report: WorkReport, *, now: float) -> None:
-        """Replace what is known of an instance's work by what it says itself."""
+        """Replace the known work of an instance by its own report."""
         self._received_at[report.asker] = now
         self._drop_earlier_incarnations(report.asker)
         grants = self._grants.setdefault(report.asker, {})
@@ -144,18 +144,20 @@
             self._apply_work(grants, work, now=now)
 
     def drop_expired(self, *, now: float) -> int:
-        """Drop the work of instances that have said nothing for long; returns how much."""
+        """Drop the work of processes with an expired lease; return the number of requests."""
         expired = [
-            asker for asker, received_at in self._received_at.items() if now - received_at > LEASE_S
+            requester
+            for requester, received_at in self._received_at.items()
+            if now - received_at > LEASE_S
         ]
         dropped = 0
-        for asker in expired:
-            del self._received_at[asker]
-            dropped += self._drop(asker)
+        for requester in expired:
+            del self._received_at[requester]
+            dropped += self._drop(requester)
         return dropped
 
     def _record_prefill(self, endpoint_id: str, grant: _Grant) -> None:
-        """Note beside which streams the prompt of a new request is read."""
+        """Record the prefill of a new request for the streams that run beside it."""
         grants = self._grants_by_endpoint.setdefault(endpoint_id, [])
         prefill_tokens = self.loads.sum_up(endpoint_id).prefill_tokens
         for other in grants:
@@ -192,18 +194,18 @@
         else:
             self.loads.record_success(endpoint_id, now=now)
 
-    def _drop_earlier_incarnations(self, asker: Asker) -> None:
-        """Drop the work of an earlier process of an instance."""
+    def _drop_earlier_incarnations(self, requester: Asker) -> None:
+        """Drop the work of earlier processes of an instance."""
         earlier = [
             one
             for one in self._grants
-            if one.instance == asker.instance and one.incarnation != asker.incarnation
+            if one.instance == requester.instance and one.incarnation != requester.incarnation
         ]
         for one in earlier:
             self._drop(one)
 
-    def _drop(self, asker: Asker) -> int:
-        grants = self._grants.pop(asker, {})
+    def _drop(self, requester: Asker) -> int:
+        grants = self._grants.pop(requester, {})
         dropped = len(grants)
         for number in list(grants):
             self._end(grants, number)
--- a/src/guavamast/relay/scheduler.py
+++ b/src/guavamast/relay/scheduler.py
@@ -1,4 +1,4 @@
-"""Schedules the requests of all instances on one group of endpoints whose work it knows exactly."""
+"""Scheduling of all instances' requests to one group of endpoints, whose load is known exactly."""
 
 from __future__ import annotations
 
@@ -26,40 +26,40 @@
     from guavamast.relay.scheduling_messages import PlacementQuery
 
 LEARNING_S: Final = 1.0
-"""Seconds after its begin in which a scheduler may not have heard of all work yet: each instance
-reports within them."""
+"""Seconds after its start during which a scheduler may not know all work yet; each instance reports
+within this time."""
 
 
 @dataclass(frozen=True, slots=True, kw_only=True)
 class ServiceFacts:
-    """What holds for all endpoints of the service of a group."""
+    """Properties that all endpoints of a group's service share."""
 
     profile: EngineProfile
     memory_tokens: int
-    """Tokens that fit into an engine's memory; 0 for plain services."""
+    """Capacity of an engine's KV cache in tokens; 0 for plain services."""
     shortest_pause_s: float
 
 
 class GroupScheduler:
-    """Decides on the requests to one group of endpoints.
+    """Grants or rejects the requests to one group of endpoints.
 
-    Failure: each instance chooses by loads that are told a second late. All see the same engine
-    idle, send to it, and refuse callers by queues that are gone. The scheduler is asked before each
-    send, counts the request at once, and is told of its begin and end.
+    Failure: when each instance decides on loads that are a second old, all send to the same idle
+    engine and reject callers because of queues that no longer exist. The scheduler is queried
+    before each send, counts the request at once, and receives an update when it begins and ends.
 
-    What it knows is soft: work of an instance that falls silent or does not confirm it is dropped,
-    and a scheduler that has just begun learns what runs from the reports of all.
+    Its state is soft: work of an instance that stops reporting or does not confirm it is dropped,
+    and a new scheduler learns of the running work from the reports of all instances.
 
     Args:
-        random: Spreads choices among equals, and times to come back.
-        now: The present time, from which it learns.
+        random: Breaks ties between equal endpoints and spreads retry delays.
+        now: Current time, at which the learning period starts.
     """
 
     __slots__ = ("_admission", "_started_at", "_chooser", "_demand", "_expected_retries", "work")
 
     def __init__(self, *, random: Random, now: float) -> None:
         self.work = ScheduledWork()
-        """The requests at the endpoints of the group."""
+        """Requests at the endpoints of the group."""
         self._demand = PromptDemand()
         self._chooser = EndpointChooser(loads=self.work.loads, cache=self.work.cache, random=random)
         self._admission = AdmissionControl(history=RefusalHistory(), random=random)
@@ -67,7 +67,7 @@
         self._expected_retries = ExpectedReturns()
 
     def is_learning(self, *, now: float) -> bool:
-        """Return whether it may not know all work yet."""
+        """Return whether the scheduler may not know all work yet."""
         return now - self._started_at < LEARNING_S
 
     def decide(
@@ -78,13 +78,13 @@
         *,
         now: float,
     ) -> PlacementReply:
-        """Return where a request goes; it is counted there from now on.
+        """Select an endpoint for a request, and count the request there if it is granted.
 
         Args:
             query: The request.
-            candidates: Endpoints of the group that may get requests.
-            facts: What holds for all of them.
-            now: The present time.
+            candidates: Endpoints of the group that accept requests.
+            facts: Properties that all of them share.
+            now: Current time.
         """
         self.work.renew_lease(query.asker, now=now)
         learning = self.is_learning(now=now)
@@ -148,7 +148,7 @@
     def _admit(
         self, query: PlacementQuery, choice: Choice, wait_terms: WaitTerms, *, now: float
     ) -> float | None:
-        """Return the seconds after which a request should come back; None if it may be sent."""
+        """Return the seconds after which to retry a rejected request; None if it is admitted."""
         if choice.forecast is None or not query.refusable:
             return None
         rejection = self._admission.admit(
--- a/src/guavamast/relay/scheduler_directory.py
+++ b/src/guavamast/relay/scheduler_directory.py
@@ -1,4 +1,4 @@
-"""Which instance schedules a group of endpoints."""
+"""Selection of the instance that schedules a group of endpoints."""
 
 from __future__ import annotations
 
@@ -14,20 +14,20 @@
 
 SCHEDULER_KEY: Final = "schedulers"
 MAX_CANDIDATES: Final = 16
-"""Instances among which the schedulers of all groups are, those with the most processor share."""
+"""Instances that may schedule groups: those with the largest processor share."""
 REFRESH_S: Final = 0.5
-"""Seconds for which the list of candidates is used before it is made anew."""
+"""Seconds for which the list of candidates is used before it is rebuilt."""
 TIMEOUTS_BEFORE_BACKOFF: Final = 2
-"""Failures to answer in a row after which an instance is passed over."""
+"""Failures to reply in a row after which an instance is skipped."""
 BACKOFF_S: Final = 1.0
-"""Seconds for which it is passed over the first time; doubled with each further."""
+"""Seconds for which an instance is skipped the first time; doubled each further time."""
 MAX_BACKOFF_S: Final = 8.0
-"""Seconds for which it is passed over at most."""
+"""Seconds for which an instance is skipped at most."""
 
 
 @dataclass(slots=True, kw_only=True)
 class _Timeouts:
-    """Queries that an instance has not answered."""
+    """Queries to one instance that timed out."""
 
     in_a_row: int = 0
     backoffs: int = 0
@@ -35,18 +35,18 @@
 
 
 class SchedulerDirectory:
-    """Finds the scheduler of each group by rendezvous among the instances with room.
+    """Selects each group's scheduler by rendezvous hashing among the largest instances.
 
-    Instances that see the same fleet find the same. Where they don't for a while, a group has two
-    schedulers, each of which knows the work of those that ask it.
+    Instances with the same view of the fleet select the same scheduler. While views differ, a group
+    may have two schedulers, each of which knows only the work of the instances that query it.
 
-    Failure: a scheduler has died or stands still, and until its silence is known to all, every
-    request waits for it in vain. Whoever gets no answer twice in a row asks the next candidate, and
-    the silent one again only after a while.
+    Failure: a scheduler has died or stalled, and every request waits for it in vain until all
+    instances know. An instance that gets no reply twice in a row queries the next candidate, and
+    the unresponsive one again only after a backoff.
 
     Args:
         record: This instance.
-        peers: The others.
+        peers: The other instances.
     """
 
     __slots__ = ("_candidates", "_rankings", "_refreshed_at", "_peers", "_record", "_timeouts")
@@ -60,7 +60,7 @@
         self._timeouts: dict[str, _Timeouts] = {}
 
     def select(self, group: str, *, now: float) -> InstanceRecord:
-        """Return the instance to ask about a group; possibly this one."""
+        """Return the scheduler of a group; it may be this instance."""
         self._refresh(now=now)
         ranked = self._rankings.get(group)
         if ranked is None:
@@ -77,11 +77,11 @@
         return ranked[0]
 
     def record_reply(self, name: str) -> None:
-        """Note that an instance has answered."""
+        """Record that an instance replied."""
         self._timeouts.pop(name, None)
 
     def record_timeout(self, name: str, *, now: float) -> bool:
-        """Note that an instance has not answered in time; returns whether it is passed over now."""
+        """Record that a query to an instance timed out; return whether a backoff starts."""
         timeouts = self._timeouts.setdefault(name, _Timeouts())
         timeouts.in_a_row += 1
         if timeouts.in_a_row < TIMEOUTS_BEFORE_BACKOFF or now < timeouts.backoff_until:
--- a/src/guavamast/relay/scheduler_host.py
+++ b/src/guavamast/relay/scheduler_host.py
@@ -1,4 +1,4 @@
-"""The groups of endpoints that this instance schedules."""
+"""Schedulers of the groups of endpoints that this instance schedules."""
 
 from __future__ import annotations
 
@@ -18,17 +18,18 @@
 
 
 class SchedulerHost:
-    """Schedules whatever group this instance is asked about.
+    """Schedules every group that this instance receives queries for.
 
-    Nobody is elected: instances ask the one that they hold for the scheduler of a group. Two that
-    are asked for the same group know a part of its work each, until all ask the same again.
+    There is no election: each instance queries the one that it selects as the scheduler of a group.
+    If two instances are queried for the same group, each knows a part of its work until all
+    instances select the same one again.
 
     Args:
         knowledge: Configuration.
-        groups: The endpoints of each group.
-        profiles: How fast the engines are.
+        groups: Endpoints of each group.
+        profiles: Speed of the engines.
         counters: Metrics.
-        random: Spreads choices and times to come back.
+        random: Breaks ties between endpoints and spreads retry delays.
     """
 
     __slots__ = ("_counters", "_groups", "_knowledge", "_profiles", "_random", "_schedulers")
@@ -50,7 +51,7 @@
         self._schedulers: dict[str, GroupScheduler] = {}
 
     def decide(self, query: PlacementQuery, *, now: float) -> PlacementReply:
-        """Return where a request goes."""
+        """Return the decision on a request."""
         candidates = self._groups.list_members(query.service, query.group)
         if not candidates:
             return PlacementReply(number=query.number, verdict=Verdict.UNKNOWN)
@@ -65,7 +66,7 @@
         return reply
 
     def apply_update(self, update: WorkUpdate, *, now: float) -> None:
-        """Note that work has come further."""
+        """Apply the progress of one request."""
         scheduler = self._schedulers.get(update.group)
         if scheduler is None:
             return
@@ -80,20 +81,20 @@
             )
 
     def apply_report(self, report: WorkReport, *, now: float) -> None:
-        """Take an instance's word on all its work at a group."""
+        """Apply an instance's report of all its work at a group."""
         self._get_or_create(report.group, now=now).work.apply_report(report, now=now)
 
     def count_grants(self, group: str) -> int:
-        """Return the requests that are counted at the endpoints of a group."""
+        """Return the number of requests counted at the endpoints of a group."""
         scheduler = self._schedulers.get(group)
         return scheduler.work.count() if scheduler is not None else 0
 
     def clean_up(self, *, endpoint_ids: set[str], now: float) -> None:
-        """Drop the work of silent instances, and groups that nobody asks about any more.
+        """Drop the work of instances that stopped reporting, and groups without queries.
 
         Args:
-            endpoint_ids: The endpoints that there are.
-            now: The present time.
+            endpoint_ids: Ids of all present endpoints.
+            now: Current time.
         """
         for name, scheduler in list(self._schedulers.items()):
             dropped = scheduler.work.drop_expired(now=now)
--- a/src/guavamast/relay/scheduling.py
+++ b/src/guavamast/relay/scheduling.py
@@ -1,4 +1,4 @@
-"""Puts together what an instance needs to ask schedulers and to be one."""
+"""Both sides of scheduling at an instance: the client of schedulers and the scheduler host."""
 
 from __future__ import annotations
 
@@ -29,17 +29,17 @@
 
 
 class Scheduling:
-    """Both sides of scheduling at one instance.
+    """Scheduling client and scheduler host of one instance.
 
     Args:
         record: This instance.
-        incarnation: Start of this process.
+        incarnation: Start time of this process, which identifies it.
         knowledge: Configuration, endpoints and other instances.
-        profiles: How fast the engines are.
+        profiles: Speed of the engines.
         counters: Metrics.
         send: Sends a datagram to an address.
-        random: Spreads choices and times to come back.
-        read_time: The local clock.
+        random: Breaks ties between endpoints and spreads retry delays.
+        read_time: Local clock.
     """
 
     __slots__ = ("_knowledge", "_read_time", "_send", "client", "groups", "host")
@@ -60,7 +60,7 @@
         self._send = send
         self._read_time = read_time
         self.groups = EndpointGroups(table=knowledge.endpoints)
-        """The endpoints that are scheduled together."""
+        """Groups of endpoints that are scheduled together."""
         self.host = SchedulerHost(
             knowledge=knowledge,
             groups=self.groups,
@@ -68,7 +68,7 @@
             counters=counters,
             random=random,
         )
-        """Schedules groups."""
+        """Schedules groups for all instances."""
         self.client = SchedulingClient(
             asker=Asker(instance=record.name, incarnation=incarnation),
             record=record,
@@ -78,14 +78,14 @@
             counters=counters,
             read_time=read_time,
         )
-        """Asks schedulers."""
+        """Queries the schedulers of groups."""
 
     def take(self, message: SchedulingMessage, source: tuple[str, int]) -> None:
-        """Take a message from another instance.
+        """Receive a message from another instance.
 
         Args:
             message: The message.
-            source: Address that it came from, to which a reply goes.
+            source: Address of the sender, to which a reply goes.
         """
         now = self._read_time()
         if isinstance(message, PlacementQuery):
@@ -98,11 +98,11 @@
             self.host.apply_report(message, now=now)
 
     def keep_house(self, *, endpoint_ids: set[str], now: float) -> None:
-        """Drop what nobody confirms any more.
+        """Drop work that is no longer confirmed.
 
         Args:
-            endpoint_ids: The endpoints that there are.
-            now: The present time.
+            endpoint_ids: Ids of all present endpoints.
+            now: Current time.
         """
         self.host.clean_up(endpoint_ids=endpoint_ids, now=now)
 
--- a/src/guavamast/relay/scheduling_client.py
+++ b/src/guavamast/relay/scheduling_client.py
@@ -1,4 +1,4 @@
-"""Asks the schedulers of endpoints where requests go, and tells them how their work goes on."""
+"""Client of the schedulers: queries them for endpoints and reports the progress of requests."""
 
 from __future__ import annotations
 
@@ -26,30 +26,30 @@
     from guavamast.relay.store import InstanceRecord
 
 REPORT_INTERVAL_S: Final = 1.0
-"""Seconds between two reports of an instance's work to the schedulers of it."""
+"""Seconds between two reports of an instance's work to its schedulers."""
 ENDED_WORK_RETENTION_S: Final = 10.0
-"""Seconds for which ended work is told to a new scheduler: its prompt's parts may still be in its
-engine's memory."""
+"""Seconds for which ended work is reported to a new scheduler: the parts of its prompt may still be
+in the engine's KV cache."""
 GRANT_VALID_S: Final = 1.0
-"""Seconds after which a grant is void: its scheduler may have dropped it since, when this process
-stood still."""
+"""Seconds after which a grant expires: if this process stalled, the scheduler may have dropped the
+grant since."""
 INITIAL_ROUND_TRIP_S: Final = 0.01
-"""Seconds between a query and its reply before any has been seen."""
+"""Seconds assumed between a query and its reply until the first reply arrives."""
 ROUND_TRIP_WEIGHT: Final = 0.1
-"""Share that the latest round trip has in the mean."""
+"""Share of the latest round trip in the moving average."""
 TIMEOUT_GROWTH: Final = 1.2
-"""Factor on the mean round trip after a reply that did not come: it may have been too slow."""
+"""Factor on the mean round trip after a timeout: the reply may have been slow rather than lost."""
 TIMEOUT_ROUND_TRIPS: Final = 4.0
-"""Factor on the mean round trip for which a reply is waited for."""
+"""Factor on the mean round trip that gives the timeout of a query."""
 MIN_TIMEOUT_S: Final = 0.02
-"""Seconds for which a reply is waited for at the least: a turn of a busy process."""
+"""Seconds of the shortest timeout: one iteration of a busy event loop."""
 MAX_TIMEOUT_S: Final = 0.06
-"""Seconds for which it is waited for at the most, below any objective."""
+"""Seconds of the longest timeout, which is below any objective."""
 
 
 @dataclass(slots=True, kw_only=True)
 class _TrackedWork:
-    """Work that this instance has placed, for reports."""
+    """Work that this instance has placed, kept for reports."""
 
     group: str
     work: PlacedWork
@@ -58,11 +58,11 @@
 
 @dataclass(frozen=True, slots=True, kw_only=True)
 class ScheduledReply:
-    """A scheduler's reply, and what it cost."""
+    """A scheduler's reply, and the time it took."""
 
     reply: PlacementReply
     scheduler: str
-    """Name of the instance."""
+    """Name of the instance that replied."""
     took_s: float
 
 
@@ -70,9 +70,9 @@
     """One request as its scheduler counts it, from the grant to its end.
 
     Args:
-        client: Tells the scheduler.
-        number: Of the query.
-        granted: Local time.
+        client: Reports to the scheduler.
+        number: Number of the query.
+        granted_at: Local time of the grant.
     """
 
     __slots__ = ("_begun", "_client", "_ended", "_granted_at", "_number")
@@ -85,21 +85,21 @@
         self._ended = False
 
     def is_void(self, *, now: float) -> bool:
-        """Return whether the grant is too old for a send."""
+        """Return whether the grant is too old to send the request."""
         return now - self._granted_at > GRANT_VALID_S
 
     def begin(self) -> None:
-        """Tell that the first event has come; a second call changes nothing."""
+        """Report that the first event has arrived; repeated calls have no effect."""
         if not self._begun:
             self._begun = True
             self._client.report_phase(self._number, WorkPhase.RUNNING)
 
     def end(self, *, failure_weight: float = 0.0, longest_pause_s: float = 0.0) -> None:
-        """Tell that the request is over; a second call changes nothing.
+        """Report that the request has ended; repeated calls have no effect.
 
         Args:
-            failure_weight: How much its end says against the endpoint.
-            longest_pause_s: Between two events of its stream.
+            failure_weight: How strongly its end counts as a failure of the endpoint.
+            longest_pause_s: Longest time between two events of its stream.
         """
         if self._ended:
             return
@@ -113,20 +113,20 @@
 
 
 class SchedulingClient:
-    """Asks schedulers and keeps them informed.
+    """Queries schedulers and reports this instance's work to them.
 
     Args:
-        asker: This process.
+        asker: Identity of this process.
         record: This instance.
-        directory: Finds schedulers.
-        host: The groups that this instance schedules itself.
+        directory: Selects schedulers.
+        host: Groups that this instance schedules itself.
         send: Sends a message to an instance.
         counters: Metrics.
-        read_time: The local clock.
+        read_time: Local clock.
     """
 
     __slots__ = (
-        "_asker",
+        "_requester",
         "_counters",
         "directory",
         "_host",
@@ -151,10 +151,10 @@
         counters: Counters,
         read_time: Callable[[], float],
     ) -> None:
-        self._asker = asker
+        self._requester = asker
         self._record = record
         self.directory = directory
-        """Finds schedulers."""
+        """Selects schedulers."""
         self._host = host
         self._send = send
         self._counters = counters
@@ -164,23 +164,23 @@
         self._pending: dict[int, asyncio.Future[PlacementReply]] = {}
         self._tracked: dict[int, _TrackedWork] = {}
         self._reported_to: dict[str, str] = {}
-        """Name of the scheduler that knows this instance's work, by group."""
+        """Name of the scheduler that this instance's work was reported to, by group."""
 
     @property
     def asker(self) -> Asker:
-        """How this process names itself to schedulers."""
-        return self._asker
+        """Identity of this process in messages to schedulers."""
+        return self._requester
 
     def next_number(self) -> int:
-        """Return the number of the next request to be placed."""
+        """Return the number for the next request to place."""
         self._last_number += 1
         return self._last_number
 
     async def ask(self, query: PlacementQuery) -> ScheduledReply | None:
-        """Return the scheduler's reply; None if it does not come in time.
+        """Return the scheduler's reply; None if it times out.
 
-        A request that is given up meanwhile is told to the scheduler as ended, so that a grant that
-        is on its way holds nothing.
+        After a timeout or a cancellation the request is reported as ended, so that a grant still in
+        transit does not keep its capacity reserved.
         """
         now = self._read_time()
         scheduler = self.directory.select(query.group, now=now)
@@ -210,7 +210,7 @@
         return ScheduledReply(reply=reply, scheduler=scheduler.name, took_s=took_s)
 
     def receive_reply(self, reply: PlacementReply) -> None:
-        """Hand a reply to whoever waits for it; a late one finds nobody."""
+        """Pass a reply to the query that awaits it; a late reply is only counted."""
         waiter = self._pending.get(reply.number)
         if waiter is not None and not waiter.done():
             waiter.set_result(reply)
@@ -218,16 +218,16 @@
             self._counters.add("late_replies_total")
 
     def withdraw(self, query: PlacementQuery) -> None:
-        """Give a grant back unused."""
+        """Release an unused grant."""
         self._withdraw(query, self.directory.select(query.group, now=self._read_time()))
 
     def track(self, group: str, work: PlacedWork, *, granted: bool) -> PlacedRequest:
-        """Count a request that goes to an endpoint, and return what its end is told to.
+        """Track a request that is sent to an endpoint, and return the handle for its progress.
 
         Args:
-            group: The endpoint's group.
-            work: The request's work.
-            asked: Whether the scheduler has granted it; if not, it is told at once.
+            group: Group of the endpoint.
+            work: Work of the request.
+            granted: Whether the scheduler granted it; if not, it is reported at once.
         """
         now = self._read_time()
         self._tracked[work.number] = _TrackedWork(group=group, work=work)
@@ -243,13 +243,13 @@
         failure_weight: float = 0.0,
         longest_pause_s: float = 0.0,
     ) -> None:
-        """Tell the scheduler that work has come further.
+        """Report the progress of a request to the scheduler.
 
         Args:
-            number: Of the request.
-            phase: How far it has come.
-            failure_weight: How much its end says against its endpoint.
-            longest_pause_s: Between two events of its stream.
+            number: Number of the request.
+            phase: Phase that it has reached.
+            failure_weight: How strongly its end counts as a failure of the endpoint.
+            longest_pause_s: Longest time between two events of its stream.
         """
         tracked = self._tracked.get(number)
         if tracked is None or tracked.work.phase is phase:
@@ -267,7 +267,7 @@
         if phase is WorkPhase.ENDED:
             tracked.ended_at = self._read_time()
         update = WorkUpdate(
-            asker=self._asker,
+            asker=self._requester,
             group=tracked.group,
             number=number,
             phase=phase,
@@ -283,7 +283,7 @@
             self.report()
 
     def report(self) -> None:
-        """Tell each scheduler all work that this instance has at its group."""
+        """Report to each scheduler all work that this instance has at its group."""
         now = self._read_time()
         self._expire_ended(now=now)
         groups = {one.group for one in self._tracked.values() if one.ended_at is None}
@@ -293,7 +293,7 @@
                 self._send_to_scheduler(group, self._build_report(group))
 
     def _report_to_new_scheduler(self, group: str, scheduler: InstanceRecord) -> bool:
-        """Tell a scheduler that has not scheduled the group so far what it has to know."""
+        """Report all work to a scheduler that is new for a group; return whether it is new."""
         if self._reported_to.get(group) == scheduler.name:
             return False
         self._reported_to[group] = scheduler.name
@@ -309,7 +309,7 @@
             for one in self._tracked.values()
             if one.group == group and (with_ended or one.ended_at is None)
         )
-        return WorkReport(asker=self._asker, group=group, works=works)
+        return WorkReport(asker=self._requester, group=group, works=works)
 
     def _expire_ended(self, *, now: float) -> None:
         self._tracked = {
@@ -331,7 +331,7 @@
 
     def _withdraw(self, query: PlacementQuery, scheduler: InstanceRecord) -> None:
         update = WorkUpdate(
-            asker=self._asker, group=query.group, number=query.number, phase=WorkPhase.ENDED
+            asker=self._requester, group=query.group, number=query.number, phase=WorkPhase.ENDED
         )
         self._deliver(update, scheduler)
 
--- a/src/guavamast/relay/scheduling_messages.py
+++ b/src/guavamast/relay/scheduling_messages.py
@@ -1,8 +1,8 @@
-"""What instances and the schedulers of endpoints tell each other.
+"""Messages between instances and the schedulers of endpoints.
 
-An instance that has a request asks the scheduler of a group of endpoints, which knows all work
-there, and tells it when the request begins and ends. No promise to callers rests on these messages:
-what is lost makes a scheduler's loads less exact until the next report.
+An instance queries the scheduler of a group of endpoints, which knows all work there, before it
+sends a request, and reports when the request begins and ends. No guarantee to callers depends on
+these messages: a lost one only makes a scheduler's loads less exact until the next report.
 """
 
 from __future__ import annotations
@@ -17,7 +17,7 @@
 
 @dataclass(frozen=True, slots=True, kw_only=True)
 class Asker:
-    """One process of an instance that asks schedulers."""
+    """One process of an instance that queries schedulers."""
 
     instance: str
     incarnation: int
@@ -25,11 +25,11 @@
 
 @dataclass(frozen=True, slots=True, kw_only=True)
 class PlacementQuery:
-    """A request for which an endpoint is wanted."""
+    """A request that needs an endpoint."""
 
     asker: Asker
     number: int
-    """Counts up within the asker's process; names the request's work from now on."""
+    """Increases within the requester's process; identifies the request in later messages."""
     group: str
     service: str
     prompt_parts: tuple[PromptPart, ...]
@@ -41,31 +41,31 @@
     patient: bool
     first: bool
     urgency: int
-    """0 goes first."""
+    """0 is the most urgent."""
     failure_domain: str
-    """Of the asker."""
+    """Failure domain of the requester."""
     excluded: tuple[str, ...]
-    """Ids of endpoints that are not to be chosen."""
+    """Ids of endpoints that must not be selected."""
     refusable: bool
-    """Whether it may be sent back; not once it was sent to another endpoint."""
+    """Whether it may be rejected; false once it was sent to another endpoint."""
 
 
 class Verdict(StrEnum):
-    """What a scheduler has decided."""
+    """Decision of a scheduler on a request."""
 
     GRANTED = "granted"
     REFUSED = "refused"
-    """No endpoint has room in time."""
+    """No endpoint has capacity in time."""
     UNKNOWN = "unknown"
-    """The scheduler knows no endpoint of the group that may be chosen."""
+    """The scheduler knows no endpoint of the group that may be selected."""
 
 
 @dataclass(frozen=True, slots=True, kw_only=True)
 class PlacementReply:
-    """Where a request goes, or when its caller should come back."""
+    """Endpoint for a request, or the delay after which its caller should retry."""
 
     number: int
-    """Of the query."""
+    """Number of the query."""
     verdict: Verdict
     endpoint_id: str = ""
     uncached_tokens: int = 0
@@ -73,18 +73,18 @@
     start_ms: float = 0.0
     waiting_ms: float = 0.0
     prefill_ms: float = 0.0
-    """With the two above, what the request would meet; all 0 for plain services."""
+    """With the two above, the forecast for the request; all 0 for plain services."""
     endpoint_requests: int = 0
-    """At the endpoint before this one."""
+    """Requests at the endpoint before this one."""
     endpoint_prefill_tokens: int = 0
-    """Prompt tokens that waited to be read there before this one."""
+    """Prompt tokens that awaited prefill there before this one."""
     retry_after_s: float = 0.0
     learning: bool = False
-    """Whether the scheduler has begun so lately that it may not know all work yet."""
+    """Whether the scheduler started so recently that it may not know all work yet."""
 
 
 class WorkPhase(StrEnum):
-    """How far the work of a request at its endpoint has come."""
+    """Progress of a request at its endpoint."""
 
     WAITING = "waiting"
     """Before its first event."""
@@ -94,29 +94,29 @@
 
 @dataclass(frozen=True, slots=True, kw_only=True)
 class WorkUpdate:
-    """That the work of one request has come further."""
+    """Progress of one request."""
 
     asker: Asker
     group: str
     number: int
     phase: WorkPhase
     failure_weight: float = 0.0
-    """How much its end says against its endpoint."""
+    """How strongly its end counts as a failure of the endpoint."""
     longest_pause_s: float = 0.0
-    """Between two events of its stream."""
+    """Longest time between two events of its stream."""
 
 
 @dataclass(frozen=True, slots=True, kw_only=True)
 class PlacedWork:
-    """The work of one request, as its sender counts it."""
+    """Work of one request, as its sender counts it."""
 
     number: int
     endpoint_id: str
     phase: WorkPhase
     shared_part: str | None
-    """Id of the longest part that other requests share."""
+    """Id of the longest prompt part that other requests share."""
     uncached_tokens: int
-    """Prompt tokens that its endpoint had to read when it was sent."""
+    """Prompt tokens that its endpoint had to prefill when it was sent."""
     kv_tokens: int
     pause_sensitive: bool
 
@@ -125,8 +125,8 @@
 class WorkReport:
     """All work that an instance has at the endpoints of a group.
 
-    It replaces what was told before, so that nothing is lost with a datagram, and tells a scheduler
-    that has just begun what it has to know.
+    It replaces earlier reports, which makes up for lost datagrams, and gives a new scheduler the
+    work that is already running.
     """
 
     asker: Asker
--- a/src/guavamast/relay/scheduling_wire.py
+++ b/src/guavamast/relay/scheduling_wire.py
@@ -1,4 +1,4 @@
-"""Conversion between the messages of scheduling and their datagrams."""
+"""Encoding and decoding of scheduling messages as datagrams."""
 
 from __future__ import annotations
 
@@ -18,9 +18,9 @@
 )
 
 SCHEDULING_MARK: Final = b"s"
-"""Begins the datagrams of scheduling."""
+"""Prefix of scheduling datagrams."""
 WIRE_VERSION: Final = 2
-"""Rank of the form of these datagrams; another is not understood."""
+"""Rank of the datagram format; datagrams of any other version are rejected."""
 
 SchedulingMessage: TypeAlias = PlacementQuery | PlacementReply | WorkUpdate | WorkReport
 
@@ -31,26 +31,26 @@
 
 
 class MalformedScheduling(Exception):
-    """A datagram that is no message of scheduling."""
+    """A datagram that is not a valid scheduling message."""
 
 
 def encode_scheduling(message: SchedulingMessage) -> bytes:
-    """Return the datagram of a message."""
+    """Encode a message as a datagram."""
     encode = _ENCODERS[type(message)]
     fields = [WIRE_VERSION, *encode(message)]
     return SCHEDULING_MARK + json.dumps(fields, separators=(",", ":")).encode()
 
 
 def decode_scheduling(data: bytes) -> SchedulingMessage:
-    """Return the message of a datagram.
+    """Decode a datagram.
 
     Raises:
-        MalformedScheduling: It is none.
+        MalformedScheduling: It is not a valid scheduling message.
     """
     try:
         version, kind, *fields = json.loads(data[len(SCHEDULING_MARK) :])
         if version != WIRE_VERSION:
-            raise MalformedScheduling(f"version {version}")
+            raise MalformedScheduling(f"unsupported wire version {version}")
         return _DECODERS[kind](*fields)
     except (ValueError, TypeError, KeyError, IndexError, AttributeError) as error:
         raise MalformedScheduling(f"{type(error).__name__}: {error}") from error
@@ -137,13 +137,13 @@
     number: int,
     verdict: int,
     endpoint_id: str,
-    unread_tokens: int,
-    own_lane: int,
+    uncached_tokens: int,
+    own_bucket: int,
     start_ms: float,
     waiting_ms: float,
-    reading_ms: float,
-    requests_there: int,
-    prefill_tokens_there: int,
+    prefill_ms: float,
+    endpoint_requests: int,
+    endpoint_prefill_tokens: int,
     retry_after_s: float,
     learning: int,
 ) -> PlacementReply:
@@ -151,13 +151,13 @@
         number=int(number),
         verdict=_VERDICT_LIST[verdict],
         endpoint_id=str(endpoint_id),
-        uncached_tokens=int(unread_tokens),
-        own_bucket=bool(own_lane),
+        uncached_tokens=int(uncached_tokens),
+        own_bucket=bool(own_bucket),
         start_ms=float(start_ms),
         waiting_ms=float(waiting_ms),
-        prefill_ms=float(reading_ms),
-        endpoint_requests=int(requests_there),
-        endpoint_prefill_tokens=int(prefill_tokens_there),
+        prefill_ms=float(prefill_ms),
+        endpoint_requests=int(endpoint_requests),
+        endpoint_prefill_tokens=int(endpoint_prefill_tokens),
         retry_after_s=float(retry_after_s),
         learning=bool(learning),
     )
@@ -226,18 +226,18 @@
     endpoint_id: str,
     phase: int,
     shared_part: str | None,
-    unread_tokens: int,
-    memory_tokens: int,
-    delicate: int,
+    uncached_tokens: int,
+    kv_tokens: int,
+    pause_sensitive: int,
 ) -> PlacedWork:
     return PlacedWork(
         number=int(number),
         endpoint_id=str(endpoint_id),
         phase=_PHASE_LIST[phase],
         shared_part=None if shared_part is None else str(shared_part),
-        uncached_tokens=int(unread_tokens),
-        kv_tokens=int(memory_tokens),
-        pause_sensitive=bool(delicate),
+        uncached_tokens=int(uncached_tokens),
+        kv_tokens=int(kv_tokens),
+        pause_sensitive=bool(pause_sensitive),
     )
 
 
--- a/src/guavamast/relay/work_knowledge.py
+++ b/src/guavamast/relay/work_knowledge.py
@@ -1,4 +1,4 @@
-"""What an instance knows of the work at endpoints: its own and what others tell."""
+"""An instance's state about work at endpoints: its own and that published by other instances."""
 
 from __future__ import annotations
 
@@ -15,11 +15,11 @@
     from guavamast.relay.engine_profile import ProfileEstimates
 
 DOMAIN_PREFIX: Final = "domain "
-"""Begins the name of a source that is a failure domain."""
+"""Prefix of the name of a source that is a failure domain."""
 
 
 class WorkKnowledge:
-    """Loads, prompts in memory, demand, speeds and refusals, kept from the same beats."""
+    """Loads, cached prompts, demand, engine speeds and rejections, from the same heartbeats."""
 
     __slots__ = ("cache", "demand", "loads", "profiles", "refusals")
 
@@ -31,7 +31,7 @@
         self.refusals = RefusalHistory()
 
     def take_beat(self, beat: Beat, *, now: float) -> None:
-        """Replace what an instance has told before."""
+        """Replace the previous state of an instance by that in its heartbeat."""
         name = beat.record.name
         self.loads.take_peer(name, beat.loads)
         self.demand.take_peer(name, beat.demand)
@@ -40,19 +40,19 @@
         self.cache.take_peer(name, beat.incarnation, beat.sends)
 
     def take_bundle(self, bundle: BeatBundle) -> None:
-        """Replace what the instances of failure domains have told together."""
+        """Replace the previous engine profiles of failure domains."""
         for domain, profiles in bundle.profiles.items():
             self.profiles.take_peer(_format_domain_source(domain), profiles)
 
     def sum_up_profiles(
         self, domain: str, instances: list[str], *, now: float
     ) -> dict[str, dict[str, ProfileEstimates]]:
-        """Return what is known of the engines by failure domain.
+        """Return the engine profiles by failure domain.
 
         Args:
-            domain: The own one, which is summed up from its instances' words.
-            instances: The others of the own one.
-            now: The present time.
+            domain: Failure domain of this instance, combined from what its instances published.
+            instances: Other instances of this failure domain.
+            now: Current time.
         """
         domains = {
             source.removeprefix(DOMAIN_PREFIX): profiles
@@ -63,12 +63,12 @@
         return domains
 
     def take_notice(self, notice: LoadNotice) -> None:
-        """Replace what an instance has told of some endpoints."""
+        """Apply an instance's load update for some endpoints."""
         self.loads.update_peer(notice.instance, notice.loads)
         self.cache.take_peer(notice.instance, notice.incarnation, notice.sends)
 
     def keep_only(self, *, endpoint_ids: set[str], instances: set[str]) -> None:
-        """Forget the endpoints and instances that are gone."""
+        """Drop the endpoints and instances that no longer exist."""
         self.loads.keep_only(endpoint_ids)
         self.cache.keep_only(endpoint_ids)
         self.loads.keep_peers(instances)
@@ -79,5 +79,5 @@
 
 
 def _format_domain_source(domain: str) -> str:
-    """Return the source of what a failure domain has told, unlike any instance's name."""
+    """Return the source name of a failure domain, which differs from any instance's name."""
     return DOMAIN_PREFIX + domain
--- a/tests/scheduling_world.py
+++ b/tests/scheduling_world.py
@@ -27,9 +27,9 @@
 
 POOL = "pool"
 GROUP = "pool/0"
-MEMORY_TOKENS = 100_000
+KV_TOKENS = 100_000
 INSTANCES = FULL_MESH_INSTANCES + 8
-PARTS = (PromptPart(part_id="shared", tokens=400), PromptPart(part_id="own", tokens=600))
+PROMPT_PARTS = (PromptPart(part_id="shared", tokens=400), PromptPart(part_id="own", tokens=600))
 
 
 def make_pool_catalog() -> Catalog:
@@ -44,7 +44,7 @@
         longest_pause_s=0.6,
     )
     rule = ServiceRule(
-        name=POOL, health_path="/", max_connections=100, prompt_cache_tokens=MEMORY_TOKENS
+        name=POOL, health_path="/", max_connections=100, prompt_cache_tokens=KV_TOKENS
     )
     return Catalog(
         version=1,
@@ -63,7 +63,7 @@
         "number": number,
         "group": GROUP,
         "service": POOL,
-        "prompt_parts": PARTS,
+        "prompt_parts": PROMPT_PARTS,
         "prompt_tokens": 1_000,
         "output_tokens": 200,
         "lane": 0,
@@ -82,7 +82,7 @@
 class SimulatedInstance:
     """One instance of the fleet."""
 
-    def __init__(self, number: int, world: SimulatedFleet) -> None:
+    def __init__(self, number: int, fleet: SimulatedFleet) -> None:
         self.record = InstanceRecord(
             name=f"i{number}",
             ip=f"10.0.0.{number}",
@@ -103,9 +103,9 @@
             knowledge=self.knowledge,
             profiles=self.profiles,
             counters=self.counters,
-            send=lambda data, address: world.send(self.record, data, address),
+            send=lambda data, address: fleet.send(self.record, data, address),
             random=Random(number),
-            read_time=lambda: world.now,
+            read_time=lambda: fleet.now,
         )
 
     def apply_endpoints(self, records: list[EndpointRecord], *, reading: float) -> None:
@@ -132,16 +132,16 @@
         self.engines = [
             make_endpoint(f"e{number}", service=POOL, slots=8) for number in range(engines)
         ]
-        for member in self.instances.values():
-            member.apply_endpoints(self.engines, reading=1.0)
+        for instance in self.instances.values():
+            instance.apply_endpoints(self.engines, reading=1.0)
         self.exchange_heartbeats()
 
     def exchange_heartbeats(self) -> None:
         """Have all instances that are not silent hear each other."""
-        for member in self.instances.values():
+        for instance in self.instances.values():
             for other in self.instances.values():
                 if other.record.name not in self.silent:
-                    member.peers.take(self._build_heartbeat(other), now=self.now)
+                    instance.peers.take(self._build_heartbeat(other), now=self.now)
 
     def send(self, sender: InstanceRecord, data: bytes, address: tuple[str, int]) -> None:
         """Deliver a datagram in the next turn."""
@@ -167,14 +167,14 @@
         for message, source in self._held_messages.pop(name):
             self.instances[name].scheduling.take(message, source)
 
-    def find_scheduler(self, asker: str, group: str = GROUP) -> str:
+    def find_scheduler(self, requester: str, group: str = GROUP) -> str:
         """Return the name of the instance that an instance asks about a group."""
-        directory = self.instances[asker].scheduling.client.directory
+        directory = self.instances[requester].scheduling.client.directory
         return directory.select(group, now=self.now).name
 
-    def _build_heartbeat(self, member: SimulatedInstance) -> Beat:
+    def _build_heartbeat(self, instance: SimulatedInstance) -> Beat:
         return Beat(
-            record=member.record,
+            record=instance.record,
             incarnation=1,
             sequence=int(self.now * 1000),
             state=InstanceState.SERVING,
--- a/tests/test_relay_scheduler.py
+++ b/tests/test_relay_scheduler.py
@@ -20,9 +20,9 @@
     WorkUpdate,
 )
 from tests.relay_facts import PROFILE, make_endpoint
-from tests.scheduling_world import GROUP, MEMORY_TOKENS, POOL, make_query
+from tests.scheduling_world import GROUP, KV_TOKENS, POOL, make_query
 
-FACTS = ServiceFacts(profile=PROFILE, memory_tokens=MEMORY_TOKENS, shortest_pause_s=0.6)
+FACTS = ServiceFacts(profile=PROFILE, memory_tokens=KV_TOKENS, shortest_pause_s=0.6)
 BEGAN = 50.0
 NOW = 100.0
 
@@ -52,7 +52,7 @@
         asker = Asker(instance="i1", incarnation=incarnation)
         self.scheduler.work.apply_report(WorkReport(asker=asker, group=GROUP, works=works), now=now)
 
-    def sum_up(self) -> Load:
+    def sum_loads(self) -> Load:
         total = Load()
         for engine in self.engines:
             total.add(self.scheduler.work.loads.sum_up(engine.endpoint_id))
@@ -71,12 +71,12 @@
 
     def test_work_counts_until_its_end(self) -> None:
         self.ask(1)
-        self.assertEqual(self.sum_up().prefill_tokens, 1_000)
+        self.assertEqual(self.sum_loads().prefill_tokens, 1_000)
         self.update(1, WorkPhase.RUNNING)
-        self.assertEqual(self.sum_up(), Load(requests=1, memory_tokens=1_200))
+        self.assertEqual(self.sum_loads(), Load(requests=1, memory_tokens=1_200))
         self.update(1, WorkPhase.ENDED)
         self.update(1, WorkPhase.ENDED)
-        self.assertEqual(self.sum_up(), Load())
+        self.assertEqual(self.sum_loads(), Load())
 
     def test_a_refused_request_is_not_counted(self) -> None:
         number = 0
@@ -86,7 +86,7 @@
             reply = self.ask(number, prompt_tokens=20_000, prompt_parts=())
         self.assertIs(reply.verdict, Verdict.REFUSED)
         self.assertGreater(reply.retry_after_s, 0.0)
-        self.assertEqual(self.sum_up().requests, number)
+        self.assertEqual(self.sum_loads().requests, number)
 
     def test_an_asker_that_dies_holds_nothing_for_long(self) -> None:
         """Callers are not refused for requests that nobody will send.
@@ -97,19 +97,19 @@
         self.ask(1, asker="i1")
         self.ask(1, asker="i2", now=NOW + LEASE_S)
         self.assertEqual(self.scheduler.work.drop_expired(now=NOW + LEASE_S + 0.1), 1)
-        self.assertEqual(self.sum_up().requests, 1)
+        self.assertEqual(self.sum_loads().requests, 1)
 
     def test_the_next_process_of_an_asker_replaces_its_work(self) -> None:
         self.ask(1)
         self.report(incarnation=2)
-        self.assertEqual(self.sum_up(), Load())
+        self.assertEqual(self.sum_loads(), Load())
 
     def test_a_lost_end_is_made_up_by_the_next_report(self) -> None:
         self.ask(1)
         self.report(now=NOW + 0.5)
-        self.assertEqual(self.sum_up().requests, 1, "the report may have crossed the grant")
+        self.assertEqual(self.sum_loads().requests, 1, "the report may have crossed the grant")
         self.report(now=NOW + UNCONFIRMED_GRANT_S + 0.1)
-        self.assertEqual(self.sum_up(), Load())
+        self.assertEqual(self.sum_loads(), Load())
 
     def test_a_new_scheduler_learns_from_reports(self) -> None:
         """A scheduler takes over while engines are full, and sends nothing more there.
@@ -134,10 +134,10 @@
         )
         self.assertTrue(self.ask(8, asker="i2").learning)
         self.assertFalse(self.ask(9, asker="i2", now=NOW + LEARNING_S).learning)
-        self.assertEqual(self.sum_up().requests, 3)
+        self.assertEqual(self.sum_loads().requests, 3)
         self.update(7, WorkPhase.RUNNING)
         self.update(7, WorkPhase.ENDED)
-        self.assertEqual(self.sum_up().requests, 2)
+        self.assertEqual(self.sum_loads().requests, 2)
 
     def test_parts_that_a_reported_prompt_has_left_are_known(self) -> None:
         """A prompt goes where its parts are although its scheduler has changed."""
@@ -151,7 +151,7 @@
             pause_sensitive=False,
         )
         self.report(work)
-        self.assertEqual(self.sum_up(), Load())
+        self.assertEqual(self.sum_loads(), Load())
         self.assertEqual(self.ask(8, asker="i2").endpoint_id, "e2")
 
     def test_failures_that_one_instance_has_met_keep_others_away(self) -> None:
@@ -187,12 +187,17 @@
         """
         scheduler = GroupScheduler(random=Random(1), now=BEGAN)
         engine = make_endpoint("e", service=POOL, slots=64)
-        asked = {"prompt_parts": (), "prompt_tokens": 3_000, "patient": True, "objective_s": 60.0}
+        long_prompt = {
+            "prompt_parts": (),
+            "prompt_tokens": 3_000,
+            "patient": True,
+            "objective_s": 60.0,
+        }
         number = 0
         verdict = Verdict.GRANTED
         while verdict is Verdict.GRANTED:
             number += 1
-            query = make_query(number, first=False, **asked)
+            query = make_query(number, first=False, **long_prompt)
             verdict = scheduler.decide(query, [engine], FACTS, now=NOW).verdict
             scheduler.work.take_update(
                 WorkUpdate(asker=query.asker, group=GROUP, number=number, phase=WorkPhase.RUNNING),
@@ -201,7 +206,7 @@
         self.assertIs(verdict, Verdict.REFUSED)
         urgent = scheduler.decide(make_query(999, asker="i2"), [engine], FACTS, now=NOW)
         self.assertIs(urgent.verdict, Verdict.GRANTED)
-        self.assertLessEqual(scheduler.work.loads.sum_up("e").memory_tokens, MEMORY_TOKENS)
+        self.assertLessEqual(scheduler.work.loads.sum_up("e").memory_tokens, KV_TOKENS)
 
 
 class GroupsTest(unittest.TestCase):
--- a/tests/test_relay_scheduler_properties.py
+++ b/tests/test_relay_scheduler_properties.py
@@ -24,13 +24,13 @@
     encode_scheduling,
 )
 from tests.relay_facts import PROFILE, make_endpoint
-from tests.scheduling_world import GROUP, MEMORY_TOKENS, POOL, make_query
+from tests.scheduling_world import GROUP, KV_TOKENS, POOL, make_query
 
 EXAMPLES = int(os.environ.get("GUAVAMAST_EXAMPLES", "100"))
-FACTS = ServiceFacts(profile=PROFILE, memory_tokens=MEMORY_TOKENS, shortest_pause_s=0.6)
+FACTS = ServiceFacts(profile=PROFILE, memory_tokens=KV_TOKENS, shortest_pause_s=0.6)
 ENGINES = [make_endpoint(f"e{number}", service=POOL, slots=8) for number in range(2)]
 
-steps = st.lists(
+event_lists = st.lists(
     st.one_of(
         st.tuples(st.just("ask"), st.integers(10_000, 60_000), st.booleans()),
         st.tuples(st.just("ask"), st.integers(100, 10_000), st.booleans()),
@@ -48,7 +48,7 @@
     """Engines never have to stop a request for want of memory."""
 
     @settings(max_examples=EXAMPLES, deadline=None)
-    @given(steps)
+    @given(event_lists)
     def test_never_more_is_granted_than_an_engine_has(self, events: list) -> None:
         """Requests of three instances come, run, end and are reported in any order.
 
@@ -98,18 +98,18 @@
             if place == endpoint_id
         )
         share = FIRST_MEMORY_SHARE if first else PATIENT_MEMORY_SHARE
-        self.assertLessEqual(taken, share * MEMORY_TOKENS)
+        self.assertLessEqual(taken, share * KV_TOKENS)
 
     def report(
         self,
         scheduler: GroupScheduler,
         running: dict[int, tuple[PlacementQuery, str]],
-        place: int,
+        instance_number: int,
         now: float,
     ) -> None:
         from guavamast.relay.scheduling_messages import Asker, PlacedWork
 
-        asker = Asker(instance=f"i{place}", incarnation=1)
+        asker = Asker(instance=f"i{instance_number}", incarnation=1)
         works = tuple(
             PlacedWork(
                 number=number,
--- a/tests/test_relay_scheduling.py
+++ b/tests/test_relay_scheduling.py
@@ -20,7 +20,7 @@
 from guavamast.relay.scheduler_directory import BACKOFF_S, TIMEOUTS_BEFORE_BACKOFF
 from guavamast.relay.scheduling_client import GRANT_VALID_S, MAX_TIMEOUT_S
 from tests.relay_facts import PROFILE, make_request
-from tests.scheduling_world import GROUP, PARTS, POOL, SimulatedFleet
+from tests.scheduling_world import GROUP, POOL, PROMPT_PARTS, SimulatedFleet
 
 if TYPE_CHECKING:
     from guavamast.relay.messages import CallerRequest
@@ -38,28 +38,30 @@
         self.scheduler = self.fleet.find_scheduler(REQUESTER)
         self.assertNotIn(self.scheduler, (REQUESTER, OTHER))
 
-    def build_placer(self, member: SimulatedInstance) -> ScheduledPlacer:
+    def build_placer(self, instance: SimulatedInstance) -> ScheduledPlacer:
         loads = EndpointLoads()
         own = OwnPlacer(
-            knowledge=member.knowledge,
+            knowledge=instance.knowledge,
             chooser=EndpointChooser(loads=loads, cache=PromptCache(), random=Random(1)),
             demand=PromptDemand(),
-            profiles=member.profiles,
+            profiles=instance.profiles,
             refusals=RefusalHistory(),
             random=Random(1),
             read_time=lambda: self.fleet.now,
         )
         return ScheduledPlacer(
             own=own,
-            client=member.scheduling.client,
-            groups=member.scheduling.groups,
-            knowledge=member.knowledge,
+            client=instance.scheduling.client,
+            groups=instance.scheduling.groups,
+            knowledge=instance.knowledge,
             loads=loads,
             read_time=lambda: self.fleet.now,
         )
 
-    def build_progress(self, member: SimulatedInstance, request: CallerRequest) -> RequestProgress:
-        catalog = member.knowledge.catalog
+    def build_progress(
+        self, instance: SimulatedInstance, request: CallerRequest
+    ) -> RequestProgress:
+        catalog = instance.knowledge.catalog
         assert catalog is not None
         route = catalog.find_route("portal.example", "/answers/")
         assert route is not None
@@ -70,10 +72,12 @@
 
     async def place(self, name: str = REQUESTER, **changes: object) -> Placed:
         """Have an instance place a short prompt."""
-        member = self.fleet.instances[name]
-        values = {"prompt_parts": PARTS, "prompt_tokens": 1_000, "output_tokens": 200}
+        instance = self.fleet.instances[name]
+        values = {"prompt_parts": PROMPT_PARTS, "prompt_tokens": 1_000, "output_tokens": 200}
         request = make_request(**(values | changes))
-        return await self.build_placer(member).place(request, self.build_progress(member, request))
+        return await self.build_placer(instance).place(
+            request, self.build_progress(instance, request)
+        )
 
     async def deliver_datagrams(self) -> None:
         """Let all datagrams arrive."""
@@ -130,10 +134,10 @@
             placed = await self.place()
             self.assertIsNotNone(placed.choice)
             self.assertLess(loop.time() - began, 10 * MAX_TIMEOUT_S)
-        following = self.fleet.find_scheduler(REQUESTER)
-        self.assertNotEqual(following, self.scheduler)
+        successor = self.fleet.find_scheduler(REQUESTER)
+        self.assertNotEqual(successor, self.scheduler)
         await self.place()
-        self.assertEqual(self.count_grants(following), TIMEOUTS_BEFORE_BACKOFF + 1)
+        self.assertEqual(self.count_grants(successor), TIMEOUTS_BEFORE_BACKOFF + 1)
 
     async def test_a_scheduler_that_is_back_is_asked_again(self) -> None:
         self.fleet.silent = {self.scheduler}
@@ -170,13 +174,13 @@
         self.fleet.silent = {self.scheduler}
         self.fleet.now += 4.0
         self.fleet.exchange_heartbeats()
-        following = self.fleet.find_scheduler(REQUESTER)
-        self.assertNotEqual(following, self.scheduler)
+        successor = self.fleet.find_scheduler(REQUESTER)
+        self.assertNotEqual(successor, self.scheduler)
         await self.place()
-        self.assertEqual(self.count_grants(following), 4)
+        self.assertEqual(self.count_grants(successor), 4)
         self.fleet.instances[OTHER].scheduling.client.report()
         await self.deliver_datagrams()
-        self.assertEqual(self.count_grants(following), 5)
+        self.assertEqual(self.count_grants(successor), 5)
 
     async def test_two_schedulers_at_once_each_count_their_own(self) -> None:
         """Requests are served while instances disagree on who schedules.
@@ -184,9 +188,9 @@
         One has not heard of an instance with more room that has just started; the group has two
         schedulers, each counts what it granted, and both hear of the ends.
         """
-        member = self.fleet.instances[OTHER]
-        member.scheduling.client.directory.record_timeout(self.scheduler, now=self.fleet.now)
-        member.scheduling.client.directory.record_timeout(self.scheduler, now=self.fleet.now)
+        instance = self.fleet.instances[OTHER]
+        instance.scheduling.client.directory.record_timeout(self.scheduler, now=self.fleet.now)
+        instance.scheduling.client.directory.record_timeout(self.scheduler, now=self.fleet.now)
         second = self.fleet.find_scheduler(OTHER)
         self.assertNotEqual(second, self.scheduler)
         first_placed, second_placed = await self.place(), await self.place(OTHER)
@@ -202,11 +206,13 @@
 
         The scheduler has not read the newer table yet and grants a place at an engine that is gone.
         """
-        member = self.fleet.instances[REQUESTER]
+        instance = self.fleet.instances[REQUESTER]
         gone = (await self.place()).choice
         assert gone is not None
-        left = [one for one in self.fleet.engines if one.endpoint_id != gone.record.endpoint_id]
-        member.apply_endpoints(left, reading=2.0)
+        remaining = [
+            one for one in self.fleet.engines if one.endpoint_id != gone.record.endpoint_id
+        ]
+        instance.apply_endpoints(remaining, reading=2.0)
         placed = await self.place()
         assert placed.choice is not None
         self.assertNotEqual(placed.choice.record.endpoint_id, gone.record.endpoint_id)
