--- a/src/guavamast/relay/placing.py
+++ b/src/guavamast/relay/placing.py
@@ -187,7 +187,7 @@
         key = request.shared_part or request.request_id
         for group in self._groups.rank(progress.service, key)[:MAX_GROUPS]:
             query = self._build_query(request, progress, group)
-            scheduled_reply = await self._client.ask(query)
+            scheduled_reply = await self._client.request_placement(query)
             placed = (
                 self._apply_reply(request, query, scheduled_reply)
                 if scheduled_reply is not None
--- a/src/guavamast/relay/scheduling_client.py
+++ b/src/guavamast/relay/scheduling_client.py
@@ -176,7 +176,7 @@
         self._last_number += 1
         return self._last_number
 
-    async def ask(self, query: PlacementQuery) -> ScheduledReply | None:
+    async def request_placement(self, query: PlacementQuery) -> ScheduledReply | None:
         """Return the scheduler's reply; None if it times out.
 
         After a timeout or a cancellation the request is reported as ended, so that a grant still in
--- a/tests/scheduling_world.py
+++ b/tests/scheduling_world.py
@@ -1,4 +1,4 @@
-"""A few instances that schedule engines over a network without sockets."""
+"""Simulated fleet of instances that schedule engines over an in-memory network."""
 
 from __future__ import annotations
 
@@ -33,7 +33,7 @@
 
 
 def make_pool_catalog() -> Catalog:
-    """Return a configuration with streams to one pool of engines."""
+    """Return a configuration with one streaming route to a pool of engines."""
     route = make_route(
         name="answers",
         path_prefix="/answers/",
@@ -57,7 +57,7 @@
 
 
 def make_query(number: int, *, asker: str = "i1", **changes: Any) -> PlacementQuery:
-    """Return a query for a short prompt, with changes."""
+    """Return a query for a short prompt; keyword arguments replace its fields."""
     values: dict[str, Any] = {
         "asker": Asker(instance=asker, incarnation=1),
         "number": number,
@@ -80,7 +80,7 @@
 
 
 class SimulatedInstance:
-    """One instance of the fleet."""
+    """One instance of the simulated fleet."""
 
     def __init__(self, number: int, fleet: SimulatedFleet) -> None:
         self.record = InstanceRecord(
@@ -109,19 +109,19 @@
         )
 
     def apply_endpoints(self, records: list[EndpointRecord], *, reading: float) -> None:
-        """Take a table of engines."""
+        """Apply a table of engines."""
         self.knowledge.take_endpoints(
             EndpointReading(records=records, digest=f"d{reading}", reading=reading)
         )
 
 
 class SimulatedFleet:
-    """All instances, and the datagrams between them, which arrive after a turn of the loop."""
+    """All instances, and the datagrams between them, which arrive in the next loop iteration."""
 
     def __init__(self, *, engines: int = 6) -> None:
         self.now = 100.0
         self.silent: set[str] = set()
-        """Names of the instances that get nothing and answer nothing."""
+        """Names of the instances that neither receive nor send datagrams."""
         self.sent: list[tuple[str, str]] = []
         """Sender and receiver of each datagram."""
         self._held_messages: dict[str, list[tuple[SchedulingMessage, tuple[str, int]]]] = {}
@@ -137,14 +137,14 @@
         self.exchange_heartbeats()
 
     def exchange_heartbeats(self) -> None:
-        """Have all instances that are not silent hear each other."""
+        """Deliver a heartbeat of each instance that is not silent to all instances."""
         for instance in self.instances.values():
             for other in self.instances.values():
                 if other.record.name not in self.silent:
                     instance.peers.take(self._build_heartbeat(other), now=self.now)
 
     def send(self, sender: InstanceRecord, data: bytes, address: tuple[str, int]) -> None:
-        """Deliver a datagram in the next turn."""
+        """Deliver a datagram in the next loop iteration."""
         receiver = self._names[address[0]]
         self.sent.append((sender.name, receiver))
         if sender.name in self.silent or receiver in self.silent:
@@ -159,16 +159,16 @@
         asyncio.get_running_loop().call_soon(scheduling.take, message, source)
 
     def pause(self, name: str) -> None:
-        """Have an instance stand still; what comes waits in its socket."""
+        """Pause an instance; datagrams to it wait in its socket."""
         self._held_messages[name] = []
 
     def resume(self, name: str) -> None:
-        """Have an instance go on with what has come meanwhile."""
+        """Resume an instance; it receives the datagrams that arrived meanwhile."""
         for message, source in self._held_messages.pop(name):
             self.instances[name].scheduling.take(message, source)
 
     def find_scheduler(self, requester: str, group: str = GROUP) -> str:
-        """Return the name of the instance that an instance asks about a group."""
+        """Return the name of the instance that a requester selects as the scheduler of a group."""
         directory = self.instances[requester].scheduling.client.directory
         return directory.select(group, now=self.now).name
 
--- a/tests/test_relay_scheduler.py
+++ b/tests/test_relay_scheduler.py
@@ -1,4 +1,4 @@
-"""Tests of the scheduler of a group of endpoints: what it grants, and what it counts."""
+"""Tests of the scheduler of a group of endpoints: its decisions and the work that it counts."""
 
 from __future__ import annotations
 
@@ -28,13 +28,13 @@
 
 
 class SchedulerTest(unittest.TestCase):
-    """All instances ask one scheduler, which counts each request at once."""
+    """All instances query one scheduler, which counts each request at once."""
 
     def setUp(self) -> None:
         self.scheduler = GroupScheduler(random=Random(1), now=BEGAN)
         self.engines = [make_endpoint(f"e{number}", service=POOL, slots=8) for number in range(4)]
 
-    def ask(self, number: int, *, now: float = NOW, **changes: object) -> PlacementReply:
+    def decide(self, number: int, *, now: float = NOW, **changes: object) -> PlacementReply:
         query = make_query(number, **changes)
         return self.scheduler.decide(query, self.engines, FACTS, now=now)
 
@@ -59,10 +59,10 @@
         return total
 
     def test_requests_of_unlike_instances_at_the_same_moment_spread(self) -> None:
-        """Forty prompts without a shared part come to forty instances within a millisecond."""
+        """Forty prompts without a shared part arrive at forty instances within a millisecond."""
         self.engines = [make_endpoint(f"e{one}", service=POOL, slots=64) for one in range(4)]
         for number in range(40):
-            reply = self.ask(number, asker=f"i{number}", prompt_parts=(), objective_s=1.0)
+            reply = self.decide(number, asker=f"i{number}", prompt_parts=(), objective_s=1.0)
             self.assertIs(reply.verdict, Verdict.GRANTED)
         counts = [
             self.scheduler.work.loads.sum_up(one.endpoint_id).requests for one in self.engines
@@ -70,7 +70,7 @@
         self.assertLessEqual(max(counts) - min(counts), 2)
 
     def test_work_counts_until_its_end(self) -> None:
-        self.ask(1)
+        self.decide(1)
         self.assertEqual(self.sum_loads().prefill_tokens, 1_000)
         self.update(1, WorkPhase.RUNNING)
         self.assertEqual(self.sum_loads(), Load(requests=1, memory_tokens=1_200))
@@ -80,42 +80,41 @@
 
     def test_a_refused_request_is_not_counted(self) -> None:
         number = 0
-        reply = self.ask(number, prompt_tokens=20_000, prompt_parts=())
+        reply = self.decide(number, prompt_tokens=20_000, prompt_parts=())
         while reply.verdict is Verdict.GRANTED:
             number += 1
-            reply = self.ask(number, prompt_tokens=20_000, prompt_parts=())
+            reply = self.decide(number, prompt_tokens=20_000, prompt_parts=())
         self.assertIs(reply.verdict, Verdict.REFUSED)
         self.assertGreater(reply.retry_after_s, 0.0)
         self.assertEqual(self.sum_loads().requests, number)
 
     def test_an_asker_that_dies_holds_nothing_for_long(self) -> None:
-        """Callers are not refused for requests that nobody will send.
+        """Callers are not rejected because of grants that are never used.
 
-        An instance is granted a place and ends before it sends. It says nothing more, and what it
-        was granted is dropped after the lease.
+        A process ends between the grant and the send; its grants are dropped after the lease.
         """
-        self.ask(1, asker="i1")
-        self.ask(1, asker="i2", now=NOW + LEASE_S)
+        self.decide(1, asker="i1")
+        self.decide(1, asker="i2", now=NOW + LEASE_S)
         self.assertEqual(self.scheduler.work.drop_expired(now=NOW + LEASE_S + 0.1), 1)
         self.assertEqual(self.sum_loads().requests, 1)
 
     def test_the_next_process_of_an_asker_replaces_its_work(self) -> None:
-        self.ask(1)
+        self.decide(1)
         self.report(incarnation=2)
         self.assertEqual(self.sum_loads(), Load())
 
     def test_a_lost_end_is_made_up_by_the_next_report(self) -> None:
-        self.ask(1)
+        self.decide(1)
         self.report(now=NOW + 0.5)
         self.assertEqual(self.sum_loads().requests, 1, "the report may have crossed the grant")
         self.report(now=NOW + UNCONFIRMED_GRANT_S + 0.1)
         self.assertEqual(self.sum_loads(), Load())
 
     def test_a_new_scheduler_learns_from_reports(self) -> None:
-        """A scheduler takes over while engines are full, and sends nothing more there.
+        """A scheduler that takes over does not overload engines that are already full.
 
-        The former one has died. Each instance tells the new one what it has at the engines; a first
-        event and an end that it hears of later count as if it had granted them.
+        The previous one has died. Each instance reports its work at the engines to the new one,
+        which then applies later updates as if it had granted the work itself.
         """
         scheduler = self.scheduler = GroupScheduler(random=Random(1), now=NOW)
         work = PlacedWork(
@@ -132,15 +131,15 @@
             scheduler.work.loads.sum_up("e0"),
             Load(requests=1, prefill_tokens=900, memory_tokens=1_200),
         )
-        self.assertTrue(self.ask(8, asker="i2").learning)
-        self.assertFalse(self.ask(9, asker="i2", now=NOW + LEARNING_S).learning)
+        self.assertTrue(self.decide(8, asker="i2").learning)
+        self.assertFalse(self.decide(9, asker="i2", now=NOW + LEARNING_S).learning)
         self.assertEqual(self.sum_loads().requests, 3)
         self.update(7, WorkPhase.RUNNING)
         self.update(7, WorkPhase.ENDED)
         self.assertEqual(self.sum_loads().requests, 2)
 
     def test_parts_that_a_reported_prompt_has_left_are_known(self) -> None:
-        """A prompt goes where its parts are although its scheduler has changed."""
+        """A prompt goes to the engine with its cached parts although its scheduler has changed."""
         work = PlacedWork(
             number=7,
             endpoint_id="e2",
@@ -152,38 +151,38 @@
         )
         self.report(work)
         self.assertEqual(self.sum_loads(), Load())
-        self.assertEqual(self.ask(8, asker="i2").endpoint_id, "e2")
+        self.assertEqual(self.decide(8, asker="i2").endpoint_id, "e2")
 
     def test_failures_that_one_instance_has_met_keep_others_away(self) -> None:
-        first = self.ask(1).endpoint_id
+        first = self.decide(1).endpoint_id
         self.update(1, WorkPhase.ENDED, failure_weight=6.0)
-        self.assertNotEqual(self.ask(2, asker="i2").endpoint_id, first)
+        self.assertNotEqual(self.decide(2, asker="i2").endpoint_id, first)
 
     def test_one_instance_cannot_close_an_endpoint_for_all(self) -> None:
-        """Requests still go to an engine that one instance alone can't reach.
+        """Requests still go to an engine that only one instance cannot reach.
 
-        That instance is cut off from all engines and says so of each. What it says counts for less
-        than a cached prompt and a few waiting requests, and is forgotten within seconds.
+        That instance is cut off from all engines and reports a failure of each. Its reports weigh
+        less than a cached prompt and a few waiting requests, and expire within seconds.
         """
         for number in range(12):
-            endpoint_id = self.ask(number, asker="cut").endpoint_id
+            endpoint_id = self.decide(number, asker="cut").endpoint_id
             self.update(number, WorkPhase.ENDED, asker="cut", failure_weight=6.0)
             self.assertLessEqual(self.scheduler.work.loads.read_failures(endpoint_id, now=NOW), 8.0)
-        self.assertIs(self.ask(99, asker="i2").verdict, Verdict.GRANTED)
+        self.assertIs(self.decide(99, asker="i2").verdict, Verdict.GRANTED)
 
     def test_no_endpoint_left_is_said_so(self) -> None:
         excluded = tuple(one.endpoint_id for one in self.engines)
-        self.assertIs(self.ask(1, excluded=excluded).verdict, Verdict.UNKNOWN)
+        self.assertIs(self.decide(1, excluded=excluded).verdict, Verdict.UNKNOWN)
 
 
 class UrgencyTest(unittest.TestCase):
-    """Less urgent requests leave memory for those before which none goes."""
+    """Less urgent requests leave KV cache for the most urgent ones."""
 
     def test_long_prompts_do_not_take_the_last_memory(self) -> None:
-        """A caseworker's answer starts although long prompts fill the engines.
+        """An urgent short prompt starts although long prompts fill the engines.
 
-        Long prompts come without end and are granted until their share of memory is taken; more are
-        sent back. The short prompt that comes then finds room, and no engine has to stop it.
+        Long prompts are granted until their share of the KV cache is used, and rejected from then
+        on. The short prompt still fits, and no engine has to preempt it.
         """
         scheduler = GroupScheduler(random=Random(1), now=BEGAN)
         engine = make_endpoint("e", service=POOL, slots=64)
@@ -210,7 +209,7 @@
 
 
 class GroupsTest(unittest.TestCase):
-    """Endpoints are scheduled in groups that all instances agree on."""
+    """Endpoints are partitioned into groups that are the same on all instances."""
 
     def setUp(self) -> None:
         self.table = EndpointTable()
--- a/tests/test_relay_scheduler_properties.py
+++ b/tests/test_relay_scheduler_properties.py
@@ -1,4 +1,4 @@
-"""Property tests of scheduling: for any order of messages, no engine is given more than it has."""
+"""Property tests of scheduling: in any order of messages, no engine's KV cache is exceeded."""
 
 from __future__ import annotations
 
@@ -45,15 +45,15 @@
 
 
 class MemoryTest(unittest.TestCase):
-    """Engines never have to stop a request for want of memory."""
+    """Engines never have to preempt a request for lack of KV cache."""
 
     @settings(max_examples=EXAMPLES, deadline=None)
     @given(event_lists)
     def test_never_more_is_granted_than_an_engine_has(self, events: list) -> None:
-        """Requests of three instances come, run, end and are reported in any order.
+        """Requests of three instances arrive, run, end and are reported in any order.
 
-        What runs is judged by what was granted, so a report that names less than runs is not among
-        the stories: an instance always names all its work.
+        The granted requests count as running, so no generated report omits any of them: an instance
+        always reports all its work.
         """
         scheduler = GroupScheduler(random=Random(1), now=0.0)
         now = LEARNING_S + 1.0
@@ -130,7 +130,7 @@
 
 
 class WireTest(unittest.TestCase):
-    """Any other datagram is refused."""
+    """Messages survive encoding; any other datagram is rejected."""
 
     @given(data=st.binary(max_size=100))
     def test_garbage_is_refused(self, data: bytes) -> None:
--- a/tests/test_relay_scheduling.py
+++ b/tests/test_relay_scheduling.py
@@ -1,4 +1,4 @@
-"""Tests of asking schedulers: forty instances, some of which die, stand still or are cut off."""
+"""Tests of the scheduling client: forty instances, some of which die, stall or are cut off."""
 
 from __future__ import annotations
 
@@ -31,7 +31,7 @@
 
 
 class SchedulingTest(unittest.IsolatedAsyncioTestCase):
-    """A request goes where its scheduler says, or where its instance thinks best."""
+    """A request goes to the endpoint that its scheduler selects, or is placed locally."""
 
     async def asyncSetUp(self) -> None:
         self.fleet = SimulatedFleet()
@@ -71,7 +71,7 @@
         )
 
     async def place(self, name: str = REQUESTER, **changes: object) -> Placed:
-        """Have an instance place a short prompt."""
+        """Place a short prompt at an instance."""
         instance = self.fleet.instances[name]
         values = {"prompt_parts": PROMPT_PARTS, "prompt_tokens": 1_000, "output_tokens": 200}
         request = make_request(**(values | changes))
@@ -80,7 +80,7 @@
         )
 
     async def deliver_datagrams(self) -> None:
-        """Let all datagrams arrive."""
+        """Run the loop until all datagrams have arrived."""
         for _ in range(5):
             await asyncio.sleep(0)
 
@@ -111,7 +111,7 @@
         self.assertEqual(self.count_grants(self.scheduler), 1)
 
     async def test_requests_of_all_instances_are_compared(self) -> None:
-        """Engines are shared evenly although no instance tells another of its requests."""
+        """Engines are shared evenly although instances do not exchange their loads."""
         self.fleet = SimulatedFleet(engines=8)
         chosen = []
         for name in list(self.fleet.instances)[:32]:
@@ -122,10 +122,10 @@
         self.assertLessEqual(max(map(chosen.count, chosen)), 6)
 
     async def test_a_silent_scheduler_costs_one_short_wait(self) -> None:
-        """The caller is served although the scheduler is dead and nobody knows it yet.
+        """The caller is served although the scheduler is dead and still listed as live.
 
-        The query finds nobody. After a few hundredths of a second the instance decides by what it
-        knows; after two such waits it asks the next candidate.
+        The query times out after a few hundredths of a second and the instance decides locally;
+        after two such timeouts it queries the next candidate.
         """
         self.fleet.silent = {self.scheduler}
         loop = asyncio.get_running_loop()
@@ -148,9 +148,9 @@
         self.assertEqual(self.fleet.find_scheduler(REQUESTER), self.scheduler)
 
     async def test_a_late_grant_holds_nothing(self) -> None:
-        """A scheduler that stood still answers seconds later; nothing is counted for its answer.
+        """A stalled scheduler replies seconds later; its grant does not stay counted.
 
-        It finds the query and the word that it was given up in its socket, in this order.
+        It receives the query and then the update that ends it from its socket, in this order.
         """
         self.fleet.pause(self.scheduler)
         placed = await self.place()
@@ -163,10 +163,10 @@
         self.assertIn("late_replies_total 1", counters)
 
     async def test_a_new_scheduler_knows_what_runs(self) -> None:
-        """Engines are not overrun when the scheduler dies.
+        """Engines are not overloaded when the scheduler dies.
 
-        Requests run that it had granted. The instances that sent them tell its successor before
-        they ask it anything.
+        Requests that it granted still run. The instances that sent them report them to its
+        successor before their first query.
         """
         for _ in range(3):
             await self.place()
@@ -183,10 +183,11 @@
         self.assertEqual(self.count_grants(successor), 5)
 
     async def test_two_schedulers_at_once_each_count_their_own(self) -> None:
-        """Requests are served while instances disagree on who schedules.
+        """Requests are served while instances disagree on the scheduler.
 
-        One has not heard of an instance with more room that has just started; the group has two
-        schedulers, each counts what it granted, and both hear of the ends.
+        One instance does not know of an instance that has just started with a larger processor
+        share, so the group has two schedulers. Each counts its own grants, and both receive the
+        ends.
         """
         instance = self.fleet.instances[OTHER]
         instance.scheduling.client.directory.record_timeout(self.scheduler, now=self.fleet.now)
@@ -202,9 +203,9 @@
         self.assertEqual([self.count_grants(name) for name in (self.scheduler, second)], [0, 0])
 
     async def test_an_endpoint_that_the_asker_does_not_list_is_not_used(self) -> None:
-        """No request goes to an engine that has left by what its instance knows.
+        """No request goes to an engine that is missing from the requester's endpoint table.
 
-        The scheduler has not read the newer table yet and grants a place at an engine that is gone.
+        The scheduler has not read the newer table yet and grants the removed engine.
         """
         instance = self.fleet.instances[REQUESTER]
         gone = (await self.place()).choice
@@ -228,7 +229,7 @@
         self.assertEqual(self.count_grants(self.scheduler), 0)
 
     async def test_a_frozen_asker_sends_by_no_old_grant(self) -> None:
-        """An engine is not overrun by an instance that comes back after its grants were dropped."""
+        """An engine is not overloaded by an instance that resumes after its grants were dropped."""
         placed = await self.place()
         assert placed.work is not None
         self.assertFalse(placed.work.is_void(now=self.fleet.now + GRANT_VALID_S))
