--- a/src/guavamast/relay/placing.py
+++ b/src/guavamast/relay/placing.py
@@ -99,7 +99,7 @@
     def decide(self, request: CallerRequest, progress: RequestProgress) -> Placed:
         """Return the endpoint with the least cost, or a rejection."""
         now = self._read_time()
-        wait_terms = WaitTerms(
+        wait_parameters = WaitTerms(
             objective_s=progress.admitted.route.objective_s,
             patient=progress.patient,
             first=progress.first,
@@ -111,14 +111,17 @@
             exclude=progress.tried,
             now=now,
             has_room=self._admission.find_filter(
-                wait_terms, service=progress.service, urgency=progress.admitted.urgency, now=now
+                wait_parameters,
+                service=progress.service,
+                urgency=progress.admitted.urgency,
+                now=now,
             ),
         )
         if choice is None or progress.sent > 0 or choice.forecast is None:
             return Placed(choice=choice)
         rejection = self._admission.admit(
             choice.forecast,
-            wait_terms,
+            wait_parameters,
             service=progress.service,
             urgency=progress.admitted.urgency,
             now=now,
--- a/src/guavamast/relay/scheduler.py
+++ b/src/guavamast/relay/scheduler.py
@@ -83,25 +83,25 @@
         Args:
             query: The request.
             candidates: Endpoints of the group that accept requests.
-            facts: Properties that all of them share.
+            facts: Parameters that all of them share.
             now: Current time.
         """
         self.work.renew_lease(query.asker, now=now)
         learning = self.is_learning(now=now)
         placement = self._build_placement(query, facts, learning=learning, now=now)
-        wait_terms = self._build_wait_terms(query, learning=learning, now=now)
+        wait_parameters = self._build_wait_parameters(query, learning=learning, now=now)
         choice = self._chooser.choose(
             placement,
             candidates,
             exclude=frozenset(query.excluded),
             now=now,
             has_room=self._admission.find_filter(
-                wait_terms, service=query.service, urgency=query.urgency, now=now
+                wait_parameters, service=query.service, urgency=query.urgency, now=now
             ),
         )
         if choice is None:
             return PlacementReply(number=query.number, verdict=Verdict.UNKNOWN, learning=learning)
-        retry_after_s = self._admit(query, choice, wait_terms, now=now)
+        retry_after_s = self._admit(query, choice, wait_parameters, now=now)
         if retry_after_s is not None:
             return _build_reply(
                 query, choice, Verdict.REFUSED, learning=learning, retry_after_s=retry_after_s
@@ -136,7 +136,9 @@
             loads_late=learning,
         )
 
-    def _build_wait_terms(self, query: PlacementQuery, *, learning: bool, now: float) -> WaitTerms:
+    def _build_wait_parameters(
+        self, query: PlacementQuery, *, learning: bool, now: float
+    ) -> WaitTerms:
         return WaitTerms(
             objective_s=query.objective_s,
             patient=query.patient,
@@ -146,13 +148,13 @@
         )
 
     def _admit(
-        self, query: PlacementQuery, choice: Choice, wait_terms: WaitTerms, *, now: float
+        self, query: PlacementQuery, choice: Choice, wait_parameters: WaitTerms, *, now: float
     ) -> float | None:
         """Return the seconds after which to retry a rejected request; None if it is admitted."""
         if choice.forecast is None or not query.refusable:
             return None
         rejection = self._admission.admit(
-            choice.forecast, wait_terms, service=query.service, urgency=query.urgency, now=now
+            choice.forecast, wait_parameters, service=query.service, urgency=query.urgency, now=now
         )
         if rejection is None:
             return None
--- a/tests/scheduling_world.py
+++ b/tests/scheduling_world.py
@@ -27,7 +27,7 @@
 
 POOL = "pool"
 GROUP = "pool/0"
-KV_TOKENS = 100_000
+KV_CAPACITY_TOKENS = 100_000
 INSTANCES = FULL_MESH_INSTANCES + 8
 PROMPT_PARTS = (PromptPart(part_id="shared", tokens=400), PromptPart(part_id="own", tokens=600))
 
@@ -44,7 +44,7 @@
         longest_pause_s=0.6,
     )
     rule = ServiceRule(
-        name=POOL, health_path="/", max_connections=100, prompt_cache_tokens=KV_TOKENS
+        name=POOL, health_path="/", max_connections=100, prompt_cache_tokens=KV_CAPACITY_TOKENS
     )
     return Catalog(
         version=1,
@@ -82,7 +82,7 @@
 class SimulatedInstance:
     """One instance of the simulated fleet."""
 
-    def __init__(self, number: int, fleet: SimulatedFleet) -> None:
+    def __init__(self, number: int, simulation: SchedulingSimulation) -> None:
         self.record = InstanceRecord(
             name=f"i{number}",
             ip=f"10.0.0.{number}",
@@ -103,9 +103,9 @@
             knowledge=self.knowledge,
             profiles=self.profiles,
             counters=self.counters,
-            send=lambda data, address: fleet.send(self.record, data, address),
+            send=lambda data, address: simulation.send(self.record, data, address),
             random=Random(number),
-            read_time=lambda: fleet.now,
+            read_time=lambda: simulation.now,
         )
 
     def apply_endpoints(self, records: list[EndpointRecord], *, reading: float) -> None:
@@ -115,7 +115,7 @@
         )
 
 
-class SimulatedFleet:
+class SchedulingSimulation:
     """All instances, and the datagrams between them, which arrive in the next loop iteration."""
 
     def __init__(self, *, engines: int = 6) -> None:
--- a/tests/test_relay_scheduler.py
+++ b/tests/test_relay_scheduler.py
@@ -20,9 +20,9 @@
     WorkUpdate,
 )
 from tests.relay_facts import PROFILE, make_endpoint
-from tests.scheduling_world import GROUP, KV_TOKENS, POOL, make_query
+from tests.scheduling_world import GROUP, KV_CAPACITY_TOKENS, POOL, make_query
 
-FACTS = ServiceFacts(profile=PROFILE, memory_tokens=KV_TOKENS, shortest_pause_s=0.6)
+FACTS = ServiceFacts(profile=PROFILE, memory_tokens=KV_CAPACITY_TOKENS, shortest_pause_s=0.6)
 BEGAN = 50.0
 NOW = 100.0
 
@@ -205,7 +205,7 @@
         self.assertIs(verdict, Verdict.REFUSED)
         urgent = scheduler.decide(make_query(999, asker="i2"), [engine], FACTS, now=NOW)
         self.assertIs(urgent.verdict, Verdict.GRANTED)
-        self.assertLessEqual(scheduler.work.loads.sum_up("e").memory_tokens, KV_TOKENS)
+        self.assertLessEqual(scheduler.work.loads.sum_up("e").memory_tokens, KV_CAPACITY_TOKENS)
 
 
 class GroupsTest(unittest.TestCase):
--- a/tests/test_relay_scheduler_properties.py
+++ b/tests/test_relay_scheduler_properties.py
@@ -24,10 +24,10 @@
     encode_scheduling,
 )
 from tests.relay_facts import PROFILE, make_endpoint
-from tests.scheduling_world import GROUP, KV_TOKENS, POOL, make_query
+from tests.scheduling_world import GROUP, KV_CAPACITY_TOKENS, POOL, make_query
 
 EXAMPLES = int(os.environ.get("GUAVAMAST_EXAMPLES", "100"))
-FACTS = ServiceFacts(profile=PROFILE, memory_tokens=KV_TOKENS, shortest_pause_s=0.6)
+FACTS = ServiceFacts(profile=PROFILE, memory_tokens=KV_CAPACITY_TOKENS, shortest_pause_s=0.6)
 ENGINES = [make_endpoint(f"e{number}", service=POOL, slots=8) for number in range(2)]
 
 event_lists = st.lists(
@@ -98,7 +98,7 @@
             if place == endpoint_id
         )
         share = FIRST_MEMORY_SHARE if first else PATIENT_MEMORY_SHARE
-        self.assertLessEqual(taken, share * KV_TOKENS)
+        self.assertLessEqual(taken, share * KV_CAPACITY_TOKENS)
 
     def report(
         self,
--- a/tests/test_relay_scheduling.py
+++ b/tests/test_relay_scheduling.py
@@ -20,7 +20,7 @@
 from guavamast.relay.scheduler_directory import BACKOFF_S, TIMEOUTS_BEFORE_BACKOFF
 from guavamast.relay.scheduling_client import GRANT_VALID_S, MAX_TIMEOUT_S
 from tests.relay_facts import PROFILE, make_request
-from tests.scheduling_world import GROUP, POOL, PROMPT_PARTS, SimulatedFleet
+from tests.scheduling_world import GROUP, POOL, PROMPT_PARTS, SchedulingSimulation
 
 if TYPE_CHECKING:
     from guavamast.relay.messages import CallerRequest
@@ -34,8 +34,8 @@
     """A request goes to the endpoint that its scheduler selects, or is placed locally."""
 
     async def asyncSetUp(self) -> None:
-        self.fleet = SimulatedFleet()
-        self.scheduler = self.fleet.find_scheduler(REQUESTER)
+        self.simulation = SchedulingSimulation()
+        self.scheduler = self.simulation.find_scheduler(REQUESTER)
         self.assertNotIn(self.scheduler, (REQUESTER, OTHER))
 
     def build_placer(self, instance: SimulatedInstance) -> ScheduledPlacer:
@@ -47,7 +47,7 @@
             profiles=instance.profiles,
             refusals=RefusalHistory(),
             random=Random(1),
-            read_time=lambda: self.fleet.now,
+            read_time=lambda: self.simulation.now,
         )
         return ScheduledPlacer(
             own=own,
@@ -55,7 +55,7 @@
             groups=instance.scheduling.groups,
             knowledge=instance.knowledge,
             loads=loads,
-            read_time=lambda: self.fleet.now,
+            read_time=lambda: self.simulation.now,
         )
 
     def build_progress(
@@ -72,7 +72,7 @@
 
     async def place(self, name: str = REQUESTER, **changes: object) -> Placed:
         """Place a short prompt at an instance."""
-        instance = self.fleet.instances[name]
+        instance = self.simulation.instances[name]
         values = {"prompt_parts": PROMPT_PARTS, "prompt_tokens": 1_000, "output_tokens": 200}
         request = make_request(**(values | changes))
         return await self.build_placer(instance).place(
@@ -85,14 +85,14 @@
             await asyncio.sleep(0)
 
     def count_grants(self, name: str) -> int:
-        host = self.fleet.instances[name].scheduling.host
-        host.clean_up(endpoint_ids=set(), now=self.fleet.now)
+        host = self.simulation.instances[name].scheduling.host
+        host.clean_up(endpoint_ids=set(), now=self.simulation.now)
         return host.count_grants(GROUP)
 
     async def test_all_instances_ask_the_same_one(self) -> None:
-        found = {self.fleet.find_scheduler(name) for name in self.fleet.instances}
+        found = {self.simulation.find_scheduler(name) for name in self.simulation.instances}
         self.assertEqual(found, {self.scheduler})
-        self.assertEqual(self.fleet.instances[self.scheduler].record.processor_share, 2.0)
+        self.assertEqual(self.simulation.instances[self.scheduler].record.processor_share, 2.0)
 
     async def test_a_grant_is_held_until_its_end(self) -> None:
         placed = await self.place()
@@ -104,17 +104,17 @@
         self.assertEqual(self.count_grants(self.scheduler), 0)
 
     async def test_the_scheduler_places_its_own_requests_without_a_datagram(self) -> None:
-        self.fleet.sent.clear()
+        self.simulation.sent.clear()
         placed = await self.place(self.scheduler)
         self.assertIsNotNone(placed.work)
-        self.assertEqual(self.fleet.sent, [])
+        self.assertEqual(self.simulation.sent, [])
         self.assertEqual(self.count_grants(self.scheduler), 1)
 
     async def test_requests_of_all_instances_are_compared(self) -> None:
         """Engines are shared evenly although instances do not exchange their loads."""
-        self.fleet = SimulatedFleet(engines=8)
+        self.simulation = SchedulingSimulation(engines=8)
         chosen = []
-        for name in list(self.fleet.instances)[:32]:
+        for name in list(self.simulation.instances)[:32]:
             placed = await self.place(name, prompt_parts=())
             assert placed.choice is not None
             chosen.append(placed.choice.record.endpoint_id)
@@ -127,39 +127,39 @@
         The query times out after a few hundredths of a second and the instance decides locally;
         after two such timeouts it queries the next candidate.
         """
-        self.fleet.silent = {self.scheduler}
+        self.simulation.silent = {self.scheduler}
         loop = asyncio.get_running_loop()
         for _ in range(TIMEOUTS_BEFORE_BACKOFF):
             began = loop.time()
             placed = await self.place()
             self.assertIsNotNone(placed.choice)
             self.assertLess(loop.time() - began, 10 * MAX_TIMEOUT_S)
-        successor = self.fleet.find_scheduler(REQUESTER)
+        successor = self.simulation.find_scheduler(REQUESTER)
         self.assertNotEqual(successor, self.scheduler)
         await self.place()
         self.assertEqual(self.count_grants(successor), TIMEOUTS_BEFORE_BACKOFF + 1)
 
     async def test_a_scheduler_that_is_back_is_asked_again(self) -> None:
-        self.fleet.silent = {self.scheduler}
+        self.simulation.silent = {self.scheduler}
         for _ in range(TIMEOUTS_BEFORE_BACKOFF):
             await self.place()
-        self.fleet.silent = set()
-        self.fleet.now += BACKOFF_S
-        self.assertEqual(self.fleet.find_scheduler(REQUESTER), self.scheduler)
+        self.simulation.silent = set()
+        self.simulation.now += BACKOFF_S
+        self.assertEqual(self.simulation.find_scheduler(REQUESTER), self.scheduler)
 
     async def test_a_late_grant_holds_nothing(self) -> None:
         """A stalled scheduler replies seconds later; its grant does not stay counted.
 
         It receives the query and then the update that ends it from its socket, in this order.
         """
-        self.fleet.pause(self.scheduler)
+        self.simulation.pause(self.scheduler)
         placed = await self.place()
         self.assertIsNotNone(placed.choice)
         await self.deliver_datagrams()
-        self.fleet.resume(self.scheduler)
+        self.simulation.resume(self.scheduler)
         await self.deliver_datagrams()
         self.assertEqual(self.count_grants(self.scheduler), 1, "the one that it was told of")
-        counters = self.fleet.instances[REQUESTER].counters.render()
+        counters = self.simulation.instances[REQUESTER].counters.render()
         self.assertIn("late_replies_total 1", counters)
 
     async def test_a_new_scheduler_knows_what_runs(self) -> None:
@@ -171,14 +171,14 @@
         for _ in range(3):
             await self.place()
         await self.place(OTHER)
-        self.fleet.silent = {self.scheduler}
-        self.fleet.now += 4.0
-        self.fleet.exchange_heartbeats()
-        successor = self.fleet.find_scheduler(REQUESTER)
+        self.simulation.silent = {self.scheduler}
+        self.simulation.now += 4.0
+        self.simulation.exchange_heartbeats()
+        successor = self.simulation.find_scheduler(REQUESTER)
         self.assertNotEqual(successor, self.scheduler)
         await self.place()
         self.assertEqual(self.count_grants(successor), 4)
-        self.fleet.instances[OTHER].scheduling.client.report()
+        self.simulation.instances[OTHER].scheduling.client.report()
         await self.deliver_datagrams()
         self.assertEqual(self.count_grants(successor), 5)
 
@@ -189,10 +189,10 @@
         share, so the group has two schedulers. Each counts its own grants, and both receive the
         ends.
         """
-        instance = self.fleet.instances[OTHER]
-        instance.scheduling.client.directory.record_timeout(self.scheduler, now=self.fleet.now)
-        instance.scheduling.client.directory.record_timeout(self.scheduler, now=self.fleet.now)
-        second = self.fleet.find_scheduler(OTHER)
+        instance = self.simulation.instances[OTHER]
+        instance.scheduling.client.directory.record_timeout(self.scheduler, now=self.simulation.now)
+        instance.scheduling.client.directory.record_timeout(self.scheduler, now=self.simulation.now)
+        second = self.simulation.find_scheduler(OTHER)
         self.assertNotEqual(second, self.scheduler)
         first_placed, second_placed = await self.place(), await self.place(OTHER)
         self.assertEqual([self.count_grants(name) for name in (self.scheduler, second)], [1, 1])
@@ -207,11 +207,11 @@
 
         The scheduler has not read the newer table yet and grants the removed engine.
         """
-        instance = self.fleet.instances[REQUESTER]
+        instance = self.simulation.instances[REQUESTER]
         gone = (await self.place()).choice
         assert gone is not None
         remaining = [
-            one for one in self.fleet.engines if one.endpoint_id != gone.record.endpoint_id
+            one for one in self.simulation.engines if one.endpoint_id != gone.record.endpoint_id
         ]
         instance.apply_endpoints(remaining, reading=2.0)
         placed = await self.place()
@@ -232,12 +232,12 @@
         """An engine is not overloaded by an instance that resumes after its grants were dropped."""
         placed = await self.place()
         assert placed.work is not None
-        self.assertFalse(placed.work.is_void(now=self.fleet.now + GRANT_VALID_S))
+        self.assertFalse(placed.work.is_void(now=self.simulation.now + GRANT_VALID_S))
         self.assertLess(GRANT_VALID_S, LEASE_S)
-        self.assertTrue(placed.work.is_void(now=self.fleet.now + LEASE_S))
+        self.assertTrue(placed.work.is_void(now=self.simulation.now + LEASE_S))
 
     async def test_a_third_that_reaches_no_scheduler_still_serves(self) -> None:
-        self.fleet.silent = {name for name in self.fleet.instances if int(name[1:]) < 20}
+        self.simulation.silent = {name for name in self.simulation.instances if int(name[1:]) < 20}
         placed = await self.place()
         self.assertIsNotNone(placed.choice)
 
