--- a/src/guavamast/relay/placing.py
+++ b/src/guavamast/relay/placing.py
@@ -1,4 +1,4 @@
-"""Where one request goes next: asked of a scheduler, or decided by what this instance knows."""
+"""Placement of a request: by a scheduler, or locally by this instance's own state."""
 
 from __future__ import annotations
 
@@ -30,46 +30,46 @@
     from guavamast.relay.scheduling_client import PlacedRequest, ScheduledReply, SchedulingClient
     from guavamast.relay.scheduling_messages import PlacementReply
 
-MOST_GROUPS: Final = 3
-"""Groups of endpoints that are asked for one request before it is sent back."""
-AVOIDED_FAILURES: Final = 1.0
-"""Failures remembered by this instance alone from which on it asks for another endpoint: the way
-there may be broken for it and nobody else."""
+MAX_GROUPS: Final = 3
+"""Groups whose schedulers are queried for one request before it is rejected."""
+FAILURE_THRESHOLD: Final = 1.0
+"""Failures recorded by this instance from which on it excludes an endpoint: the path there may be
+broken for this instance only."""
 
 
 @dataclass(frozen=True, slots=True, kw_only=True)
 class Placed:
-    """What was decided on a request."""
+    """Decision on a request."""
 
     choice: Choice | None
-    """The endpoint; None if there is none."""
+    """Endpoint; None if there is none."""
     later: ComeBack | None = None
-    """When the caller should come back, if there is no room in time."""
+    """Rejection with the retry delay, if no endpoint has capacity in time."""
     work: PlacedRequest | None = None
-    """What is told to the scheduler; None where there is none."""
+    """Handle that reports progress to the scheduler; None where no scheduler is involved."""
     scheduled: ScheduledReply | None = None
-    """What the scheduler has said that decided, which knows all work there."""
+    """Reply of the scheduler that decided, which knows all work there."""
 
 
 class Placer(ABC):
-    """Decides where requests go."""
+    """Selects endpoints for requests."""
 
     @abstractmethod
     async def place(self, request: CallerRequest, progress: RequestProgress) -> Placed:
-        """Return where a request goes next."""
+        """Return the next endpoint for a request, or its rejection."""
 
 
 class OwnPlacer(Placer):
-    """Decides by what this instance knows.
+    """Places requests by this instance's own state, without a scheduler.
 
     Args:
         knowledge: Endpoints, services and other instances.
-        chooser: Chooses endpoints.
-        demand: Work asked for in each lane.
-        profiles: How fast the engines are.
-        refusals: Requests sent back lately.
-        random: Spreads the times to come back.
-        read_time: The local clock.
+        chooser: Selects endpoints.
+        demand: Work requested in each length bucket.
+        profiles: Speed of the engines.
+        refusals: Recently rejected requests.
+        random: Spreads retry delays.
+        read_time: Local clock.
     """
 
     __slots__ = ("_admission", "_chooser", "_demand", "_knowledge", "_profiles", "_read_time")
@@ -93,39 +93,42 @@
         self._read_time = read_time
 
     async def place(self, request: CallerRequest, progress: RequestProgress) -> Placed:
-        """Return the endpoint with the least cost, or when to come back."""
+        """Return the endpoint with the least cost, or a rejection."""
         return self.decide(request, progress)
 
     def decide(self, request: CallerRequest, progress: RequestProgress) -> Placed:
-        """Return the endpoint with the least cost, or when to come back."""
+        """Return the endpoint with the least cost, or a rejection."""
         now = self._read_time()
-        terms = WaitTerms(
+        wait_parameters = WaitTerms(
             objective_s=progress.admitted.route.objective_s,
             patient=progress.patient,
             first=progress.first,
             old_news=self._knowledge.peers.relayed,
         )
         choice = self._chooser.choose(
-            self._describe(request, progress, now=now),
+            self._build_placement(request, progress, now=now),
             self._knowledge.endpoints.list_ready(progress.service),
             exclude=progress.tried,
             now=now,
             has_room=self._admission.find_filter(
-                terms, service=progress.service, urgency=progress.admitted.urgency, now=now
+                wait_parameters,
+                service=progress.service,
+                urgency=progress.admitted.urgency,
+                now=now,
             ),
         )
         if choice is None or progress.sent > 0 or choice.forecast is None:
             return Placed(choice=choice)
-        later = self._admission.admit(
+        rejection = self._admission.admit(
             choice.forecast,
-            terms,
+            wait_parameters,
             service=progress.service,
             urgency=progress.admitted.urgency,
             now=now,
         )
-        return Placed(choice=choice, later=later)
+        return Placed(choice=choice, later=rejection)
 
-    def _describe(
+    def _build_placement(
         self, request: CallerRequest, progress: RequestProgress, *, now: float
     ) -> Placement:
         return Placement(
@@ -146,21 +149,21 @@
 
 
 class ScheduledPlacer(Placer):
-    """Asks the schedulers of the service's endpoints.
+    """Queries the schedulers of the service's endpoints.
 
-    A scheduler that is silent or knows nothing costs one short wait; the request is then decided on
-    by what this instance knows, and the scheduler is told.
+    A scheduler that does not reply or knows no endpoint costs one short timeout at most; the
+    request is then placed by this instance's own state and reported to the scheduler.
 
     Args:
-        own: Decides where no scheduler does.
-        client: Asks schedulers.
-        groups: The endpoints of each group.
+        own: Places requests without a scheduler.
+        client: Queries schedulers.
+        groups: Endpoints of each group.
         knowledge: Endpoints and other instances.
-        loads: Failures that this instance has met.
-        read_time: The local clock.
+        loads: Failures that this instance has recorded.
+        read_time: Local clock.
     """
 
-    __slots__ = ("_client", "_groups", "_knowledge", "_loads", "_own", "_read_time")
+    __slots__ = ("_client", "_groups", "_knowledge", "_loads", "_local_placer", "_read_time")
 
     def __init__(
         self,
@@ -172,7 +175,7 @@
         loads: EndpointLoads,
         read_time: Callable[[], float],
     ) -> None:
-        self._own = own
+        self._local_placer = own
         self._client = client
         self._groups = groups
         self._knowledge = knowledge
@@ -180,28 +183,32 @@
         self._read_time = read_time
 
     async def place(self, request: CallerRequest, progress: RequestProgress) -> Placed:
-        """Return where a request goes next."""
+        """Return the next endpoint for a request, or its rejection."""
         if not self._knowledge.peers.relayed:
-            return self._own.decide(request, progress)
-        refused: Placed | None = None
+            return self._local_placer.decide(request, progress)
+        rejected: Placed | None = None
         key = request.shared_part or request.request_id
-        for group in self._groups.rank(progress.service, key)[:MOST_GROUPS]:
-            query = self._make_query(request, progress, group)
-            answer = await self._client.ask(query)
-            placed = self._take_reply(request, query, answer) if answer is not None else None
+        for group in self._groups.rank(progress.service, key)[:MAX_GROUPS]:
+            query = self._build_query(request, progress, group)
+            scheduled_reply = await self._client.request_placement(query)
+            placed = (
+                self._apply_reply(request, query, scheduled_reply)
+                if scheduled_reply is not None
+                else None
+            )
             if placed is None:
-                return self._decide_alone(request, progress)
+                return self._decide_locally(request, progress)
             if placed.later is None:
                 return placed
-            refused = _pick_sooner(refused, placed)
-        return refused or self._decide_alone(request, progress)
+            rejected = _select_earlier_retry(rejected, placed)
+        return rejected or self._decide_locally(request, progress)
 
-    def _make_query(
+    def _build_query(
         self, request: CallerRequest, progress: RequestProgress, group: str
     ) -> PlacementQuery:
         return PlacementQuery(
             asker=self._client.asker,
-            number=self._client.take_number(),
+            number=self._client.next_number(),
             group=group,
             service=progress.service,
             prompt_parts=request.prompt_parts,
@@ -219,14 +226,14 @@
         )
 
     def _list_excluded(self, progress: RequestProgress) -> tuple[str, ...]:
-        failing = self._loads.list_failing(least=AVOIDED_FAILURES, now=self._read_time())
+        failing = self._loads.list_failing(least=FAILURE_THRESHOLD, now=self._read_time())
         return tuple(progress.tried.union(failing))
 
-    def _take_reply(
-        self, request: CallerRequest, query: PlacementQuery, answer: ScheduledReply
+    def _apply_reply(
+        self, request: CallerRequest, query: PlacementQuery, scheduled_reply: ScheduledReply
     ) -> Placed | None:
-        """Return what a reply decides; None if it names no endpoint that may be used."""
-        reply = answer.reply
+        """Return the decision in a reply; None if it names no usable endpoint."""
+        reply = scheduled_reply.reply
         record = self._knowledge.endpoints.find(reply.endpoint_id)
         if reply.verdict is Verdict.UNKNOWN or record is None or not record.ready:
             if reply.verdict is Verdict.GRANTED:
@@ -234,54 +241,56 @@
             return None
         choice = Choice(
             record=record,
-            forecast=_read_forecast(query, reply),
-            unread_tokens=reply.unread_tokens,
-            own_lane=reply.own_lane,
-            load=Load(requests=reply.requests_there, prefill_tokens=reply.prefill_tokens_there),
+            forecast=_build_forecast(query, reply),
+            unread_tokens=reply.uncached_tokens,
+            own_lane=reply.own_bucket,
+            load=Load(
+                requests=reply.endpoint_requests, prefill_tokens=reply.endpoint_prefill_tokens
+            ),
         )
         if reply.verdict is Verdict.REFUSED:
-            later = ComeBack(retry_after_s=reply.retry_after_s)
-            return Placed(choice=choice, later=later, scheduled=answer)
-        work = _make_work(request, choice, number=query.number, delicate=query.delicate)
-        tracked = self._client.track(query.group, work, asked=True)
-        return Placed(choice=choice, work=tracked, scheduled=answer)
-
-    def _decide_alone(self, request: CallerRequest, progress: RequestProgress) -> Placed:
-        placed = self._own.decide(request, progress)
+            rejection = ComeBack(retry_after_s=reply.retry_after_s)
+            return Placed(choice=choice, later=rejection, scheduled=scheduled_reply)
+        work = _build_work(request, choice, number=query.number, pause_sensitive=query.delicate)
+        tracked = self._client.track(query.group, work, granted=True)
+        return Placed(choice=choice, work=tracked, scheduled=scheduled_reply)
+
+    def _decide_locally(self, request: CallerRequest, progress: RequestProgress) -> Placed:
+        placed = self._local_placer.decide(request, progress)
         if placed.choice is None or placed.later is not None:
             return placed
-        number = self._client.take_number()
-        work = _make_work(request, placed.choice, number=number, delicate=progress.delicate)
+        number = self._client.next_number()
+        work = _build_work(request, placed.choice, number=number, pause_sensitive=progress.delicate)
         group = self._groups.find_group(placed.choice.record)
-        tracked = self._client.track(group, work, asked=False)
+        tracked = self._client.track(group, work, granted=False)
         return Placed(choice=placed.choice, work=tracked)
 
 
-def _read_forecast(query: PlacementQuery, reply: PlacementReply) -> Forecast | None:
+def _build_forecast(query: PlacementQuery, reply: PlacementReply) -> Forecast | None:
     if query.prompt_tokens == 0:
         return None
     return Forecast(
-        start_ms=reply.start_ms, waiting_ms=reply.waiting_ms, reading_ms=reply.reading_ms
+        start_ms=reply.start_ms, waiting_ms=reply.waiting_ms, reading_ms=reply.prefill_ms
     )
 
 
-def _make_work(
-    request: CallerRequest, choice: Choice, *, number: int, delicate: bool
+def _build_work(
+    request: CallerRequest, choice: Choice, *, number: int, pause_sensitive: bool
 ) -> PlacedWork:
     return PlacedWork(
         number=number,
         endpoint_id=choice.record.endpoint_id,
         phase=WorkPhase.WAITING,
         shared_part=request.shared_part,
-        unread_tokens=choice.unread_tokens,
-        memory_tokens=request.prompt_tokens + request.output_tokens,
-        # Among long prompts it will be late anyway; long prompts need not keep off for it.
-        delicate=delicate and choice.own_lane,
+        uncached_tokens=choice.unread_tokens,
+        kv_tokens=request.prompt_tokens + request.output_tokens,
+        # On an endpoint of another length bucket it is late anyway; long prompts need not avoid it.
+        pause_sensitive=pause_sensitive and choice.own_lane,
     )
 
 
-def _pick_sooner(one: Placed | None, other: Placed) -> Placed:
-    """Return the refusal with the sooner time to come back."""
+def _select_earlier_retry(one: Placed | None, other: Placed) -> Placed:
+    """Return the rejection with the shorter retry delay."""
     if one is None or one.later is None or other.later is None:
         return other
     return one if one.later.retry_after_s <= other.later.retry_after_s else other
--- a/src/guavamast/relay/scheduler_host.py
+++ b/src/guavamast/relay/scheduler_host.py
@@ -1,4 +1,4 @@
-"""The groups of endpoints that this instance schedules."""
+"""Schedulers of the groups of endpoints that this instance schedules."""
 
 from __future__ import annotations
 
@@ -18,17 +18,18 @@
 
 
 class SchedulerHost:
-    """Schedules whatever group this instance is asked about.
+    """Schedules every group that this instance receives queries for.
 
-    Nobody is elected: instances ask the one that they hold for the scheduler of a group. Two that
-    are asked for the same group know a part of its work each, until all ask the same again.
+    There is no election: each instance queries the one that it selects as the scheduler of a group.
+    If two instances are queried for the same group, each knows a part of its work until all
+    instances select the same one again.
 
     Args:
         knowledge: Configuration.
-        groups: The endpoints of each group.
-        profiles: How fast the engines are.
+        groups: Endpoints of each group.
+        profiles: Speed of the engines.
         counters: Metrics.
-        random: Spreads choices and times to come back.
+        random: Breaks ties between endpoints and spreads retry delays.
     """
 
     __slots__ = ("_counters", "_groups", "_knowledge", "_profiles", "_random", "_schedulers")
@@ -50,7 +51,7 @@
         self._schedulers: dict[str, GroupScheduler] = {}
 
     def decide(self, query: PlacementQuery, *, now: float) -> PlacementReply:
-        """Return where a request goes."""
+        """Return the decision on a request."""
         candidates = self._groups.list_members(query.service, query.group)
         if not candidates:
             return PlacementReply(number=query.number, verdict=Verdict.UNKNOWN)
@@ -59,13 +60,13 @@
             memory_tokens=self._knowledge.find_memory(query.service),
             shortest_pause_s=self._knowledge.find_shortest_pause(query.service),
         )
-        scheduler = self._find(query.group, now=now)
+        scheduler = self._get_or_create(query.group, now=now)
         reply = scheduler.decide(query, candidates, facts, now=now)
         self._counters.add(f'placements_decided_total{{verdict="{reply.verdict}"}}')
         return reply
 
-    def take_update(self, update: WorkUpdate, *, now: float) -> None:
-        """Note that work has come further."""
+    def apply_update(self, update: WorkUpdate, *, now: float) -> None:
+        """Apply the progress of one request."""
         scheduler = self._schedulers.get(update.group)
         if scheduler is None:
             return
@@ -74,40 +75,40 @@
         if ended is not None and record is not None:
             self._profiles.record_pause(
                 record.service,
-                unread_tokens=ended.most_reading,
+                unread_tokens=ended.max_prefill_tokens,
                 pause_ms=ended.longest_pause_s * 1000.0,
                 now=now,
             )
 
-    def take_report(self, report: WorkReport, *, now: float) -> None:
-        """Take an instance's word on all its work at a group."""
-        self._find(report.group, now=now).work.take_report(report, now=now)
+    def apply_report(self, report: WorkReport, *, now: float) -> None:
+        """Apply an instance's report of all its work at a group."""
+        self._get_or_create(report.group, now=now).work.apply_report(report, now=now)
 
     def count_grants(self, group: str) -> int:
-        """Return the requests that are counted at the endpoints of a group."""
+        """Return the number of requests counted at the endpoints of a group."""
         scheduler = self._schedulers.get(group)
         return scheduler.work.count() if scheduler is not None else 0
 
-    def keep_house(self, *, endpoint_ids: set[str], now: float) -> None:
-        """Drop the work of silent instances, and groups that nobody asks about any more.
+    def clean_up(self, *, endpoint_ids: set[str], now: float) -> None:
+        """Drop the work of instances that stopped reporting, and groups without queries.
 
         Args:
-            endpoint_ids: The endpoints that there are.
-            now: The present time.
+            endpoint_ids: Ids of all present endpoints.
+            now: Current time.
         """
         for name, scheduler in list(self._schedulers.items()):
-            dropped = scheduler.work.drop_silent(now=now)
+            dropped = scheduler.work.drop_expired(now=now)
             if dropped:
                 self._counters.add("grants_dropped_total", dropped)
             scheduler.work.cache.keep_only(endpoint_ids)
             scheduler.work.loads.keep_only(endpoint_ids)
             if scheduler.work.is_idle(now=now):
                 del self._schedulers[name]
-        granted = sum(scheduler.work.count() for scheduler in self._schedulers.values())
+        grants = sum(scheduler.work.count() for scheduler in self._schedulers.values())
         self._counters.set("groups_scheduled", len(self._schedulers))
-        self._counters.set("grants_held", granted)
+        self._counters.set("grants_held", grants)
 
-    def _find(self, group: str, *, now: float) -> GroupScheduler:
+    def _get_or_create(self, group: str, *, now: float) -> GroupScheduler:
         scheduler = self._schedulers.get(group)
         if scheduler is None:
             scheduler = GroupScheduler(random=self._random, now=now)
--- a/src/guavamast/relay/scheduling_wire.py
+++ b/src/guavamast/relay/scheduling_wire.py
@@ -1,4 +1,4 @@
-"""Conversion between the messages of scheduling and their datagrams."""
+"""Encoding and decoding of scheduling messages as datagrams."""
 
 from __future__ import annotations
 
@@ -18,9 +18,9 @@
 )
 
 SCHEDULING_MARK: Final = b"s"
-"""Begins the datagrams of scheduling."""
+"""Prefix of scheduling datagrams."""
 WIRE_VERSION: Final = 2
-"""Rank of the form of these datagrams; another is not understood."""
+"""Rank of the datagram format; datagrams of any other version are rejected."""
 
 SchedulingMessage: TypeAlias = PlacementQuery | PlacementReply | WorkUpdate | WorkReport
 
@@ -31,26 +31,26 @@
 
 
 class MalformedScheduling(Exception):
-    """A datagram that is no message of scheduling."""
+    """A datagram that is not a valid scheduling message."""
 
 
 def encode_scheduling(message: SchedulingMessage) -> bytes:
-    """Return the datagram of a message."""
+    """Encode a message as a datagram."""
     encode = _ENCODERS[type(message)]
     fields = [WIRE_VERSION, *encode(message)]
     return SCHEDULING_MARK + json.dumps(fields, separators=(",", ":")).encode()
 
 
 def decode_scheduling(data: bytes) -> SchedulingMessage:
-    """Return the message of a datagram.
+    """Decode a datagram.
 
     Raises:
-        MalformedScheduling: It is none.
+        MalformedScheduling: It is not a valid scheduling message.
     """
     try:
         version, kind, *fields = json.loads(data[len(SCHEDULING_MARK) :])
         if version != WIRE_VERSION:
-            raise MalformedScheduling(f"version {version}")
+            raise MalformedScheduling(f"unsupported wire version {version}")
         return _DECODERS[kind](*fields)
     except (ValueError, TypeError, KeyError, IndexError, AttributeError) as error:
         raise MalformedScheduling(f"{type(error).__name__}: {error}") from error
@@ -121,13 +121,13 @@
         reply.number,
         _VERDICTS[reply.verdict],
         reply.endpoint_id,
-        reply.unread_tokens,
-        int(reply.own_lane),
+        reply.uncached_tokens,
+        int(reply.own_bucket),
         round(reply.start_ms, 1),
         round(reply.waiting_ms, 1),
-        round(reply.reading_ms, 1),
-        reply.requests_there,
-        reply.prefill_tokens_there,
+        round(reply.prefill_ms, 1),
+        reply.endpoint_requests,
+        reply.endpoint_prefill_tokens,
         round(reply.retry_after_s, 3),
         int(reply.learning),
     ]
@@ -137,13 +137,13 @@
     number: int,
     verdict: int,
     endpoint_id: str,
-    unread_tokens: int,
-    own_lane: int,
+    uncached_tokens: int,
+    own_bucket: int,
     start_ms: float,
     waiting_ms: float,
-    reading_ms: float,
-    requests_there: int,
-    prefill_tokens_there: int,
+    prefill_ms: float,
+    endpoint_requests: int,
+    endpoint_prefill_tokens: int,
     retry_after_s: float,
     learning: int,
 ) -> PlacementReply:
@@ -151,13 +151,13 @@
         number=int(number),
         verdict=_VERDICT_LIST[verdict],
         endpoint_id=str(endpoint_id),
-        unread_tokens=int(unread_tokens),
-        own_lane=bool(own_lane),
+        uncached_tokens=int(uncached_tokens),
+        own_bucket=bool(own_bucket),
         start_ms=float(start_ms),
         waiting_ms=float(waiting_ms),
-        reading_ms=float(reading_ms),
-        requests_there=int(requests_there),
-        prefill_tokens_there=int(prefill_tokens_there),
+        prefill_ms=float(prefill_ms),
+        endpoint_requests=int(endpoint_requests),
+        endpoint_prefill_tokens=int(endpoint_prefill_tokens),
         retry_after_s=float(retry_after_s),
         learning=bool(learning),
     )
@@ -202,9 +202,9 @@
             work.endpoint_id,
             _PHASES[work.phase],
             work.shared_part,
-            work.unread_tokens,
-            work.memory_tokens,
-            int(work.delicate),
+            work.uncached_tokens,
+            work.kv_tokens,
+            int(work.pause_sensitive),
         ]
         for work in report.works
     ]
@@ -226,18 +226,18 @@
     endpoint_id: str,
     phase: int,
     shared_part: str | None,
-    unread_tokens: int,
-    memory_tokens: int,
-    delicate: int,
+    uncached_tokens: int,
+    kv_tokens: int,
+    pause_sensitive: int,
 ) -> PlacedWork:
     return PlacedWork(
         number=int(number),
         endpoint_id=str(endpoint_id),
         phase=_PHASE_LIST[phase],
         shared_part=None if shared_part is None else str(shared_part),
-        unread_tokens=int(unread_tokens),
-        memory_tokens=int(memory_tokens),
-        delicate=bool(delicate),
+        uncached_tokens=int(uncached_tokens),
+        kv_tokens=int(kv_tokens),
+        pause_sensitive=bool(pause_sensitive),
     )
 
 
--- a/tests/scheduling_world.py
+++ b/tests/scheduling_world.py
@@ -1,4 +1,4 @@
-"""A few instances that schedule engines over a network without sockets."""
+"""Simulated fleet of instances that schedule engines over an in-memory network."""
 
 from __future__ import annotations
 
@@ -27,13 +27,13 @@
 
 POOL = "pool"
 GROUP = "pool/0"
-MEMORY_TOKENS = 100_000
+KV_CAPACITY_TOKENS = 100_000
 INSTANCES = FULL_MESH_INSTANCES + 8
-PARTS = (PromptPart(part_id="shared", tokens=400), PromptPart(part_id="own", tokens=600))
+PROMPT_PARTS = (PromptPart(part_id="shared", tokens=400), PromptPart(part_id="own", tokens=600))
 
 
 def make_pool_catalog() -> Catalog:
-    """Return a configuration with streams to one pool of engines."""
+    """Return a configuration with one streaming route to a pool of engines."""
     route = make_route(
         name="answers",
         path_prefix="/answers/",
@@ -44,7 +44,7 @@
         longest_pause_s=0.6,
     )
     rule = ServiceRule(
-        name=POOL, health_path="/", max_connections=100, prompt_cache_tokens=MEMORY_TOKENS
+        name=POOL, health_path="/", max_connections=100, prompt_cache_tokens=KV_CAPACITY_TOKENS
     )
     return Catalog(
         version=1,
@@ -57,13 +57,13 @@
 
 
 def make_query(number: int, *, asker: str = "i1", **changes: Any) -> PlacementQuery:
-    """Return a query for a short prompt, with changes."""
+    """Return a query for a short prompt; keyword arguments replace its fields."""
     values: dict[str, Any] = {
         "asker": Asker(instance=asker, incarnation=1),
         "number": number,
         "group": GROUP,
         "service": POOL,
-        "prompt_parts": PARTS,
+        "prompt_parts": PROMPT_PARTS,
         "prompt_tokens": 1_000,
         "output_tokens": 200,
         "lane": 0,
@@ -79,10 +79,10 @@
     return PlacementQuery(**(values | changes))
 
 
-class Member:
-    """One instance of the fleet."""
+class SimulatedInstance:
+    """One instance of the simulated fleet."""
 
-    def __init__(self, number: int, world: SchedulingWorld) -> None:
+    def __init__(self, number: int, simulation: SchedulingSimulation) -> None:
         self.record = InstanceRecord(
             name=f"i{number}",
             ip=f"10.0.0.{number}",
@@ -103,76 +103,78 @@
             knowledge=self.knowledge,
             profiles=self.profiles,
             counters=self.counters,
-            send=lambda data, address: world.send(self.record, data, address),
+            send=lambda data, address: simulation.send(self.record, data, address),
             random=Random(number),
-            read_time=lambda: world.now,
+            read_time=lambda: simulation.now,
         )
 
-    def list_endpoints(self, records: list[EndpointRecord], *, reading: float) -> None:
-        """Take a table of engines."""
+    def apply_endpoints(self, records: list[EndpointRecord], *, reading: float) -> None:
+        """Apply a table of engines."""
         self.knowledge.take_endpoints(
             EndpointReading(records=records, digest=f"d{reading}", reading=reading)
         )
 
 
-class SchedulingWorld:
-    """All instances, and the datagrams between them, which arrive after a turn of the loop."""
+class SchedulingSimulation:
+    """All instances, and the datagrams between them, which arrive in the next loop iteration."""
 
     def __init__(self, *, engines: int = 6) -> None:
         self.now = 100.0
         self.silent: set[str] = set()
-        """Names of the instances that get nothing and answer nothing."""
+        """Names of the instances that neither receive nor send datagrams."""
         self.sent: list[tuple[str, str]] = []
         """Sender and receiver of each datagram."""
-        self._held: dict[str, list[tuple[SchedulingMessage, tuple[str, int]]]] = {}
-        self.members = {f"i{number}": Member(number, self) for number in range(INSTANCES)}
-        self._names = {one.record.ip: name for name, one in self.members.items()}
+        self._held_messages: dict[str, list[tuple[SchedulingMessage, tuple[str, int]]]] = {}
+        self.instances = {
+            f"i{number}": SimulatedInstance(number, self) for number in range(INSTANCES)
+        }
+        self._names = {one.record.ip: name for name, one in self.instances.items()}
         self.engines = [
             make_endpoint(f"e{number}", service=POOL, slots=8) for number in range(engines)
         ]
-        for member in self.members.values():
-            member.list_endpoints(self.engines, reading=1.0)
-        self.beat()
-
-    def beat(self) -> None:
-        """Have all instances that are not silent hear each other."""
-        for member in self.members.values():
-            for other in self.members.values():
+        for instance in self.instances.values():
+            instance.apply_endpoints(self.engines, reading=1.0)
+        self.exchange_heartbeats()
+
+    def exchange_heartbeats(self) -> None:
+        """Deliver a heartbeat of each instance that is not silent to all instances."""
+        for instance in self.instances.values():
+            for other in self.instances.values():
                 if other.record.name not in self.silent:
-                    member.peers.take(self._make_beat(other), now=self.now)
+                    instance.peers.take(self._build_heartbeat(other), now=self.now)
 
     def send(self, sender: InstanceRecord, data: bytes, address: tuple[str, int]) -> None:
-        """Deliver a datagram in the next turn."""
+        """Deliver a datagram in the next loop iteration."""
         receiver = self._names[address[0]]
         self.sent.append((sender.name, receiver))
         if sender.name in self.silent or receiver in self.silent:
             return
         source = (sender.ip, sender.peer_port)
         message = decode_scheduling(data)
-        held = self._held.get(receiver)
+        held = self._held_messages.get(receiver)
         if held is not None:
             held.append((message, source))
             return
-        scheduling = self.members[receiver].scheduling
+        scheduling = self.instances[receiver].scheduling
         asyncio.get_running_loop().call_soon(scheduling.take, message, source)
 
-    def freeze(self, name: str) -> None:
-        """Have an instance stand still; what comes waits in its socket."""
-        self._held[name] = []
+    def pause(self, name: str) -> None:
+        """Pause an instance; datagrams to it wait in its socket."""
+        self._held_messages[name] = []
 
-    def wake(self, name: str) -> None:
-        """Have an instance go on with what has come meanwhile."""
-        for message, source in self._held.pop(name):
-            self.members[name].scheduling.take(message, source)
+    def resume(self, name: str) -> None:
+        """Resume an instance; it receives the datagrams that arrived meanwhile."""
+        for message, source in self._held_messages.pop(name):
+            self.instances[name].scheduling.take(message, source)
 
-    def find_scheduler(self, asker: str, group: str = GROUP) -> str:
-        """Return the name of the instance that an instance asks about a group."""
-        directory = self.members[asker].scheduling.client.directory
-        return directory.find(group, now=self.now).name
+    def find_scheduler(self, requester: str, group: str = GROUP) -> str:
+        """Return the name of the instance that a requester selects as the scheduler of a group."""
+        directory = self.instances[requester].scheduling.client.directory
+        return directory.select(group, now=self.now).name
 
-    def _make_beat(self, member: Member) -> Beat:
+    def _build_heartbeat(self, instance: SimulatedInstance) -> Beat:
         return Beat(
-            record=member.record,
+            record=instance.record,
             incarnation=1,
             sequence=int(self.now * 1000),
             state=InstanceState.SERVING,
--- a/tests/test_relay_scheduling.py
+++ b/tests/test_relay_scheduling.py
@@ -1,4 +1,4 @@
-"""Tests of asking schedulers: forty instances, some of which die, stand still or are cut off."""
+"""Tests of the scheduling client: forty instances, some of which die, stall or are cut off."""
 
 from __future__ import annotations
 
@@ -17,49 +17,51 @@
 from guavamast.relay.refusal_history import RefusalHistory
 from guavamast.relay.request_progress import RequestProgress, begin_progress
 from guavamast.relay.scheduled_work import LEASE_S
-from guavamast.relay.scheduler_directory import PASSED_OVER_S, SILENT_ANSWERS
-from guavamast.relay.scheduling_client import GRANT_VALID_S, MOST_PATIENCE_S
+from guavamast.relay.scheduler_directory import BACKOFF_S, TIMEOUTS_BEFORE_BACKOFF
+from guavamast.relay.scheduling_client import GRANT_VALID_S, MAX_TIMEOUT_S
 from tests.relay_facts import PROFILE, make_request
-from tests.scheduling_world import GROUP, PARTS, POOL, SchedulingWorld
+from tests.scheduling_world import GROUP, POOL, PROMPT_PARTS, SchedulingSimulation
 
 if TYPE_CHECKING:
     from guavamast.relay.messages import CallerRequest
-    from tests.scheduling_world import Member
+    from tests.scheduling_world import SimulatedInstance
 
-ASKER = "i30"
+REQUESTER = "i30"
 OTHER = "i31"
 
 
 class SchedulingTest(unittest.IsolatedAsyncioTestCase):
-    """A request goes where its scheduler says, or where its instance thinks best."""
+    """A request goes to the endpoint that its scheduler selects, or is placed locally."""
 
     async def asyncSetUp(self) -> None:
-        self.world = SchedulingWorld()
-        self.scheduler = self.world.find_scheduler(ASKER)
-        self.assertNotIn(self.scheduler, (ASKER, OTHER))
+        self.simulation = SchedulingSimulation()
+        self.scheduler = self.simulation.find_scheduler(REQUESTER)
+        self.assertNotIn(self.scheduler, (REQUESTER, OTHER))
 
-    def make_placer(self, member: Member) -> ScheduledPlacer:
+    def build_placer(self, instance: SimulatedInstance) -> ScheduledPlacer:
         loads = EndpointLoads()
         own = OwnPlacer(
-            knowledge=member.knowledge,
+            knowledge=instance.knowledge,
             chooser=EndpointChooser(loads=loads, cache=PromptCache(), random=Random(1)),
             demand=PromptDemand(),
-            profiles=member.profiles,
+            profiles=instance.profiles,
             refusals=RefusalHistory(),
             random=Random(1),
-            read_time=lambda: self.world.now,
+            read_time=lambda: self.simulation.now,
         )
         return ScheduledPlacer(
             own=own,
-            client=member.scheduling.client,
-            groups=member.scheduling.groups,
-            knowledge=member.knowledge,
+            client=instance.scheduling.client,
+            groups=instance.scheduling.groups,
+            knowledge=instance.knowledge,
             loads=loads,
-            read_time=lambda: self.world.now,
+            read_time=lambda: self.simulation.now,
         )
 
-    def make_progress(self, member: Member, request: CallerRequest) -> RequestProgress:
-        catalog = member.knowledge.catalog
+    def build_progress(
+        self, instance: SimulatedInstance, request: CallerRequest
+    ) -> RequestProgress:
+        catalog = instance.knowledge.catalog
         assert catalog is not None
         route = catalog.find_route("portal.example", "/answers/")
         assert route is not None
@@ -68,27 +70,29 @@
             request, admitted, service=POOL, shortest_s=0.3, profile=PROFILE, first=True
         )
 
-    async def place(self, name: str = ASKER, **changes: object) -> Placed:
-        """Have an instance place a short prompt."""
-        member = self.world.members[name]
-        values = {"prompt_parts": PARTS, "prompt_tokens": 1_000, "output_tokens": 200}
+    async def place(self, name: str = REQUESTER, **changes: object) -> Placed:
+        """Place a short prompt at an instance."""
+        instance = self.simulation.instances[name]
+        values = {"prompt_parts": PROMPT_PARTS, "prompt_tokens": 1_000, "output_tokens": 200}
         request = make_request(**(values | changes))
-        return await self.make_placer(member).place(request, self.make_progress(member, request))
+        return await self.build_placer(instance).place(
+            request, self.build_progress(instance, request)
+        )
 
-    async def settle(self) -> None:
-        """Let all datagrams arrive."""
+    async def deliver_datagrams(self) -> None:
+        """Run the loop until all datagrams have arrived."""
         for _ in range(5):
             await asyncio.sleep(0)
 
     def count_grants(self, name: str) -> int:
-        host = self.world.members[name].scheduling.host
-        host.keep_house(endpoint_ids=set(), now=self.world.now)
+        host = self.simulation.instances[name].scheduling.host
+        host.clean_up(endpoint_ids=set(), now=self.simulation.now)
         return host.count_grants(GROUP)
 
     async def test_all_instances_ask_the_same_one(self) -> None:
-        found = {self.world.find_scheduler(name) for name in self.world.members}
+        found = {self.simulation.find_scheduler(name) for name in self.simulation.instances}
         self.assertEqual(found, {self.scheduler})
-        self.assertEqual(self.world.members[self.scheduler].record.processor_share, 2.0)
+        self.assertEqual(self.simulation.instances[self.scheduler].record.processor_share, 2.0)
 
     async def test_a_grant_is_held_until_its_end(self) -> None:
         placed = await self.place()
@@ -96,21 +100,21 @@
         self.assertEqual(self.count_grants(self.scheduler), 1)
         placed.work.begin()
         placed.work.end()
-        await self.settle()
+        await self.deliver_datagrams()
         self.assertEqual(self.count_grants(self.scheduler), 0)
 
     async def test_the_scheduler_places_its_own_requests_without_a_datagram(self) -> None:
-        self.world.sent.clear()
+        self.simulation.sent.clear()
         placed = await self.place(self.scheduler)
         self.assertIsNotNone(placed.work)
-        self.assertEqual(self.world.sent, [])
+        self.assertEqual(self.simulation.sent, [])
         self.assertEqual(self.count_grants(self.scheduler), 1)
 
     async def test_requests_of_all_instances_are_compared(self) -> None:
-        """Engines are shared evenly although no instance tells another of its requests."""
-        self.world = SchedulingWorld(engines=8)
+        """Engines are shared evenly although instances do not exchange their loads."""
+        self.simulation = SchedulingSimulation(engines=8)
         chosen = []
-        for name in list(self.world.members)[:32]:
+        for name in list(self.simulation.instances)[:32]:
             placed = await self.place(name, prompt_parts=())
             assert placed.choice is not None
             chosen.append(placed.choice.record.endpoint_id)
@@ -118,99 +122,102 @@
         self.assertLessEqual(max(map(chosen.count, chosen)), 6)
 
     async def test_a_silent_scheduler_costs_one_short_wait(self) -> None:
-        """The caller is served although the scheduler is dead and nobody knows it yet.
+        """The caller is served although the scheduler is dead and still listed as live.
 
-        The query finds nobody. After a few hundredths of a second the instance decides by what it
-        knows; after two such waits it asks the next candidate.
+        The query times out after a few hundredths of a second and the instance decides locally;
+        after two such timeouts it queries the next candidate.
         """
-        self.world.silent = {self.scheduler}
+        self.simulation.silent = {self.scheduler}
         loop = asyncio.get_running_loop()
-        for _ in range(SILENT_ANSWERS):
+        for _ in range(TIMEOUTS_BEFORE_BACKOFF):
             began = loop.time()
             placed = await self.place()
             self.assertIsNotNone(placed.choice)
-            self.assertLess(loop.time() - began, 10 * MOST_PATIENCE_S)
-        following = self.world.find_scheduler(ASKER)
-        self.assertNotEqual(following, self.scheduler)
+            self.assertLess(loop.time() - began, 10 * MAX_TIMEOUT_S)
+        successor = self.simulation.find_scheduler(REQUESTER)
+        self.assertNotEqual(successor, self.scheduler)
         await self.place()
-        self.assertEqual(self.count_grants(following), SILENT_ANSWERS + 1)
+        self.assertEqual(self.count_grants(successor), TIMEOUTS_BEFORE_BACKOFF + 1)
 
     async def test_a_scheduler_that_is_back_is_asked_again(self) -> None:
-        self.world.silent = {self.scheduler}
-        for _ in range(SILENT_ANSWERS):
+        self.simulation.silent = {self.scheduler}
+        for _ in range(TIMEOUTS_BEFORE_BACKOFF):
             await self.place()
-        self.world.silent = set()
-        self.world.now += PASSED_OVER_S
-        self.assertEqual(self.world.find_scheduler(ASKER), self.scheduler)
+        self.simulation.silent = set()
+        self.simulation.now += BACKOFF_S
+        self.assertEqual(self.simulation.find_scheduler(REQUESTER), self.scheduler)
 
     async def test_a_late_grant_holds_nothing(self) -> None:
-        """A scheduler that stood still answers seconds later; nothing is counted for its answer.
+        """A stalled scheduler replies seconds later; its grant does not stay counted.
 
-        It finds the query and the word that it was given up in its socket, in this order.
+        It receives the query and then the update that ends it from its socket, in this order.
         """
-        self.world.freeze(self.scheduler)
+        self.simulation.pause(self.scheduler)
         placed = await self.place()
         self.assertIsNotNone(placed.choice)
-        await self.settle()
-        self.world.wake(self.scheduler)
-        await self.settle()
+        await self.deliver_datagrams()
+        self.simulation.resume(self.scheduler)
+        await self.deliver_datagrams()
         self.assertEqual(self.count_grants(self.scheduler), 1, "the one that it was told of")
-        counters = self.world.members[ASKER].counters.render()
+        counters = self.simulation.instances[REQUESTER].counters.render()
         self.assertIn("late_replies_total 1", counters)
 
     async def test_a_new_scheduler_knows_what_runs(self) -> None:
-        """Engines are not overrun when the scheduler dies.
+        """Engines are not overloaded when the scheduler dies.
 
-        Requests run that it had granted. The instances that sent them tell its successor before
-        they ask it anything.
+        Requests that it granted still run. The instances that sent them report them to its
+        successor before their first query.
         """
         for _ in range(3):
             await self.place()
         await self.place(OTHER)
-        self.world.silent = {self.scheduler}
-        self.world.now += 4.0
-        self.world.beat()
-        following = self.world.find_scheduler(ASKER)
-        self.assertNotEqual(following, self.scheduler)
+        self.simulation.silent = {self.scheduler}
+        self.simulation.now += 4.0
+        self.simulation.exchange_heartbeats()
+        successor = self.simulation.find_scheduler(REQUESTER)
+        self.assertNotEqual(successor, self.scheduler)
         await self.place()
-        self.assertEqual(self.count_grants(following), 4)
-        self.world.members[OTHER].scheduling.client.report()
-        await self.settle()
-        self.assertEqual(self.count_grants(following), 5)
+        self.assertEqual(self.count_grants(successor), 4)
+        self.simulation.instances[OTHER].scheduling.client.report()
+        await self.deliver_datagrams()
+        self.assertEqual(self.count_grants(successor), 5)
 
     async def test_two_schedulers_at_once_each_count_their_own(self) -> None:
-        """Requests are served while instances disagree on who schedules.
+        """Requests are served while instances disagree on the scheduler.
 
-        One has not heard of an instance with more room that has just started; the group has two
-        schedulers, each counts what it granted, and both hear of the ends.
+        One instance does not know of an instance that has just started with a larger processor
+        share, so the group has two schedulers. Each counts its own grants, and both receive the
+        ends.
         """
-        member = self.world.members[OTHER]
-        member.scheduling.client.directory.note_silence(self.scheduler, now=self.world.now)
-        member.scheduling.client.directory.note_silence(self.scheduler, now=self.world.now)
-        second = self.world.find_scheduler(OTHER)
+        instance = self.simulation.instances[OTHER]
+        instance.scheduling.client.directory.record_timeout(self.scheduler, now=self.simulation.now)
+        instance.scheduling.client.directory.record_timeout(self.scheduler, now=self.simulation.now)
+        second = self.simulation.find_scheduler(OTHER)
         self.assertNotEqual(second, self.scheduler)
         first_placed, second_placed = await self.place(), await self.place(OTHER)
         self.assertEqual([self.count_grants(name) for name in (self.scheduler, second)], [1, 1])
         for placed in (first_placed, second_placed):
             assert placed.work is not None
             placed.work.end()
-        await self.settle()
+        await self.deliver_datagrams()
         self.assertEqual([self.count_grants(name) for name in (self.scheduler, second)], [0, 0])
 
     async def test_an_endpoint_that_the_asker_does_not_list_is_not_used(self) -> None:
-        """No request goes to an engine that has left by what its instance knows.
+        """No request goes to an engine that is missing from the requester's endpoint table.
 
-        The scheduler has not read the newer table yet and grants a place at an engine that is gone.
+        The scheduler has not read the newer table yet and grants the removed engine.
         """
-        member = self.world.members[ASKER]
+        instance = self.simulation.instances[REQUESTER]
         gone = (await self.place()).choice
         assert gone is not None
-        left = [one for one in self.world.engines if one.endpoint_id != gone.record.endpoint_id]
-        member.list_endpoints(left, reading=2.0)
+        remaining = [
+            one for one in self.simulation.engines if one.endpoint_id != gone.record.endpoint_id
+        ]
+        instance.apply_endpoints(remaining, reading=2.0)
         placed = await self.place()
         assert placed.choice is not None
         self.assertNotEqual(placed.choice.record.endpoint_id, gone.record.endpoint_id)
-        await self.settle()
+        await self.deliver_datagrams()
         self.assertEqual(self.count_grants(self.scheduler), 2, "the refused grant is given back")
 
     async def test_a_caller_that_leaves_while_the_scheduler_is_asked_holds_nothing(self) -> None:
@@ -218,19 +225,19 @@
         await asyncio.sleep(0)
         asking.cancel()
         await asyncio.gather(asking, return_exceptions=True)
-        await self.settle()
+        await self.deliver_datagrams()
         self.assertEqual(self.count_grants(self.scheduler), 0)
 
     async def test_a_frozen_asker_sends_by_no_old_grant(self) -> None:
-        """An engine is not overrun by an instance that comes back after its grants were dropped."""
+        """An engine is not overloaded by an instance that resumes after its grants were dropped."""
         placed = await self.place()
         assert placed.work is not None
-        self.assertFalse(placed.work.is_void(now=self.world.now + GRANT_VALID_S))
+        self.assertFalse(placed.work.is_void(now=self.simulation.now + GRANT_VALID_S))
         self.assertLess(GRANT_VALID_S, LEASE_S)
-        self.assertTrue(placed.work.is_void(now=self.world.now + LEASE_S))
+        self.assertTrue(placed.work.is_void(now=self.simulation.now + LEASE_S))
 
     async def test_a_third_that_reaches_no_scheduler_still_serves(self) -> None:
-        self.world.silent = {name for name in self.world.members if int(name[1:]) < 20}
+        self.simulation.silent = {name for name in self.simulation.instances if int(name[1:]) < 20}
         placed = await self.place()
         self.assertIsNotNone(placed.choice)
 
@@ -239,7 +246,7 @@
         for one in placed:
             assert one.work is not None
             one.work.end(failure_weight=1.0)
-        await self.settle()
+        await self.deliver_datagrams()
         self.assertEqual(self.count_grants(self.scheduler), 0)
 
     async def test_a_full_group_sends_back(self) -> None:
