--- a/src/guavamast/relay/beat_exchange.py
+++ b/src/guavamast/relay/beat_exchange.py
@@ -6,7 +6,7 @@
 from typing import TYPE_CHECKING, Final
 
 from guavamast.relay.beat_relays import RELAYS_EACH
-from guavamast.relay.beats import BeatBundle, encode_beat, encode_bundle
+from guavamast.relay.beats import BeatBundle, encode_beat, encode_aggregate
 from guavamast.relay.peers import compute_beat_interval
 
 if TYPE_CHECKING:
@@ -19,12 +19,12 @@
     from guavamast.relay.peers import Peers
     from guavamast.relay.store import InstanceRecord
 
-EXCHANGE_INTERVAL_S: Final = 0.5
+AGGREGATE_EXCHANGE_INTERVAL_S: Final = 0.5
 """Seconds between two bundles from relay to relay."""
-BUNDLE_INTERVAL_S: Final = RELAYS_EACH * EXCHANGE_INTERVAL_S
+DOMAIN_AGGREGATE_INTERVAL_S: Final = RELAYS_EACH * AGGREGATE_EXCHANGE_INTERVAL_S
 """Between two bundles from a relay to its whole failure domain: the relays do so by turns, and an
 instance gets a bundle in each exchange's interval."""
-PACED_SHARE: Final = 0.7
+PACING_SHARE: Final = 0.7
 """Share of that interval over which a relay spreads its bundles. Sent at once, they would fill its
 link and hold up the answers on it."""
 
@@ -45,17 +45,17 @@
     """
 
     __slots__ = (
-        "_catalog_forwarded",
-        "_content",
-        "_endpoints_forwarded",
-        "_make_beat",
+        "_catalog_time_forwarded",
+        "_aggregates",
+        "_endpoints_time_forwarded",
+        "_build_heartbeat",
         "_name",
         "_peers",
         "_read_time",
-        "_relays",
+        "_topology",
         "_send",
-        "_take_beat",
-        "_take_bundle",
+        "_on_heartbeat",
+        "_on_aggregate",
     )
 
     def __init__(
@@ -73,32 +73,32 @@
     ) -> None:
         self._name = name
         self._peers = peers
-        self._relays = relays
-        self._content = content
-        self._make_beat = make_beat
-        self._take_beat = take_beat
-        self._take_bundle = take_bundle
+        self._topology = relays
+        self._aggregates = content
+        self._build_heartbeat = make_beat
+        self._on_heartbeat = take_beat
+        self._on_aggregate = take_bundle
         self._send = send
         self._read_time = read_time
-        self._catalog_forwarded = 0.0
-        self._endpoints_forwarded = 0.0
+        self._catalog_time_forwarded = 0.0
+        self._endpoints_time_forwarded = 0.0
 
     async def run(self) -> None:
         """Send beats until cancelled."""
         async with asyncio.TaskGroup() as tasks:
-            tasks.create_task(self._send_beats())
-            tasks.create_task(self._relay_beats())
-            tasks.create_task(self._tell_domain_by_turns())
+            tasks.create_task(self._run_heartbeats())
+            tasks.create_task(self._run_aggregate_exchange())
+            tasks.create_task(self._run_domain_aggregates())
 
     def announce(self) -> None:
         """Send a beat with news at once."""
-        beat = self._make_beat()
+        heartbeat = self._build_heartbeat()
         now = self._read_time()
-        data = encode_beat(beat)
-        for target in self._list_news_targets():
+        data = encode_beat(heartbeat)
+        for target in self._list_update_targets():
             self._send(data, target)
-        if self._relays.is_relay(now=now):
-            self._forward(beat)
+        if self._topology.is_aggregator(now=now):
+            self._forward_to_domain(heartbeat)
 
     def tell_table(self, data: bytes | None) -> None:
         """Tell the others a table that this instance has read and that has changed.
@@ -111,7 +111,7 @@
         """
         if data is None:
             return
-        for target in self._list_news_targets():
+        for target in self._list_update_targets():
             self._send(data, target)
 
     def forward_table(self, data: bytes, *, domain: str) -> None:
@@ -122,10 +122,10 @@
             domain: Failure domain of the instance that has read it.
         """
         now = self._read_time()
-        if self._relays.is_relay(now=now):
-            targets = self._relays.list_members()
-        elif domain != self._relays.domain:
-            targets = self._relays.list_own_targets(now=now)
+        if self._topology.is_aggregator(now=now):
+            targets = self._topology.list_domain_members()
+        elif domain != self._topology.domain:
+            targets = self._topology.list_heartbeat_targets(now=now)
         else:
             return
         for target in targets:
@@ -133,52 +133,54 @@
 
     def announce_to_all(self) -> None:
         """Send a beat to each instance directly: on coming and on leaving."""
-        data = encode_beat(self._make_beat())
+        data = encode_beat(self._build_heartbeat())
         for target in self._peers.list_targets():
             self._send(data, target)
 
-    def take(self, beat: Beat) -> None:
+    def take(self, heartbeat: Beat) -> None:
         """Take a beat from its instance itself, and pass it on at once if it brings news."""
         now = self._read_time()
-        state = self._peers.find_state(beat.record.name)
-        if not self._peers.take(beat, now=now):
+        previous_state = self._peers.find_state(heartbeat.record.name)
+        if not self._peers.take(heartbeat, now=now):
             return
-        self._take_beat(beat)
-        if self._relays.is_relay(now=now):
-            self._forward(beat, changed=state is not beat.state)
+        self._on_heartbeat(heartbeat)
+        if self._topology.is_aggregator(now=now):
+            self._forward_to_domain(heartbeat, changed=previous_state is not heartbeat.state)
 
-    def take_bundle(self, bundle: BeatBundle) -> None:
+    def take_bundle(self, aggregate: BeatBundle) -> None:
         """Take what a relay has passed on."""
         now = self._read_time()
-        self._relays.note_bundle(now=now)
-        records = {record.name: record for record in bundle.records}
-        for sign in bundle.signs:
-            self._peers.take_sign(sign, records.get(sign.name), now=now)
-        self._take_bundle(bundle)
-        if self._relays.is_foreign(bundle.relay) and not self._relays.is_relay(now=now):
-            data = encode_bundle(bundle)
-            for target in self._relays.list_own_targets(now=now):
+        self._topology.record_aggregate(now=now)
+        records = {record.name: record for record in aggregate.records}
+        for liveness in aggregate.liveness:
+            self._peers.take_sign(liveness, records.get(liveness.name), now=now)
+        self._on_aggregate(aggregate)
+        if self._topology.is_in_other_domain(
+            aggregate.aggregator
+        ) and not self._topology.is_aggregator(now=now):
+            data = encode_aggregate(aggregate)
+            for target in self._topology.list_heartbeat_targets(now=now):
                 self._send(data, target)
 
-    def send_beat(self) -> None:
+    def send_heartbeat(self) -> None:
         """Send one beat to those who always get it."""
-        data = encode_beat(self._make_beat())
-        for target in self._relays.list_own_targets(now=self._read_time()):
+        data = encode_beat(self._build_heartbeat())
+        for target in self._topology.list_heartbeat_targets(now=self._read_time()):
             self._send(data, target)
 
-    def tell_relays(self) -> None:
+    def send_to_aggregators(self) -> None:
         """As a relay, tell the other domains' relays of the own domain."""
         now = self._read_time()
-        if not self._relays.is_relay(now=now):
+        if not self._topology.is_aggregator(now=now):
             return
-        peers = self._relays.list_domain_peers(now=now)
-        bundles = self._content.make_own(self._make_beat(), peers, now=now)
-        targets = self._relays.list_other_relays(now=now)
-        for data in map(encode_bundle, bundles):
+        peers = self._topology.list_domain_peers(now=now)
+        aggregates = self._aggregates.build_for_aggregators(self._build_heartbeat(), peers, now=now)
+        targets = self._topology.list_other_aggregators(now=now)
+        for data in map(encode_aggregate, aggregates):
             for target in targets:
                 self._send(data, target)
 
-    async def tell_domain(self, *, pause_s: float) -> None:
+    async def send_to_domain(self, *, gap_s: float) -> None:
         """As a relay, tell the own domain of everybody.
 
         Args:
@@ -186,72 +188,75 @@
                 up answers.
         """
         now = self._read_time()
-        if not self._relays.is_relay(now=now):
+        if not self._topology.is_aggregator(now=now):
             return
         peers = self._peers.list_live(now=now)
-        made = self._content.make_all(self._make_beat(), peers, now=now)
-        bundles = [encode_bundle(bundle) for bundle in made]
-        for target in self._relays.list_members():
-            for data in bundles:
+        aggregates = self._aggregates.build_for_domain(self._build_heartbeat(), peers, now=now)
+        datagrams = [encode_aggregate(aggregate) for aggregate in aggregates]
+        for target in self._topology.list_domain_members():
+            for data in datagrams:
                 self._send(data, target)
-            await asyncio.sleep(pause_s)
+            await asyncio.sleep(gap_s)
 
-    def _list_news_targets(self) -> list[InstanceRecord]:
-        return self._relays.list_news_targets(now=self._read_time())
+    def _list_update_targets(self) -> list[InstanceRecord]:
+        return self._topology.list_update_targets(now=self._read_time())
 
-    def _forward(self, beat: Beat, *, changed: bool = False) -> None:
+    def _forward_to_domain(self, heartbeat: Beat, *, changed: bool = False) -> None:
         """Tell the own failure domain of a proof that is newer than those told before.
 
         Args:
             beat: The beat with the proof.
             changed: Whether it brings other news.
         """
-        catalog = _read_reading(beat.catalog)
-        endpoints = _read_reading(beat.endpoints)
-        newer = catalog > self._catalog_forwarded or endpoints > self._endpoints_forwarded
+        catalog_time = _get_store_time(heartbeat.catalog)
+        endpoints_time = _get_store_time(heartbeat.endpoints)
+        newer = (
+            catalog_time > self._catalog_time_forwarded
+            or endpoints_time > self._endpoints_time_forwarded
+        )
         if not newer and not changed:
             return
-        self._catalog_forwarded = max(catalog, self._catalog_forwarded)
-        self._endpoints_forwarded = max(endpoints, self._endpoints_forwarded)
-        bundle = BeatBundle(
-            relay=self._name,
-            signs=[beat.make_sign()],
-            records=[beat.record],
-            catalog=beat.catalog,
-            endpoints=beat.endpoints,
+        self._catalog_time_forwarded = max(catalog_time, self._catalog_time_forwarded)
+        self._endpoints_time_forwarded = max(endpoints_time, self._endpoints_time_forwarded)
+        aggregate = BeatBundle(
+            aggregator=self._name,
+            liveness=[heartbeat.make_sign()],
+            records=[heartbeat.record],
+            catalog=heartbeat.catalog,
+            endpoints=heartbeat.endpoints,
             profiles={},
         )
-        data = encode_bundle(bundle)
-        for target in self._relays.list_members():
-            if target.name != beat.record.name:
+        data = encode_aggregate(aggregate)
+        for target in self._topology.list_domain_members():
+            if target.name != heartbeat.record.name:
                 self._send(data, target)
 
-    async def _send_beats(self) -> None:
+    async def _run_heartbeats(self) -> None:
         while True:
-            self.send_beat()
+            self.send_heartbeat()
             await asyncio.sleep(compute_beat_interval(self._peers.count_known()))
 
-    async def _relay_beats(self) -> None:
+    async def _run_aggregate_exchange(self) -> None:
         while True:
-            await asyncio.sleep(EXCHANGE_INTERVAL_S)
-            self.tell_relays()
+            await asyncio.sleep(AGGREGATE_EXCHANGE_INTERVAL_S)
+            self.send_to_aggregators()
 
-    async def _tell_domain_by_turns(self) -> None:
-        place: int | None = None
+    async def _run_domain_aggregates(self) -> None:
+        rank: int | None = None
         while True:
-            began = self._read_time()
-            found = self._relays.find_turn(now=began)
-            if found is None:
-                place = None
-                await asyncio.sleep(EXCHANGE_INTERVAL_S)
+            started = self._read_time()
+            current_rank = self._topology.find_aggregator_rank(now=started)
+            if current_rank is None:
+                rank = None
+                await asyncio.sleep(AGGREGATE_EXCHANGE_INTERVAL_S)
                 continue
-            if found != place:
-                place = found
-                await asyncio.sleep(place * EXCHANGE_INTERVAL_S)
-            members = max(1, len(self._relays.list_members()))
-            await self.tell_domain(pause_s=PACED_SHARE * BUNDLE_INTERVAL_S / members)
-            await asyncio.sleep(max(0.0, began + BUNDLE_INTERVAL_S - self._read_time()))
+            if current_rank != rank:
+                rank = current_rank
+                await asyncio.sleep(rank * AGGREGATE_EXCHANGE_INTERVAL_S)
+            members = max(1, len(self._topology.list_domain_members()))
+            await self.send_to_domain(gap_s=PACING_SHARE * DOMAIN_AGGREGATE_INTERVAL_S / members)
+            await asyncio.sleep(max(0.0, started + DOMAIN_AGGREGATE_INTERVAL_S - self._read_time()))
 
 
-def _read_reading(proof: Proof | None) -> float:
-    return proof.reading if proof is not None else 0.0
+def _get_store_time(stamp: Proof | None) -> float:
+    return stamp.reading if stamp is not None else 0.0
--- a/src/guavamast/relay/beat_relays.py
+++ b/src/guavamast/relay/beat_relays.py
@@ -13,11 +13,11 @@
 
 RELAYS_EACH: Final = 2
 """Relays of a failure domain: one goes on when the other ends."""
-SILENT_RELAYS_S: Final = 2.2
+AGGREGATOR_SILENCE_S: Final = 2.2
 """Seconds without a word of any relay of the own failure domain after which an instance tells all
 of it directly: above two bundles, so that a lost datagram changes nothing."""
-RELAY_KEY: Final = "beat relays"
-TURN_S: Final = 1.0
+AGGREGATOR_RANK_KEY: Final = "beat relays"
+PROBE_TURN_S: Final = 1.0
 """Seconds for which the same instances of a domain that is not heard are tried."""
 
 
@@ -40,53 +40,53 @@
         peers: The others.
     """
 
-    __slots__ = ("_heard_relay", "_peers", "_record")
+    __slots__ = ("_last_aggregate", "_peers", "_record")
 
     def __init__(self, *, record: InstanceRecord, peers: Peers) -> None:
         self._record = record
         self._peers = peers
-        self._heard_relay: float | None = None
+        self._last_aggregate: float | None = None
 
     @property
     def domain(self) -> str:
         """The failure domain of this instance."""
         return self._record.failure_domain
 
-    def note_bundle(self, *, now: float) -> None:
+    def record_aggregate(self, *, now: float) -> None:
         """Note that a relay has passed beats on to this instance."""
-        self._heard_relay = now
+        self._last_aggregate = now
 
-    def is_relay(self, *, now: float) -> bool:
+    def is_aggregator(self, *, now: float) -> bool:
         """Return whether this instance passes beats on."""
-        return self.find_turn(now=now) is not None
+        return self.find_aggregator_rank(now=now) is not None
 
-    def find_turn(self, *, now: float) -> int | None:
+    def find_aggregator_rank(self, *, now: float) -> int | None:
         """Return this instance's place among the relays of its domain; None if it is none."""
         if not self._peers.relayed:
             return None
-        relays = self._rank_domain(self._record.failure_domain, now=now)
-        names = [one.name for one in relays]
+        aggregators = self._list_aggregators(self._record.failure_domain, now=now)
+        names = [one.name for one in aggregators]
         return names.index(self._record.name) if self._record.name in names else None
 
-    def list_own_targets(self, *, now: float) -> list[InstanceRecord]:
+    def list_heartbeat_targets(self, *, now: float) -> list[InstanceRecord]:
         """Return the instances that get each beat of this one."""
         if not self._peers.relayed:
             return self._peers.list_targets()
         own = self._record.failure_domain
-        last = self._heard_relay
-        deaf = last is None or now - last > SILENT_RELAYS_S
-        if deaf and not self.is_relay(now=now):
-            return self.list_members()
-        return self._drop_own(self._rank_domain(own, now=now))
+        last = self._last_aggregate
+        without_aggregator = last is None or now - last > AGGREGATOR_SILENCE_S
+        if without_aggregator and not self.is_aggregator(now=now):
+            return self.list_domain_members()
+        return self._exclude_self(self._list_aggregators(own, now=now))
 
-    def list_news_targets(self, *, now: float) -> list[InstanceRecord]:
+    def list_update_targets(self, *, now: float) -> list[InstanceRecord]:
         """Return the instances that get a beat with news: the relays of all failure domains."""
-        targets = {one.name: one for one in self.list_own_targets(now=now)}
+        targets = {one.name: one for one in self.list_heartbeat_targets(now=now)}
         if self._peers.relayed:
-            targets.update((one.name, one) for one in self.list_other_relays(now=now))
+            targets.update((one.name, one) for one in self.list_other_aggregators(now=now))
         return list(targets.values())
 
-    def list_other_relays(self, *, now: float) -> list[InstanceRecord]:
+    def list_other_aggregators(self, *, now: float) -> list[InstanceRecord]:
         """Return the relays of the other failure domains.
 
         Failure: two domains lose their relays at the same time. Neither hears of the other any
@@ -97,18 +97,18 @@
         for one in self._peers.list_targets():
             known.setdefault(one.failure_domain, {})[one.name] = one
         known.pop(self._record.failure_domain, None)
-        relays = []
+        aggregators = []
         for domain in sorted(known):
-            live = self._rank_domain(domain, now=now)
-            relays += live or _take_turn(known[domain], now=now)
-        return relays
+            live = self._list_aggregators(domain, now=now)
+            aggregators += live or _select_probe_targets(known[domain], now=now)
+        return aggregators
 
-    def is_foreign(self, name: str) -> bool:
+    def is_in_other_domain(self, name: str) -> bool:
         """Return whether an instance is known to be in another failure domain."""
         record = self._peers.find_record(name)
         return record is not None and record.failure_domain != self._record.failure_domain
 
-    def list_members(self) -> list[InstanceRecord]:
+    def list_domain_members(self) -> list[InstanceRecord]:
         """Return the other instances of the own failure domain."""
         own = self._record.failure_domain
         return [one for one in self._peers.list_targets() if one.failure_domain == own]
@@ -119,7 +119,7 @@
         live = self._peers.list_live(now=now)
         return [peer for peer in live if peer.record.failure_domain == own]
 
-    def _rank_domain(self, domain: str, *, now: float) -> list[InstanceRecord]:
+    def _list_aggregators(self, domain: str, *, now: float) -> list[InstanceRecord]:
         """Return the relays of a failure domain, this instance among them if it is one."""
         records = {
             peer.record.name: peer.record
@@ -128,25 +128,25 @@
         }
         if domain == self._record.failure_domain:
             records[self._record.name] = self._record
-        return [records[name] for name in _rank_relays(records)[:RELAYS_EACH]]
+        return [records[name] for name in _rank_aggregators(records)[:RELAYS_EACH]]
 
-    def _drop_own(self, records: list[InstanceRecord]) -> list[InstanceRecord]:
+    def _exclude_self(self, records: list[InstanceRecord]) -> list[InstanceRecord]:
         return [one for one in records if one.name != self._record.name]
 
 
-def _rank_relays(records: dict[str, InstanceRecord]) -> list[str]:
+def _rank_aggregators(records: dict[str, InstanceRecord]) -> list[str]:
     """Return the names of a domain's instances in the order in which they are to be relays."""
     return sorted(
         records,
-        key=lambda name: (records[name].link_mbps, recall_weight(RELAY_KEY, name), name),
+        key=lambda name: (records[name].link_mbps, recall_weight(AGGREGATOR_RANK_KEY, name), name),
         reverse=True,
     )
 
 
-def _take_turn(known: dict[str, InstanceRecord], *, now: float) -> list[InstanceRecord]:
+def _select_probe_targets(known: dict[str, InstanceRecord], *, now: float) -> list[InstanceRecord]:
     """Return the instances of a domain whose turn it is, the usual relays first."""
-    names = _rank_relays(known)
-    first = int(now / TURN_S) * RELAYS_EACH
-    turns = [names[(first + number) % len(names)] for number in range(RELAYS_EACH)]
-    usual = names[:RELAYS_EACH]
-    return [known[name] for name in dict.fromkeys([*usual, *turns])]
+    names = _rank_aggregators(known)
+    first = int(now / PROBE_TURN_S) * RELAYS_EACH
+    rotating = [names[(first + number) % len(names)] for number in range(RELAYS_EACH)]
+    preferred = names[:RELAYS_EACH]
+    return [known[name] for name in dict.fromkeys([*preferred, *rotating])]
--- a/src/guavamast/relay/beat_socket.py
+++ b/src/guavamast/relay/beat_socket.py
@@ -7,7 +7,7 @@
 
 from guavamast.relay.beats import MalformedBeat, decode_message
 from guavamast.relay.catalog_news import CATALOG_MARK, decode_catalog_news
-from guavamast.relay.endpoint_news import NEWS_MARK, decode_endpoints
+from guavamast.relay.endpoint_news import ENDPOINTS_PREFIX, decode_endpoint_update
 from guavamast.relay.scheduling_wire import (
     SCHEDULING_MARK,
     MalformedScheduling,
@@ -38,10 +38,10 @@
 
     __slots__ = (
         "_counters",
-        "_take",
-        "_take_catalog",
-        "_take_endpoints",
-        "_take_scheduling",
+        "_on_message",
+        "_on_catalog_update",
+        "_on_endpoint_update",
+        "_on_scheduling_message",
         "_transport",
     )
 
@@ -54,10 +54,10 @@
         take_scheduling: Callable[[SchedulingMessage, tuple[str, int]], None],
         counters: Counters,
     ) -> None:
-        self._take_catalog = take_catalog
-        self._take_endpoints = take_endpoints
-        self._take_scheduling = take_scheduling
-        self._take = take
+        self._on_catalog_update = take_catalog
+        self._on_endpoint_update = take_endpoints
+        self._on_scheduling_message = take_scheduling
+        self._on_message = take
         self._counters = counters
         self._transport: asyncio.DatagramTransport | None = None
 
@@ -74,13 +74,13 @@
         """Take a beat; what is none is counted."""
         try:
             if data.startswith(SCHEDULING_MARK):
-                self._take_scheduling(decode_scheduling(data), addr)
+                self._on_scheduling_message(decode_scheduling(data), addr)
             elif data.startswith(CATALOG_MARK):
-                self._take_catalog(decode_catalog_news(data), data)
-            elif data.startswith(NEWS_MARK):
-                self._take_endpoints(decode_endpoints(data), data)
+                self._on_catalog_update(decode_catalog_news(data), data)
+            elif data.startswith(ENDPOINTS_PREFIX):
+                self._on_endpoint_update(decode_endpoint_update(data), data)
             else:
-                self._take(decode_message(data))
+                self._on_message(decode_message(data))
         except (MalformedBeat, MalformedScheduling):
             self._counters.add("malformed_beats_total")
 
--- a/src/guavamast/relay/beats.py
+++ b/src/guavamast/relay/beats.py
@@ -20,7 +20,7 @@
 from guavamast.relay.refusal_history import RefusalCount
 from guavamast.relay.store import InstanceRecord
 
-BUNDLE_MARK: Final = b"z"
+AGGREGATE_PREFIX: Final = b"z"
 """Begins the datagram of a bundle; beats begin with a brace, notices with a bracket."""
 
 
@@ -34,14 +34,14 @@
     LEAVING = "leaving"
 
 
-BUNDLE_VERSION: Final = 2
+AGGREGATE_VERSION: Final = 2
 """Rank of the form of bundles; another is not understood."""
 _STATES: Final = list(InstanceState)
 _STATE_CODES: Final = {state: code for code, state in enumerate(InstanceState)}
 
 
 @dataclass(frozen=True, slots=True, kw_only=True)
-class LifeSign:
+class LivenessRecord:
     """That a process lives and in which state, for those who know its record."""
 
     name: str
@@ -77,9 +77,9 @@
     sends: list[PromptSend]
     """Prompts that the instance has sent in the last second."""
 
-    def make_sign(self) -> LifeSign:
+    def make_sign(self) -> LivenessRecord:
         """Return the part that is passed on to those who know the instance."""
-        return LifeSign(
+        return LivenessRecord(
             name=self.record.name,
             incarnation=self.incarnation,
             sequence=self.sequence,
@@ -109,9 +109,9 @@
     is enough; so a bundle names those that live and tells the rest once.
     """
 
-    relay: str
+    aggregator: str
     """Name of the instance that passes it on."""
-    signs: list[LifeSign]
+    liveness: list[LivenessRecord]
     records: list[InstanceRecord]
     """Of those among them that are new or have changed, and of some others in turn."""
     catalog: Proof | None
@@ -125,49 +125,49 @@
     """A datagram that is no beat."""
 
 
-def encode_beat(beat: Beat) -> bytes:
+def encode_beat(heartbeat: Beat) -> bytes:
     """Return the datagram of a beat."""
-    return json.dumps(_to_fields(beat), separators=(",", ":")).encode()
+    return json.dumps(_to_fields(heartbeat), separators=(",", ":")).encode()
 
 
-def encode_bundle(bundle: BeatBundle) -> bytes:
+def encode_aggregate(aggregate: BeatBundle) -> bytes:
     """Return the datagram of a bundle."""
     fields = [
-        BUNDLE_VERSION,
-        bundle.relay,
+        AGGREGATE_VERSION,
+        aggregate.aggregator,
         [
             [
-                sign.name,
-                sign.incarnation,
-                sign.sequence,
-                _STATE_CODES[sign.state],
-                sign.store_answers,
+                liveness.name,
+                liveness.incarnation,
+                liveness.sequence,
+                _STATE_CODES[liveness.state],
+                liveness.store_answers,
             ]
-            for sign in bundle.signs
+            for liveness in aggregate.liveness
         ],
-        [_encode_record(record) for record in bundle.records],
-        _encode_proof(bundle.catalog),
-        _encode_proof(bundle.endpoints),
-        {domain: _encode_profiles(profiles) for domain, profiles in bundle.profiles.items()},
+        [_encode_record(record) for record in aggregate.records],
+        _encode_stamp(aggregate.catalog),
+        _encode_stamp(aggregate.endpoints),
+        {domain: _encode_profiles(profiles) for domain, profiles in aggregate.profiles.items()},
     ]
-    return BUNDLE_MARK + pack(fields)
+    return AGGREGATE_PREFIX + pack(fields)
 
 
-def _to_fields(beat: Beat) -> dict[str, Any]:
+def _to_fields(heartbeat: Beat) -> dict[str, Any]:
     return {
         "v": 1,
-        "who": _encode_record(beat.record),
-        "inc": beat.incarnation,
-        "seq": beat.sequence,
-        "state": beat.state,
-        "store": beat.store_answers,
-        "cat": _encode_proof(beat.catalog),
-        "end": _encode_proof(beat.endpoints),
-        "ask": [round(work, 1) for work in beat.demand.work_ms],
-        "back": _encode_refusals(beat.refusals),
-        "speed": _encode_profiles(beat.profiles),
-        "sent": _encode_sends(beat.sends),
-        "load": _encode_loads(beat.loads),
+        "who": _encode_record(heartbeat.record),
+        "inc": heartbeat.incarnation,
+        "seq": heartbeat.sequence,
+        "state": heartbeat.state,
+        "store": heartbeat.store_answers,
+        "cat": _encode_stamp(heartbeat.catalog),
+        "end": _encode_stamp(heartbeat.endpoints),
+        "ask": [round(work, 1) for work in heartbeat.demand.work_ms],
+        "back": _encode_rejections(heartbeat.refusals),
+        "speed": _encode_profiles(heartbeat.profiles),
+        "sent": _encode_sends(heartbeat.sends),
+        "load": _encode_loads(heartbeat.loads),
     }
 
 
@@ -192,27 +192,27 @@
         sequence=int(fields["seq"]),
         state=InstanceState(fields["state"]),
         store_answers=bool(fields["store"]),
-        catalog=_decode_proof(fields["cat"]),
-        endpoints=_decode_proof(fields["end"]),
+        catalog=_decode_stamp(fields["cat"]),
+        endpoints=_decode_stamp(fields["end"]),
         loads=_decode_loads(fields["load"]),
         demand=_decode_demand(fields["ask"]),
-        refusals=_decode_refusals(fields.get("back", [])),
+        refusals=_decode_rejections(fields.get("back", [])),
         profiles=_decode_profiles(fields["speed"]),
         sends=_decode_sends(fields["sent"]),
     )
 
 
-def _decode_bundle(data: bytes) -> BeatBundle:
+def _decode_aggregate(data: bytes) -> BeatBundle:
     try:
-        version, relay, signs, records, catalog, endpoints, profiles = unpack(data)
-        if version != BUNDLE_VERSION:
+        version, aggregator, liveness, records, catalog, endpoints, profiles = unpack(data)
+        if version != AGGREGATE_VERSION:
             raise MalformedBeat("unknown version")
         return BeatBundle(
-            relay=str(relay),
-            signs=[_decode_sign(*fields) for fields in signs],
+            aggregator=str(aggregator),
+            liveness=[_decode_liveness_record(*fields) for fields in liveness],
             records=[_decode_record(*fields) for fields in records],
-            catalog=_decode_proof(catalog),
-            endpoints=_decode_proof(endpoints),
+            catalog=_decode_stamp(catalog),
+            endpoints=_decode_stamp(endpoints),
             profiles={str(key): _decode_profiles(value) for key, value in profiles.items()},
         )
     except (ValueError, KeyError, TypeError, AttributeError, IndexError) as error:
@@ -254,10 +254,10 @@
     )
 
 
-def _decode_sign(
+def _decode_liveness_record(
     name: str, incarnation: int, sequence: int, state: int, store_answers: bool
-) -> LifeSign:
-    return LifeSign(
+) -> LivenessRecord:
+    return LivenessRecord(
         name=str(name),
         incarnation=int(incarnation),
         sequence=int(sequence),
@@ -266,14 +266,14 @@
     )
 
 
-def encode_notice(notice: LoadNotice) -> bytes:
+def encode_notice(update: LoadNotice) -> bytes:
     """Return the datagram of a notice."""
     fields = [
         "n",
-        notice.instance,
-        notice.incarnation,
-        _encode_loads(notice.loads),
-        _encode_sends(notice.sends),
+        update.instance,
+        update.incarnation,
+        _encode_loads(update.loads),
+        _encode_sends(update.sends),
     ]
     return json.dumps(fields, separators=(",", ":")).encode()
 
@@ -284,8 +284,8 @@
     Raises:
         MalformedBeat: It is none.
     """
-    if data.startswith(BUNDLE_MARK):
-        return _decode_bundle(data[len(BUNDLE_MARK) :])
+    if data.startswith(AGGREGATE_PREFIX):
+        return _decode_aggregate(data[len(AGGREGATE_PREFIX) :])
     if not data.startswith(b'["n"'):
         return decode_beat(data)
     try:
@@ -341,7 +341,7 @@
     return Demand(work_ms=tuple(float(work) for work in value))
 
 
-def _encode_refusals(refusals: list[RefusalCount]) -> list[list[str | float]]:
+def _encode_rejections(rejections: list[RefusalCount]) -> list[list[str | float]]:
     return [
         [
             one.service,
@@ -350,11 +350,11 @@
             round(one.sent_back, 2),
             round(one.wait_ms, 1),
         ]
-        for one in refusals
+        for one in rejections
     ]
 
 
-def _decode_refusals(value: list[list[Any]]) -> list[RefusalCount]:
+def _decode_rejections(value: list[list[Any]]) -> list[RefusalCount]:
     return [
         RefusalCount(
             service=str(service),
@@ -393,12 +393,12 @@
     return profiles
 
 
-def _encode_proof(proof: Proof | None) -> list[str | float] | None:
-    return None if proof is None else [proof.version, round(proof.reading, 4)]
+def _encode_stamp(stamp: Proof | None) -> list[str | float] | None:
+    return None if stamp is None else [stamp.version, round(stamp.reading, 4)]
 
 
-def _decode_proof(value: object) -> Proof | None:
+def _decode_stamp(value: object) -> Proof | None:
     if value is None:
         return None
-    version, reading = value  # type: ignore[misc]
-    return Proof(version=str(version), reading=float(reading))
+    version, store_time = value  # type: ignore[misc]
+    return Proof(version=str(version), reading=float(store_time))
--- a/src/guavamast/relay/bundle_content.py
+++ b/src/guavamast/relay/bundle_content.py
@@ -15,11 +15,11 @@
     from guavamast.relay.peers import Peer
     from guavamast.relay.store import InstanceRecord
 
-SIGNS_A_BUNDLE: Final = 400
+RECORDS_PER_AGGREGATE: Final = 400
 """Instances in one datagram, compressed well below what UDP carries."""
-CHANGED_S: Final = 3.0
+CHANGED_RECORD_REPEAT_S: Final = 3.0
 """Seconds for which a record that is news is told with each bundle: several may be lost."""
-RECORD_TURNS: Final = 12
+RECORD_ROTATION_PARTS: Final = 12
 """Parts into which all records are divided; each bundle tells those of one, so that whoever has
 missed a change gets it in some seconds."""
 
@@ -37,7 +37,7 @@
         read_profiles: Returns what the instances of each failure domain have seen of the engines.
     """
 
-    __slots__ = ("_knowledge", "_read_profiles", "_record", "_turn")
+    __slots__ = ("_knowledge", "_read_profiles", "_record", "_rotation")
 
     def __init__(
         self,
@@ -49,9 +49,11 @@
         self._record = record
         self._knowledge = knowledge
         self._read_profiles = read_profiles
-        self._turn = 0
+        self._rotation = 0
 
-    def make_own(self, beat: Beat, peers: list[Peer], *, now: float) -> list[BeatBundle]:
+    def build_for_aggregators(
+        self, heartbeat: Beat, peers: list[Peer], *, now: float
+    ) -> list[BeatBundle]:
         """Return what the relays of other failure domains are told of this one.
 
         Args:
@@ -61,9 +63,11 @@
         """
         own = self._record.failure_domain
         profiles = {key: value for key, value in self._read_profiles().items() if key == own}
-        return self._make(beat, peers, profiles, now=now)
+        return self._build(heartbeat, peers, profiles, now=now)
 
-    def make_all(self, beat: Beat, peers: list[Peer], *, now: float) -> list[BeatBundle]:
+    def build_for_domain(
+        self, heartbeat: Beat, peers: list[Peer], *, now: float
+    ) -> list[BeatBundle]:
         """Return what the own failure domain is told of all instances.
 
         Args:
@@ -71,34 +75,35 @@
             peers: All others.
             now: The present time.
         """
-        return self._make(beat, peers, self._read_profiles(), now=now)
+        return self._build(heartbeat, peers, self._read_profiles(), now=now)
 
-    def _make(
+    def _build(
         self,
-        beat: Beat,
+        heartbeat: Beat,
         peers: list[Peer],
         profiles: dict[str, dict[str, ProfileEstimates]],
         *,
         now: float,
     ) -> list[BeatBundle]:
-        self._turn += 1
-        signs = [beat.make_sign(), *(peer.make_sign() for peer in peers)]
-        records = [beat.record, *self._select_records(peers, now=now)]
+        self._rotation += 1
+        liveness = [heartbeat.make_sign(), *(peer.build_liveness_record() for peer in peers)]
+        records = [heartbeat.record, *self._select_records(peers, now=now)]
         return [
             BeatBundle(
-                relay=self._record.name,
-                signs=signs[first : first + SIGNS_A_BUNDLE],
+                aggregator=self._record.name,
+                liveness=liveness[first : first + RECORDS_PER_AGGREGATE],
                 records=records,
                 catalog=self._knowledge.heard_catalog_proof,
                 endpoints=self._knowledge.heard_endpoint_proof,
                 profiles=profiles,
             )
-            for first in range(0, len(signs), SIGNS_A_BUNDLE)
+            for first in range(0, len(liveness), RECORDS_PER_AGGREGATE)
         ]
 
     def _select_records(self, peers: list[Peer], *, now: float) -> list[InstanceRecord]:
         return [
             peer.record
             for place, peer in enumerate(peers)
-            if now - peer.changed < CHANGED_S or (place + self._turn) % RECORD_TURNS == 0
+            if now - peer.changed_at < CHANGED_RECORD_REPEAT_S
+            or (place + self._rotation) % RECORD_ROTATION_PARTS == 0
         ]
--- a/src/guavamast/relay/catalog_news.py
+++ b/src/guavamast/relay/catalog_news.py
@@ -6,7 +6,7 @@
 from typing import Final
 
 from guavamast.relay.beats import MalformedBeat
-from guavamast.relay.endpoint_news import MOST_DATAGRAM_BYTES
+from guavamast.relay.endpoint_news import MAX_DATAGRAM_BYTES
 from guavamast.relay.packing import pack, unpack
 
 CATALOG_MARK: Final = b"c"
@@ -26,11 +26,11 @@
     text: bytes
 
 
-def encode_catalog(news: CatalogNews) -> bytes | None:
+def encode_catalog(update: CatalogNews) -> bytes | None:
     """Return the datagram of a configuration, or None if it is too long for one."""
-    fields = [news.domain, news.row_version, news.reading, news.text.decode("latin-1")]
+    fields = [update.domain, update.row_version, update.reading, update.text.decode("latin-1")]
     data = CATALOG_MARK + pack(fields)
-    return data if len(data) <= MOST_DATAGRAM_BYTES else None
+    return data if len(data) <= MAX_DATAGRAM_BYTES else None
 
 
 def decode_catalog_news(data: bytes) -> CatalogNews:
@@ -40,11 +40,11 @@
         MalformedBeat: It is none.
     """
     try:
-        domain, row_version, reading, text = unpack(data[len(CATALOG_MARK) :])
+        domain, row_version, store_time, text = unpack(data[len(CATALOG_MARK) :])
         return CatalogNews(
             domain=str(domain),
             row_version=int(row_version),
-            reading=float(reading),
+            reading=float(store_time),
             text=text.encode("latin-1"),
         )
     except (ValueError, TypeError, KeyError, IndexError, AttributeError) as error:
--- a/src/guavamast/relay/endpoint_news.py
+++ b/src/guavamast/relay/endpoint_news.py
@@ -10,9 +10,9 @@
 from guavamast.relay.packing import pack, unpack
 from guavamast.relay.store import EndpointReading
 
-NEWS_MARK: Final = b"e"
+ENDPOINTS_PREFIX: Final = b"e"
 """Begins the datagram of a table of endpoints."""
-MOST_DATAGRAM_BYTES: Final = 60_000
+MAX_DATAGRAM_BYTES: Final = 60_000
 """Bytes of the longest datagram that is sent, below what UDP carries."""
 
 
@@ -25,9 +25,9 @@
     reading: EndpointReading
 
 
-def encode_endpoints(news: EndpointNews) -> bytes | None:
+def encode_endpoints(update: EndpointNews) -> bytes | None:
     """Return the datagram of a table, or None if it is too long for one."""
-    reading = news.reading
+    snapshot = update.reading
     rows = [
         [
             record.endpoint_id,
@@ -40,24 +40,24 @@
             int(record.ready),
             record.born_ms,
         ]
-        for record in reading.records
+        for record in snapshot.records
     ]
-    data = NEWS_MARK + pack([news.domain, reading.digest, reading.reading, rows])
-    return data if len(data) <= MOST_DATAGRAM_BYTES else None
+    data = ENDPOINTS_PREFIX + pack([update.domain, snapshot.digest, snapshot.reading, rows])
+    return data if len(data) <= MAX_DATAGRAM_BYTES else None
 
 
-def decode_endpoints(data: bytes) -> EndpointNews:
+def decode_endpoint_update(data: bytes) -> EndpointNews:
     """Return the table of a datagram.
 
     Raises:
         MalformedBeat: It is none.
     """
     try:
-        domain, digest, reading, rows = unpack(data[len(NEWS_MARK) :])
+        domain, digest, store_time, rows = unpack(data[len(ENDPOINTS_PREFIX) :])
         table = EndpointReading(
             records=[_decode_record(row) for row in rows],
             digest=str(digest),
-            reading=float(reading),
+            reading=float(store_time),
         )
         return EndpointNews(domain=str(domain), reading=table)
     except (ValueError, TypeError, KeyError, IndexError) as error:
--- a/src/guavamast/relay/load_notices.py
+++ b/src/guavamast/relay/load_notices.py
@@ -15,10 +15,10 @@
     from guavamast.relay.endpoint_load import EndpointLoads
     from guavamast.relay.prompt_cache import PromptCache
 
-GATHER_S: Final = 0.02
+INCREASE_BATCH_S: Final = 0.02
 """Seconds in which new work is gathered for one notice: short beside the usual wait for an
 engine."""
-GATHER_LESS_S: Final = 0.1
+DECREASE_BATCH_S: Final = 0.1
 """Seconds in which ended work is gathered; told later, it costs no more than a detour."""
 
 
@@ -49,7 +49,7 @@
         "_loads",
         "_read_time",
         "_send",
-        "_told",
+        "_last_sent_number",
     )
 
     def __init__(
@@ -72,7 +72,7 @@
         self._read_time = read_time
         self._changed: set[str] = set()
         self._flush_at: float | None = None
-        self._told = 0
+        self._last_sent_number = 0
 
     def note(self, endpoint_id: str, *, more: bool) -> None:
         """Tell soon that the work at an endpoint has changed.
@@ -85,7 +85,7 @@
             return
         self._changed.add(endpoint_id)
         loop = asyncio.get_running_loop()
-        flush_at = loop.time() + (GATHER_S if more else GATHER_LESS_S)
+        flush_at = loop.time() + (INCREASE_BATCH_S if more else DECREASE_BATCH_S)
         if self._flush_at is None or flush_at < self._flush_at:
             self._flush_at = flush_at
             loop.call_at(flush_at, self._flush)
@@ -100,9 +100,9 @@
         recent = self._cache.list_recent(
             now=self._read_time(), interval_s=compute_beat_interval(self._count_instances())
         )
-        sends = [send for send in recent if send.number > self._told]
+        sends = [send for send in recent if send.number > self._last_sent_number]
         if sends:
-            self._told = sends[-1].number
+            self._last_sent_number = sends[-1].number
         self._send(
             LoadNotice(
                 instance=self._instance,
--- a/src/guavamast/relay/loop_delay.py
+++ b/src/guavamast/relay/loop_delay.py
@@ -4,7 +4,7 @@
 
 from typing import Final
 
-RECENT_S: Final = 1.0
+DELAY_WINDOW_S: Final = 1.0
 """Seconds for which a delay is told: as long as a request usually waits for what was held up."""
 
 
@@ -15,28 +15,28 @@
     of them look like faults of others. The delay tells one from the other.
     """
 
-    __slots__ = ("_before", "_began", "_greatest")
+    __slots__ = ("_previous_greatest", "_window_start", "_greatest")
 
     def __init__(self) -> None:
-        self._began = 0.0
+        self._window_start = 0.0
         self._greatest = 0.0
-        self._before = 0.0
+        self._previous_greatest = 0.0
 
     def record(self, delay_s: float, *, now: float) -> None:
         """Note how much later than due something ran."""
-        self._turn(now)
+        self._advance_window(now)
         self._greatest = max(self._greatest, delay_s)
 
     def read(self, *, now: float) -> float:
         """Return the greatest delay in seconds that was noted lately."""
-        self._turn(now)
-        return max(self._greatest, self._before)
+        self._advance_window(now)
+        return max(self._greatest, self._previous_greatest)
 
-    def _turn(self, now: float) -> None:
+    def _advance_window(self, now: float) -> None:
         """Begin another span; of the spans before, the last one counts."""
-        if now - self._began < RECENT_S:
+        if now - self._window_start < DELAY_WINDOW_S:
             return
-        recent = now - self._began < 2 * RECENT_S
-        self._before = self._greatest if recent else 0.0
+        recent = now - self._window_start < 2 * DELAY_WINDOW_S
+        self._previous_greatest = self._greatest if recent else 0.0
         self._greatest = 0.0
-        self._began = now
+        self._window_start = now
--- a/src/guavamast/relay/loop_timeout.py
+++ b/src/guavamast/relay/loop_timeout.py
@@ -11,7 +11,7 @@
 
 T = TypeVar("T")
 
-TURNS: Final = 7
+TIMEOUT_STEPS: Final = 7
 """Parts in which a limit is counted; an exchange of some messages takes fewer turns of the loop."""
 
 
@@ -31,8 +31,8 @@
     """
     task = asyncio.ensure_future(work)
     try:
-        for _ in range(TURNS):
-            done, _ = await asyncio.wait((task,), timeout=timeout_s / TURNS)
+        for _ in range(TIMEOUT_STEPS):
+            done, _ = await asyncio.wait((task,), timeout=timeout_s / TIMEOUT_STEPS)
             if done:
                 return task.result()
     finally:
--- a/src/guavamast/relay/packing.py
+++ b/src/guavamast/relay/packing.py
@@ -6,16 +6,16 @@
 import zlib
 from typing import Any, Final
 
-COMPRESSION: Final = 1
+COMPRESSION_LEVEL: Final = 1
 """Level of compression, the least: most of the gain for little processor time."""
-MOST_UNPACKED_BYTES: Final = 4_194_304
+MAX_UNPACKED_BYTES: Final = 4_194_304
 """Bytes of what is unpacked at most; far above that of a thousand beats."""
 
 
 def pack(fields: list[Any]) -> bytes:
     """Return fields as compressed JSON."""
     text = json.dumps(fields, separators=(",", ":"))
-    return zlib.compress(text.encode(), COMPRESSION)
+    return zlib.compress(text.encode(), COMPRESSION_LEVEL)
 
 
 def unpack(data: bytes) -> Any:
@@ -25,6 +25,6 @@
         ValueError: It is none, or too long.
     """
     try:
-        return json.loads(zlib.decompressobj().decompress(data, MOST_UNPACKED_BYTES))
+        return json.loads(zlib.decompressobj().decompress(data, MAX_UNPACKED_BYTES))
     except zlib.error as error:
         raise ValueError(str(error)) from error
--- a/src/guavamast/relay/peers.py
+++ b/src/guavamast/relay/peers.py
@@ -5,7 +5,7 @@
 from dataclasses import dataclass
 from typing import TYPE_CHECKING, Final
 
-from guavamast.relay.beats import InstanceState, LifeSign
+from guavamast.relay.beats import InstanceState, LivenessRecord
 from guavamast.rendezvous import compute_weight
 
 if TYPE_CHECKING:
@@ -17,11 +17,11 @@
 FULL_MESH_INSTANCES: Final = 32
 """Instances up to which each sends its beats to all others; beyond, beats are relayed, as their
 number would grow with the square."""
-RELAYED_INTERVAL_S: Final = 0.5
+AGGREGATED_INTERVAL_S: Final = 0.5
 """Seconds between two beats that are relayed."""
 MISSED_BEATS: Final = 4.5
 """Beats missed in a row after which an instance is taken for gone: by mere loss hardly ever."""
-RELAYED_SILENCE_S: Final = 3.0
+AGGREGATED_SILENCE_S: Final = 3.0
 """Seconds of silence after which an instance is taken for gone when beats are relayed: a beat, its
 way and the bundle, any of them lost once."""
 FORGET_AFTER_S: Final = 90.0
@@ -34,9 +34,9 @@
     """Another instance as it is known here."""
 
     record: InstanceRecord
-    heard: float
+    received_at: float
     """Local time of its newest word, or of the listing while there was none."""
-    changed: float
+    changed_at: float
     """Local time at which its process, state or record was last news here."""
     incarnation: int = 0
     sequence: int = 0
@@ -44,10 +44,10 @@
     """What it last said of itself; None before its first word."""
     store_answers: bool = False
 
-    def make_sign(self) -> LifeSign:
+    def build_liveness_record(self) -> LivenessRecord:
         """Return its newest word for others that know its record."""
         assert self.state is not None
-        return LifeSign(
+        return LivenessRecord(
             name=self.record.name,
             incarnation=self.incarnation,
             sequence=self.sequence,
@@ -58,14 +58,14 @@
 
 def compute_beat_interval(instances: int) -> float:
     """Return the seconds between two beats of an instance."""
-    return BEAT_INTERVAL_S if instances <= FULL_MESH_INSTANCES else RELAYED_INTERVAL_S
+    return BEAT_INTERVAL_S if instances <= FULL_MESH_INSTANCES else AGGREGATED_INTERVAL_S
 
 
-def compute_silence_bound(instances: int) -> float:
+def compute_liveness_timeout(instances: int) -> float:
     """Return the seconds without a beat after which an instance is taken for gone."""
     if instances <= FULL_MESH_INSTANCES:
         return MISSED_BEATS * BEAT_INTERVAL_S
-    return RELAYED_SILENCE_S
+    return AGGREGATED_SILENCE_S
 
 
 class Peers:
@@ -91,18 +91,20 @@
     def add_listed(self, record: InstanceRecord, *, now: float) -> None:
         """Take an instance from the store's listing, unless it has been heard already."""
         if record.name != self._own_name and record.name not in self._peers:
-            self._peers[record.name] = Peer(record=record, heard=now, changed=now)
+            self._peers[record.name] = Peer(record=record, received_at=now, changed_at=now)
 
-    def take(self, beat: Beat, *, now: float) -> bool:
+    def take(self, heartbeat: Beat, *, now: float) -> bool:
         """Take a beat from its instance itself; False if it is older than what is known.
 
         Failure: an instance starts while its time of day is ahead, the clock is set right, and its
         next process seems older than the one before; it would never be heard, and get no callers.
         A process that has fallen silent can have no late words any more, so any other replaces it.
         """
-        return self._take(beat.record, beat.make_sign(), now=now, direct=True)
+        return self._apply(heartbeat.record, heartbeat.make_sign(), now=now, direct=True)
 
-    def take_sign(self, sign: LifeSign, record: InstanceRecord | None, *, now: float) -> bool:
+    def take_sign(
+        self, liveness: LivenessRecord, record: InstanceRecord | None, *, now: float
+    ) -> bool:
         """Take an instance's word that was passed on; False if it is no news.
 
         Failure: relays that forget an instance at different times tell each other its last word
@@ -115,43 +117,45 @@
                 process that is not known.
             now: The present time.
         """
-        peer = self._peers.get(sign.name)
-        if peer is not None and peer.incarnation == sign.incarnation:
-            if sign.sequence <= peer.sequence:
+        peer = self._peers.get(liveness.name)
+        if peer is not None and peer.incarnation == liveness.incarnation:
+            if liveness.sequence <= peer.sequence:
                 return False
-            peer.heard = now
-            peer.sequence = sign.sequence
-            peer.store_answers = sign.store_answers
-            if peer.state is not sign.state:
-                peer.state = sign.state
-                peer.changed = now
+            peer.received_at = now
+            peer.sequence = liveness.sequence
+            peer.store_answers = liveness.store_answers
+            if peer.state is not liveness.state:
+                peer.state = liveness.state
+                peer.changed_at = now
             return True
-        return record is not None and self._take(record, sign, now=now, direct=False)
+        return record is not None and self._apply(record, liveness, now=now, direct=False)
 
-    def _take(self, record: InstanceRecord, sign: LifeSign, *, now: float, direct: bool) -> bool:
-        if sign.name == self._own_name:
+    def _apply(
+        self, record: InstanceRecord, liveness: LivenessRecord, *, now: float, direct: bool
+    ) -> bool:
+        if liveness.name == self._own_name:
             return False
-        peer = self._peers.get(sign.name)
-        same = False
+        peer = self._peers.get(liveness.name)
+        unchanged = False
         if peer is not None and peer.state is not None:
             known = (peer.incarnation, peer.sequence)
-            other = direct or sign.incarnation != peer.incarnation
-            replaces = other and not self._is_live(peer, now=now)
-            if (sign.incarnation, sign.sequence) <= known and not replaces:
+            may_replace = direct or liveness.incarnation != peer.incarnation
+            replaces = may_replace and not self._is_live(peer, now=now)
+            if (liveness.incarnation, liveness.sequence) <= known and not replaces:
                 return False
-            same = (peer.incarnation, peer.state, peer.record) == (
-                sign.incarnation,
-                sign.state,
+            unchanged = (peer.incarnation, peer.state, peer.record) == (
+                liveness.incarnation,
+                liveness.state,
                 record,
             )
-        self._peers[sign.name] = Peer(
+        self._peers[liveness.name] = Peer(
             record=record,
-            heard=now,
-            changed=peer.changed if peer is not None and same else now,
-            incarnation=sign.incarnation,
-            sequence=sign.sequence,
-            state=sign.state,
-            store_answers=sign.store_answers,
+            received_at=now,
+            changed_at=peer.changed_at if peer is not None and unchanged else now,
+            incarnation=liveness.incarnation,
+            sequence=liveness.sequence,
+            state=liveness.state,
+            store_answers=liveness.store_answers,
         )
         return True
 
@@ -170,11 +174,13 @@
 
     def forget_silent(self, *, now: float) -> list[str]:
         """Drop the instances that have been silent for long; returns their names."""
-        silent = [name for name, peer in self._peers.items() if now - peer.heard > FORGET_AFTER_S]
-        for name in silent:
+        expired = [
+            name for name, peer in self._peers.items() if now - peer.received_at > FORGET_AFTER_S
+        ]
+        for name in expired:
             del self._peers[name]
             self._weights.pop(name, None)
-        return silent
+        return expired
 
     def find_record(self, name: str) -> InstanceRecord | None:
         """Return where an instance is."""
@@ -188,15 +194,17 @@
 
     def list_live(self, *, now: float) -> list[Peer]:
         """Return the instances that are there."""
-        oldest = now - compute_silence_bound(self.count_known())
+        oldest = now - compute_liveness_timeout(self.count_known())
         return [
-            peer for peer in self._peers.values() if peer.heard >= oldest and peer.state is not None
+            peer
+            for peer in self._peers.values()
+            if peer.received_at >= oldest and peer.state is not None
         ]
 
     def _is_live(self, peer: Peer, *, now: float) -> bool:
-        return now - peer.heard <= compute_silence_bound(self.count_known())
+        return now - peer.received_at <= compute_liveness_timeout(self.count_known())
 
-    def _find_weight(self, name: str) -> int:
+    def _get_weight(self, name: str) -> int:
         weight = self._weights.get(name)
         if weight is None:
             weight = self._weights[name] = compute_weight(READER_KEY, name)
@@ -212,7 +220,7 @@
             for peer in self.list_live(now=now)
             if peer.store_answers
             and peer.state is not InstanceState.LEAVING
-            and self._find_weight(peer.record.name) > self._own_weight
+            and self._get_weight(peer.record.name) > self._own_weight
         )
 
     def list_serving(self, *, now: float) -> list[InstanceRecord]:
--- a/tests/test_relay_beat_exchange.py
+++ b/tests/test_relay_beat_exchange.py
@@ -6,24 +6,24 @@
 from dataclasses import replace
 from random import Random
 
-from guavamast.relay.beat_exchange import EXCHANGE_INTERVAL_S, BeatExchange
-from guavamast.relay.beat_relays import RELAYS_EACH, SILENT_RELAYS_S, BeatRelays
+from guavamast.relay.beat_exchange import AGGREGATE_EXCHANGE_INTERVAL_S, BeatExchange
+from guavamast.relay.beat_relays import RELAYS_EACH, AGGREGATOR_SILENCE_S, BeatRelays
 from guavamast.relay.beats import Beat, BeatBundle, InstanceState, LoadNotice, decode_message
 from guavamast.relay.bundle_content import BundleContent
 from guavamast.relay.endpoint_news import (
-    NEWS_MARK,
+    ENDPOINTS_PREFIX,
     EndpointNews,
-    decode_endpoints,
+    decode_endpoint_update,
     encode_endpoints,
 )
 from guavamast.relay.fleet_knowledge import FleetKnowledge
 from guavamast.relay.freshness import Proof, StoreClock
-from guavamast.relay.peers import FULL_MESH_INSTANCES, RELAYED_SILENCE_S, Peers
+from guavamast.relay.peers import FULL_MESH_INSTANCES, AGGREGATED_SILENCE_S, Peers
 from guavamast.relay.prompt_lanes import LANES, Demand
 from guavamast.relay.store import EndpointReading, InstanceRecord
 from tests.relay_facts import make_endpoint
 
-NARROW = InstanceRecord(
+NARROW_LINK = InstanceRecord(
     name="x",
     ip="10.0.0.1",
     failure_domain="a",
@@ -36,10 +36,10 @@
 INSTANCES = 40
 
 
-class Member:
+class SimulatedInstance:
     """One instance's beats, without sockets and clocks."""
 
-    def __init__(self, number: int, network: Network) -> None:
+    def __init__(self, number: int, network: SimulatedNetwork) -> None:
         self.network = network
         self.record = InstanceRecord(
             name=f"i{number}",
@@ -51,7 +51,7 @@
         )
         self.state = InstanceState.SERVING
         self.catalog: Proof | None = None
-        self.heard_catalog: Proof | None = None
+        self.received_catalog: Proof | None = None
         self.endpoints: EndpointReading | None = None
         self.incarnation = 1
         self.sequence = 0
@@ -67,14 +67,14 @@
             content=BundleContent(
                 record=self.record, knowledge=self.knowledge, read_profiles=lambda: {}
             ),
-            make_beat=self.make_beat,
-            take_beat=self.take_beat,
-            take_bundle=self.take_bundle,
+            make_beat=self.build_heartbeat,
+            take_beat=self.apply_heartbeat,
+            take_bundle=self.apply_aggregate,
             send=network.send,
             read_time=lambda: network.now,
         )
 
-    def make_beat(self) -> Beat:
+    def build_heartbeat(self) -> Beat:
         self.sequence += 1
         return Beat(
             record=self.record,
@@ -91,25 +91,25 @@
             sends=[],
         )
 
-    def take_beat(self, beat: Beat) -> None:
-        self.take_proof(beat.catalog)
+    def apply_heartbeat(self, beat: Beat) -> None:
+        self.apply_stamp(beat.catalog)
 
-    def take_bundle(self, bundle: BeatBundle) -> None:
-        self.take_proof(bundle.catalog)
+    def apply_aggregate(self, bundle: BeatBundle) -> None:
+        self.apply_stamp(bundle.catalog)
 
-    def take_proof(self, catalog: Proof | None) -> None:
+    def apply_stamp(self, catalog: Proof | None) -> None:
         self.knowledge.take_proofs(catalog=catalog, endpoints=None)
         if catalog is not None:
-            self.heard_catalog = catalog
+            self.received_catalog = catalog
 
-    def take(self, message: Beat | BeatBundle | LoadNotice) -> None:
+    def receive(self, message: Beat | BeatBundle | LoadNotice) -> None:
         if isinstance(message, Beat):
             self.exchange.take(message)
         elif isinstance(message, BeatBundle):
             self.exchange.take_bundle(message)
 
-    def take_endpoints(self, data: bytes) -> None:
-        news = decode_endpoints(data)
+    def receive_endpoint_update(self, data: bytes) -> None:
+        news = decode_endpoint_update(data)
         if news.reading != self.endpoints:
             self.endpoints = news.reading
             self.exchange.forward_table(data, domain=news.domain)
@@ -118,7 +118,7 @@
         return {peer.record.name for peer in self.peers.list_live(now=self.network.now)}
 
 
-class Network:
+class SimulatedNetwork:
     """Delivers datagrams at once, but for those that it loses."""
 
     def __init__(self, *, loss: float = 0.0) -> None:
@@ -127,8 +127,10 @@
         self._loss = loss
         self._random = Random(7)
         self._waiting: list[tuple[bytes, str]] = []
-        self.members = {f"i{number}": Member(number, self) for number in range(INSTANCES)}
-        self.down: set[str] = set()
+        self.instances = {
+            f"i{number}": SimulatedInstance(number, self) for number in range(INSTANCES)
+        }
+        self.stopped: set[str] = set()
 
     def send(self, data: bytes, target: InstanceRecord) -> None:
         self.sent += 1
@@ -138,20 +140,20 @@
     def deliver(self) -> None:
         while self._waiting:
             data, name = self._waiting.pop(0)
-            if name in self.down:
+            if name in self.stopped:
                 continue
-            if data.startswith(NEWS_MARK):
-                self.members[name].take_endpoints(data)
+            if data.startswith(ENDPOINTS_PREFIX):
+                self.instances[name].receive_endpoint_update(data)
             else:
-                self.members[name].take(decode_message(data))
+                self.instances[name].receive(decode_message(data))
 
-    def list_up(self) -> list[Member]:
-        return [one for name, one in self.members.items() if name not in self.down]
+    def list_running(self) -> list[SimulatedInstance]:
+        return [one for name, one in self.instances.items() if name not in self.stopped]
 
     def register_all(self) -> None:
         """Each finds in the store those that have come before it and tells them."""
         known: list[InstanceRecord] = []
-        for member in self.list_up():
+        for member in self.list_running():
             for record in known:
                 member.peers.add_listed(record, now=self.now)
             known.append(member.record)
@@ -159,16 +161,16 @@
             self.deliver()
 
     async def run(self, seconds: float) -> None:
-        for _ in range(round(seconds / EXCHANGE_INTERVAL_S)):
-            self.now += EXCHANGE_INTERVAL_S
-            for member in self.list_up():
-                member.exchange.send_beat()
+        for _ in range(round(seconds / AGGREGATE_EXCHANGE_INTERVAL_S)):
+            self.now += AGGREGATE_EXCHANGE_INTERVAL_S
+            for member in self.list_running():
+                member.exchange.send_heartbeat()
             self.deliver()
-            for member in self.list_up():
-                member.exchange.tell_relays()
+            for member in self.list_running():
+                member.exchange.send_to_aggregators()
             self.deliver()
-            for member in self.list_up():
-                await member.exchange.tell_domain(pause_s=0.0)
+            for member in self.list_running():
+                await member.exchange.send_to_domain(gap_s=0.0)
             self.deliver()
 
 
@@ -180,16 +182,18 @@
     """
 
     def test_widest_links_first(self) -> None:
-        beat = Member(0, Network()).make_beat()
+        beat = SimulatedInstance(0, SimulatedNetwork()).build_heartbeat()
         peers = Peers(own_name="x")
         for number in range(INSTANCES):
             link_mbps = 100.0 if number in (17, 31) else 5.0
-            record = replace(NARROW, name=f"n{number}", link_mbps=link_mbps)
+            record = replace(NARROW_LINK, name=f"n{number}", link_mbps=link_mbps)
             peers.take(replace(beat, record=record), now=0.0)
-        relays = BeatRelays(record=NARROW, peers=peers)
-        relays.note_bundle(now=0.0)
-        self.assertEqual({one.name for one in relays.list_own_targets(now=0.0)}, {"n17", "n31"})
-        self.assertFalse(relays.is_relay(now=0.0))
+        relays = BeatRelays(record=NARROW_LINK, peers=peers)
+        relays.record_aggregate(now=0.0)
+        self.assertEqual(
+            {one.name for one in relays.list_heartbeat_targets(now=0.0)}, {"n17", "n31"}
+        )
+        self.assertFalse(relays.is_aggregator(now=0.0))
 
 
 class RelayedBeatsTest(unittest.IsolatedAsyncioTestCase):
@@ -197,38 +201,40 @@
 
     async def asyncSetUp(self) -> None:
         self.assertGreater(INSTANCES, FULL_MESH_INSTANCES)
-        self.network = Network()
+        self.network = SimulatedNetwork()
         self.network.register_all()
         await self.network.run(2.0)
 
-    def assert_all_know(self, up: set[str]) -> None:
-        for member in self.network.list_up():
-            self.assertEqual(member.list_live() | {member.record.name}, up, member.record.name)
+    def assert_all_live(self, expected: set[str]) -> None:
+        for member in self.network.list_running():
+            self.assertEqual(
+                member.list_live() | {member.record.name}, expected, member.record.name
+            )
 
-    def list_relays(self, domain: str) -> list[str]:
+    def list_aggregators(self, domain: str) -> list[str]:
         return [
             member.record.name
-            for member in self.network.list_up()
+            for member in self.network.list_running()
             if member.record.failure_domain == domain
-            and member.relays.is_relay(now=self.network.now)
+            and member.relays.is_aggregator(now=self.network.now)
         ]
 
     async def test_all_are_heard_with_few_datagrams(self) -> None:
-        self.assert_all_know(set(self.network.members))
+        self.assert_all_live(set(self.network.instances))
         self.network.sent = 0
         await self.network.run(10.0)
-        self.assert_all_know(set(self.network.members))
+        self.assert_all_live(set(self.network.instances))
         self.assertLess(self.network.sent / 10.0, INSTANCES * 16)
         for domain in DOMAINS:
-            self.assertEqual(len(self.list_relays(domain)), RELAYS_EACH)
+            self.assertEqual(len(self.list_aggregators(domain)), RELAYS_EACH)
 
     async def test_loss_makes_nobody_seem_gone(self) -> None:
-        network = Network(loss=0.05)
+        network = SimulatedNetwork(loss=0.05)
         network.register_all()
         await network.run(4.0)
         for _ in range(6):
             await network.run(1.0)
-            for member in network.list_up():
+            for member in network.list_running():
                 self.assertEqual(len(member.list_live()), INSTANCES - 1)
 
     async def test_an_instance_that_ended_is_gone_everywhere_and_stays_gone(self) -> None:
@@ -237,10 +243,10 @@
         Relays forget it at different times; one that still has its last beat tells it to another
         that has just forgotten it, which must not take it for a sign of life.
         """
-        self.network.down = {"i5"}
-        await self.network.run(RELAYED_SILENCE_S + 2.0)
+        self.network.stopped = {"i5"}
+        await self.network.run(AGGREGATED_SILENCE_S + 2.0)
         for _ in range(6):
-            self.assert_all_know(set(self.network.members) - {"i5"})
+            self.assert_all_live(set(self.network.instances) - {"i5"})
             await self.network.run(0.5)
 
     async def test_the_end_of_all_relays_of_a_domain_is_survived(self) -> None:
@@ -249,11 +255,11 @@
         Both relays of a failure domain end at once. Its instances hear no bundle, tell each other
         directly, take the silent relays for gone, and the next ones pass beats on.
         """
-        self.network.down = set(self.list_relays("b"))
-        self.assertEqual(len(self.network.down), RELAYS_EACH)
-        await self.network.run(SILENT_RELAYS_S + RELAYED_SILENCE_S + 2.0)
-        self.assert_all_know(set(self.network.members) - self.network.down)
-        self.assertEqual(len(self.list_relays("b")), RELAYS_EACH)
+        self.network.stopped = set(self.list_aggregators("b"))
+        self.assertEqual(len(self.network.stopped), RELAYS_EACH)
+        await self.network.run(AGGREGATOR_SILENCE_S + AGGREGATED_SILENCE_S + 2.0)
+        self.assert_all_live(set(self.network.instances) - self.network.stopped)
+        self.assertEqual(len(self.list_aggregators("b")), RELAYS_EACH)
 
     async def test_who_hears_no_relay_is_heard_by_its_domain(self) -> None:
         """Callers are still sent to the instances that are left while no relay works.
@@ -261,13 +267,13 @@
         Both relays of a domain have ended and no other has begun to pass beats on. Before all seem
         gone at once, the instances tell each other directly.
         """
-        self.network.down = set(self.list_relays("b"))
-        left = [one for one in self.network.list_up() if one.record.failure_domain == "b"]
+        self.network.stopped = set(self.list_aggregators("b"))
+        left = [one for one in self.network.list_running() if one.record.failure_domain == "b"]
         names = {one.record.name for one in left}
-        for _ in range(round((RELAYED_SILENCE_S + 1.0) / EXCHANGE_INTERVAL_S)):
-            self.network.now += EXCHANGE_INTERVAL_S
+        for _ in range(round((AGGREGATED_SILENCE_S + 1.0) / AGGREGATE_EXCHANGE_INTERVAL_S)):
+            self.network.now += AGGREGATE_EXCHANGE_INTERVAL_S
             for member in left:
-                member.exchange.send_beat()
+                member.exchange.send_heartbeat()
             self.network.deliver()
             for member in left:
                 heard = member.list_live() & names
@@ -275,50 +281,50 @@
 
     async def test_domains_that_lose_their_relays_together_find_each_other(self) -> None:
         """Callers are sent to all that are left although every relay ended at the same time."""
-        relays = [name for domain in DOMAINS for name in self.list_relays(domain)]
-        self.network.down = set(relays)
+        relays = [name for domain in DOMAINS for name in self.list_aggregators(domain)]
+        self.network.stopped = set(relays)
         await self.network.run(14.0)
-        self.assert_all_know(set(self.network.members) - self.network.down)
+        self.assert_all_live(set(self.network.instances) - self.network.stopped)
 
     async def test_a_domain_that_was_dark_is_heard_again(self) -> None:
         dark = {
-            name for name, one in self.network.members.items() if one.record.failure_domain == "c"
+            name for name, one in self.network.instances.items() if one.record.failure_domain == "c"
         }
-        self.network.down = dark
+        self.network.stopped = dark
         await self.network.run(6.0)
-        self.assert_all_know(set(self.network.members) - dark)
-        self.network.down = set()
+        self.assert_all_live(set(self.network.instances) - dark)
+        self.network.stopped = set()
         for name in dark:
-            self.network.members[name].incarnation += 1
-            self.network.members[name].exchange.announce_to_all()
+            self.network.instances[name].incarnation += 1
+            self.network.instances[name].exchange.announce_to_all()
         await self.network.run(3.0)
-        self.assert_all_know(set(self.network.members))
+        self.assert_all_live(set(self.network.instances))
 
     async def test_news_does_not_wait_for_a_bundle(self) -> None:
         """Operators' changes are in force everywhere soon after one instance has read them."""
         proof = Proof(version="9", reading=500.0)
-        self.network.members["i11"].catalog = proof
-        self.network.members["i11"].exchange.announce()
+        self.network.instances["i11"].catalog = proof
+        self.network.instances["i11"].exchange.announce()
         self.network.deliver()
-        for name, member in self.network.members.items():
+        for name, member in self.network.instances.items():
             if name != "i11":
-                self.assertEqual(member.heard_catalog, proof, name)
+                self.assertEqual(member.received_catalog, proof, name)
 
     async def test_a_table_of_endpoints_reaches_all(self) -> None:
         reading = EndpointReading(records=[make_endpoint("e1", slots=64)], digest="d", reading=1.0)
         news = EndpointNews(domain=DOMAINS[11 % len(DOMAINS)], reading=reading)
-        self.network.members["i11"].exchange.tell_table(encode_endpoints(news))
+        self.network.instances["i11"].exchange.tell_table(encode_endpoints(news))
         self.network.deliver()
-        for name, member in self.network.members.items():
+        for name, member in self.network.instances.items():
             if name != "i11":
                 self.assertEqual(member.endpoints, reading, name)
 
     async def test_a_leaving_instance_is_named_to_no_caller_at_once(self) -> None:
-        leaving = self.network.members["i3"]
+        leaving = self.network.instances["i3"]
         leaving.state = InstanceState.LEAVING
         leaving.exchange.announce_to_all()
         self.network.deliver()
-        for member in self.network.list_up():
+        for member in self.network.list_running():
             serving = [one.name for one in member.peers.list_serving(now=self.network.now)]
             self.assertNotIn("i3", serving)
 
--- a/tests/test_relay_endpoint_news.py
+++ b/tests/test_relay_endpoint_news.py
@@ -10,9 +10,9 @@
 
 from guavamast.relay.beats import MalformedBeat
 from guavamast.relay.endpoint_news import (
-    NEWS_MARK,
+    ENDPOINTS_PREFIX,
     EndpointNews,
-    decode_endpoints,
+    decode_endpoint_update,
     encode_endpoints,
 )
 from guavamast.relay.fleet_knowledge import FleetKnowledge
@@ -22,31 +22,31 @@
 from tests.relay_facts import make_endpoint
 
 
-def make_reading(*names: str, reading: float) -> EndpointReading:
+def make_snapshot(*names: str, store_time: float) -> EndpointReading:
     """Return a table with endpoints of these names."""
     records = [make_endpoint(name, slots=64) for name in names]
-    return EndpointReading(records=records, digest="-".join(names), reading=reading)
+    return EndpointReading(records=records, digest="-".join(names), reading=store_time)
 
 
 class EndpointNewsTest(unittest.TestCase):
     """Tables survive the wire, and anything else is refused."""
 
     def test_tables_survive_the_wire(self) -> None:
-        news = EndpointNews(domain="a", reading=make_reading("e1", "e2", reading=12.5))
+        news = EndpointNews(domain="a", reading=make_snapshot("e1", "e2", store_time=12.5))
         data = encode_endpoints(news)
         assert data is not None
-        self.assertEqual(decode_endpoints(data), news)
+        self.assertEqual(decode_endpoint_update(data), news)
 
     def test_a_table_that_no_datagram_holds_is_not_told(self) -> None:
         names = [f"{number * 2_654_435_761 % 2**64:x}" for number in range(12_000)]
-        news = EndpointNews(domain="a", reading=make_reading(*names, reading=1.0))
+        news = EndpointNews(domain="a", reading=make_snapshot(*names, store_time=1.0))
         self.assertIsNone(encode_endpoints(news))
 
     @given(data=st.binary(max_size=60))
     def test_any_other_datagram_is_refused(self, data: bytes) -> None:
         for body in (data, zlib.compress(data)):
             with self.assertRaises(MalformedBeat):
-                decode_endpoints(NEWS_MARK + body)
+                decode_endpoint_update(ENDPOINTS_PREFIX + body)
 
     def test_an_older_table_changes_nothing(self) -> None:
         """A request is not sent to an endpoint that has left.
@@ -57,8 +57,8 @@
         knowledge = FleetKnowledge(
             failure_domain="a", peers=Peers(own_name="me"), clock=StoreClock()
         )
-        self.assertTrue(knowledge.take_endpoints(make_reading("e1", reading=20.0)))
-        self.assertFalse(knowledge.take_endpoints(make_reading("e1", "e2", reading=19.0)))
+        self.assertTrue(knowledge.take_endpoints(make_snapshot("e1", store_time=20.0)))
+        self.assertFalse(knowledge.take_endpoints(make_snapshot("e1", "e2", store_time=19.0)))
         self.assertIsNone(knowledge.endpoints.find("e2"))
 
 
--- a/tests/test_relay_loop_delay.py
+++ b/tests/test_relay_loop_delay.py
@@ -4,7 +4,7 @@
 
 import unittest
 
-from guavamast.relay.loop_delay import RECENT_S, LoopDelay
+from guavamast.relay.loop_delay import DELAY_WINDOW_S, LoopDelay
 
 
 class LoopDelayTest(unittest.TestCase):
@@ -15,14 +15,14 @@
         delay.record(0.4, now=10.0)
         delay.record(0.1, now=10.1)
         self.assertEqual(delay.read(now=10.2), 0.4)
-        self.assertEqual(delay.read(now=10.0 + RECENT_S), 0.4)
-        self.assertEqual(delay.read(now=10.0 + 2 * RECENT_S), 0.0)
+        self.assertEqual(delay.read(now=10.0 + DELAY_WINDOW_S), 0.4)
+        self.assertEqual(delay.read(now=10.0 + 2 * DELAY_WINDOW_S), 0.0)
 
     def test_a_long_pause_ends_what_was_before(self) -> None:
         delay = LoopDelay()
         delay.record(0.4, now=10.0)
-        delay.record(0.2, now=10.0 + 5 * RECENT_S)
-        self.assertEqual(delay.read(now=10.0 + 5 * RECENT_S), 0.2)
+        delay.record(0.2, now=10.0 + 5 * DELAY_WINDOW_S)
+        self.assertEqual(delay.read(now=10.0 + 5 * DELAY_WINDOW_S), 0.2)
 
 
 if __name__ == "__main__":
--- a/tests/test_relay_loop_timeout.py
+++ b/tests/test_relay_loop_timeout.py
@@ -12,7 +12,7 @@
 from guavamast.relay.http_connection import HttpConnection
 from guavamast.relay.loop_timeout import wait_turns
 
-HELD_S = 0.06
+BLOCKED_S = 0.06
 """Time that each turn of the loop takes while the process is held up."""
 
 
@@ -44,15 +44,15 @@
         self.connection = await HttpConnection.open(str(ip), int(port), timeout_s=5.0)
         self.addCleanup(self.connection.close)
 
-    async def ask(self) -> int:
+    async def send_request(self) -> int:
         await self.connection.send("GET", "/", [("Host", "x")], b"")
         return (await self.connection.read_head()).status
 
-    def hold(self, turns: int) -> None:
+    def block_loop(self, turns: int) -> None:
         """Have each of the next turns of the loop take long."""
-        time.sleep(HELD_S)
+        time.sleep(BLOCKED_S)
         if turns:
-            asyncio.get_running_loop().call_soon(self.hold, turns - 1)
+            asyncio.get_running_loop().call_soon(self.block_loop, turns - 1)
 
     async def test_a_connection_that_was_accepted_is_taken(self) -> None:
         """A store that answers at once is not taken to be away by an instance that is held up.
@@ -60,18 +60,18 @@
         Each turn of the loop takes longer than the limit, and the connection is accepted within the
         first. With one timer over it all, the limit is reached before that is looked at.
         """
-        asyncio.get_running_loop().call_soon(self.hold, 20)
+        asyncio.get_running_loop().call_soon(self.block_loop, 20)
         ip, port = self.server.server_address
-        connection = await HttpConnection.open(str(ip), int(port), timeout_s=HELD_S / 2)
+        connection = await HttpConnection.open(str(ip), int(port), timeout_s=BLOCKED_S / 2)
         connection.close()
 
     async def test_an_answer_that_waits_in_the_socket_is_taken(self) -> None:
-        asyncio.get_running_loop().call_soon(self.hold, 20)
-        self.assertEqual(await wait_turns(self.ask(), timeout_s=HELD_S / 2), 200)
+        asyncio.get_running_loop().call_soon(self.block_loop, 20)
+        self.assertEqual(await wait_turns(self.send_request(), timeout_s=BLOCKED_S / 2), 200)
 
     async def test_a_silent_server_reaches_the_limit(self) -> None:
         with mock.patch.object(Handler, "silent", True), self.assertRaises(TimeoutError):
-            await wait_turns(self.ask(), timeout_s=0.07)
+            await wait_turns(self.send_request(), timeout_s=0.07)
 
     async def test_work_ends_with_who_waits_for_it(self) -> None:
         ended = asyncio.Event()
