--- a/src/guavamast/relay/beat_exchange.py
+++ b/src/guavamast/relay/beat_exchange.py
@@ -1,4 +1,4 @@
-"""Sends this instance's beats, takes those of others, and passes them on as a relay."""
+"""Exchange of heartbeats with other instances, directly or through aggregators."""
 
 from __future__ import annotations
 
@@ -6,7 +6,7 @@
 from typing import TYPE_CHECKING, Final
 
 from guavamast.relay.beat_relays import RELAYS_EACH
-from guavamast.relay.beats import BeatBundle, encode_beat, encode_aggregate
+from guavamast.relay.beats import BeatBundle, encode_aggregate, encode_beat
 from guavamast.relay.peers import compute_beat_interval
 
 if TYPE_CHECKING:
@@ -20,26 +20,26 @@
     from guavamast.relay.store import InstanceRecord
 
 AGGREGATE_EXCHANGE_INTERVAL_S: Final = 0.5
-"""Seconds between two bundles from relay to relay."""
+"""Seconds between two aggregated heartbeats that aggregators of different domains exchange."""
 DOMAIN_AGGREGATE_INTERVAL_S: Final = RELAYS_EACH * AGGREGATE_EXCHANGE_INTERVAL_S
-"""Between two bundles from a relay to its whole failure domain: the relays do so by turns, and an
-instance gets a bundle in each exchange's interval."""
+"""Seconds between two aggregated heartbeats from an aggregator to its whole failure domain. The
+aggregators take turns, so an instance receives one in each exchange interval."""
 PACING_SHARE: Final = 0.7
-"""Share of that interval over which a relay spreads its bundles. Sent at once, they would fill its
-link and hold up the answers on it."""
+"""Share of that interval over which an aggregator spreads its datagrams. Sent at once, they would
+fill its link and delay the answers on it."""
 
 
 class BeatExchange:
-    """Tells other instances of this one, and of each other where there are many.
+    """Sends and receives heartbeats, and aggregates those of others in large fleets.
 
     Args:
         name: This instance.
-        peers: The others.
-        relays: Decides where beats go.
-        content: What this instance tells as a relay.
-        make_beat: Returns this instance's next beat.
-        take_beat: Told of each beat that is news.
-        take_bundle: Told of each bundle.
+        peers: The other instances.
+        relays: Selects the targets of heartbeats.
+        content: Builds aggregated heartbeats.
+        make_beat: Returns this instance's next heartbeat.
+        take_beat: Called with each heartbeat that is newer than the last of its sender.
+        take_bundle: Called with each aggregated heartbeat.
         send: Sends a datagram to an instance.
         read_time: The local clock.
     """
@@ -84,14 +84,14 @@
         self._endpoints_time_forwarded = 0.0
 
     async def run(self) -> None:
-        """Send beats until cancelled."""
+        """Send heartbeats until cancelled."""
         async with asyncio.TaskGroup() as tasks:
             tasks.create_task(self._run_heartbeats())
             tasks.create_task(self._run_aggregate_exchange())
             tasks.create_task(self._run_domain_aggregates())
 
     def announce(self) -> None:
-        """Send a beat with news at once."""
+        """Send a heartbeat with new state at once."""
         heartbeat = self._build_heartbeat()
         now = self._read_time()
         data = encode_beat(heartbeat)
@@ -101,13 +101,14 @@
             self._forward_to_domain(heartbeat)
 
     def tell_table(self, data: bytes | None) -> None:
-        """Tell the others a table that this instance has read and that has changed.
+        """Send the others a changed table that this instance has read from the store.
 
-        It spares each of them a read of the store: a change cost as many calls as there are
-        instances. Who misses it hears of it with the next beat and reads for itself.
+        Without this, each of them reads the store, and a change costs as many calls as there are
+        instances. An instance that misses the datagram learns of the change from the next
+        heartbeat and reads the store itself.
 
         Args:
-            data: Its datagram; None if no datagram holds it.
+            data: The encoded update; None if it does not fit in a datagram.
         """
         if data is None:
             return
@@ -115,10 +116,13 @@
             self._send(data, target)
 
     def forward_table(self, data: bytes, *, domain: str) -> None:
-        """Pass a table that was news on: a relay does, and whoever is told from another domain.
+        """Forward an update with a table that was new here.
+
+        An aggregator forwards it to its domain. Any other instance forwards it only if it comes
+        from another domain.
 
         Args:
-            data: Its datagram.
+            data: The encoded update.
             domain: Failure domain of the instance that has read it.
         """
         now = self._read_time()
@@ -132,13 +136,13 @@
             self._send(data, target)
 
     def announce_to_all(self) -> None:
-        """Send a beat to each instance directly: on coming and on leaving."""
+        """Send a heartbeat to each instance directly: on startup and on leaving."""
         data = encode_beat(self._build_heartbeat())
         for target in self._peers.list_targets():
             self._send(data, target)
 
     def take(self, heartbeat: Beat) -> None:
-        """Take a beat from its instance itself, and pass it on at once if it brings news."""
+        """Apply a heartbeat from its own sender, and forward it at once if it has new state."""
         now = self._read_time()
         previous_state = self._peers.find_state(heartbeat.record.name)
         if not self._peers.take(heartbeat, now=now):
@@ -148,7 +152,7 @@
             self._forward_to_domain(heartbeat, changed=previous_state is not heartbeat.state)
 
     def take_bundle(self, aggregate: BeatBundle) -> None:
-        """Take what a relay has passed on."""
+        """Apply an aggregated heartbeat; forward it within the domain if it comes from another."""
         now = self._read_time()
         self._topology.record_aggregate(now=now)
         records = {record.name: record for record in aggregate.records}
@@ -163,13 +167,13 @@
                 self._send(data, target)
 
     def send_heartbeat(self) -> None:
-        """Send one beat to those who always get it."""
+        """Send one heartbeat to the instances that receive every one."""
         data = encode_beat(self._build_heartbeat())
         for target in self._topology.list_heartbeat_targets(now=self._read_time()):
             self._send(data, target)
 
     def send_to_aggregators(self) -> None:
-        """As a relay, tell the other domains' relays of the own domain."""
+        """As an aggregator, send the other domains' aggregators the state of the own domain."""
         now = self._read_time()
         if not self._topology.is_aggregator(now=now):
             return
@@ -181,11 +185,11 @@
                 self._send(data, target)
 
     async def send_to_domain(self, *, gap_s: float) -> None:
-        """As a relay, tell the own domain of everybody.
+        """As an aggregator, send the own domain the state of all instances.
 
         Args:
-            pause_s: Between two datagrams: a bundle to each at once would fill a slow link and hold
-                up answers.
+            gap_s: Seconds between the datagrams to two instances. Sent at once, they would fill a
+                slow link and delay answers.
         """
         now = self._read_time()
         if not self._topology.is_aggregator(now=now):
@@ -202,11 +206,11 @@
         return self._topology.list_update_targets(now=self._read_time())
 
     def _forward_to_domain(self, heartbeat: Beat, *, changed: bool = False) -> None:
-        """Tell the own failure domain of a proof that is newer than those told before.
+        """Send the own failure domain a freshness stamp newer than those sent before.
 
         Args:
-            beat: The beat with the proof.
-            changed: Whether it brings other news.
+            heartbeat: The heartbeat with the stamp.
+            changed: Whether the sender's state has changed; it is sent even without a newer stamp.
         """
         catalog_time = _get_store_time(heartbeat.catalog)
         endpoints_time = _get_store_time(heartbeat.endpoints)
--- a/src/guavamast/relay/beat_relays.py
+++ b/src/guavamast/relay/beat_relays.py
@@ -1,4 +1,4 @@
-"""Which instances pass on the beats of others when there are too many for each to tell all."""
+"""Selection of the instances that aggregate heartbeats when the fleet is too large for a mesh."""
 
 from __future__ import annotations
 
@@ -12,32 +12,33 @@
     from guavamast.relay.store import InstanceRecord
 
 RELAYS_EACH: Final = 2
-"""Relays of a failure domain: one goes on when the other ends."""
+"""Instances that aggregate heartbeats in each failure domain: one continues if the other stops."""
 AGGREGATOR_SILENCE_S: Final = 2.2
-"""Seconds without a word of any relay of the own failure domain after which an instance tells all
-of it directly: above two bundles, so that a lost datagram changes nothing."""
+"""Seconds without an aggregated heartbeat after which an instance sends its heartbeats to its whole
+failure domain: above two intervals of an aggregator, so that a lost datagram has no effect."""
 AGGREGATOR_RANK_KEY: Final = "beat relays"
 PROBE_TURN_S: Final = 1.0
-"""Seconds for which the same instances of a domain that is not heard are tried."""
+"""Seconds for which the same instances of a domain without live instances are tried."""
 
 
 class BeatRelays:
-    """Decides where the beats of one instance go, and whether it passes on those of others.
+    """Selects the targets of one instance's heartbeats and the aggregators of each domain.
 
-    Each instance tells the relays of its failure domain. A relay tells those of the other domains
-    what it has heard in its own, and its own domain everything. The datagrams of a second grow with
-    the instances, not with their square.
+    Each instance sends heartbeats to the aggregators of its failure domain. An aggregator sends
+    those of the other domains the state of its own domain, and its own domain the state of all. The
+    datagrams per second grow linearly with the instances, not quadratically.
 
-    Failure: a relay with a narrow link passes on half a megabyte of bundles a second, the answers
-    to its own callers wait behind them, and plain calls come a second late. The instances with the
-    widest links are the relays.
+    The instances with the widest links are the aggregators. On a narrow link, half a megabyte of
+    aggregated heartbeats a second would delay the answers to the aggregator's own callers, and
+    plain calls would complete a second late.
 
-    Failure: all relays of a domain end at once, and its instances hear of nobody any more. They
-    tell each other directly then, which shows who is left and names the next relays.
+    If all aggregators of a domain stop at once, its instances receive no aggregated heartbeats.
+    They then send heartbeats directly to each other, which shows the remaining instances and
+    determines the next aggregators.
 
     Args:
         record: This instance.
-        peers: The others.
+        peers: The other instances.
     """
 
     __slots__ = ("_last_aggregate", "_peers", "_record")
@@ -53,15 +54,15 @@
         return self._record.failure_domain
 
     def record_aggregate(self, *, now: float) -> None:
-        """Note that a relay has passed beats on to this instance."""
+        """Record that an aggregated heartbeat has arrived."""
         self._last_aggregate = now
 
     def is_aggregator(self, *, now: float) -> bool:
-        """Return whether this instance passes beats on."""
+        """Return whether this instance is an aggregator."""
         return self.find_aggregator_rank(now=now) is not None
 
     def find_aggregator_rank(self, *, now: float) -> int | None:
-        """Return this instance's place among the relays of its domain; None if it is none."""
+        """Return this instance's rank among the aggregators of its domain; None if it is none."""
         if not self._peers.relayed:
             return None
         aggregators = self._list_aggregators(self._record.failure_domain, now=now)
@@ -69,29 +70,30 @@
         return names.index(self._record.name) if self._record.name in names else None
 
     def list_heartbeat_targets(self, *, now: float) -> list[InstanceRecord]:
-        """Return the instances that get each beat of this one."""
+        """Return the instances that receive every heartbeat of this one."""
         if not self._peers.relayed:
             return self._peers.list_targets()
         own = self._record.failure_domain
-        last = self._last_aggregate
-        without_aggregator = last is None or now - last > AGGREGATOR_SILENCE_S
+        last_aggregate = self._last_aggregate
+        without_aggregator = last_aggregate is None or now - last_aggregate > AGGREGATOR_SILENCE_S
         if without_aggregator and not self.is_aggregator(now=now):
             return self.list_domain_members()
         return self._exclude_self(self._list_aggregators(own, now=now))
 
     def list_update_targets(self, *, now: float) -> list[InstanceRecord]:
-        """Return the instances that get a beat with news: the relays of all failure domains."""
+        """Return the targets of a heartbeat with new state: the aggregators of all domains."""
         targets = {one.name: one for one in self.list_heartbeat_targets(now=now)}
         if self._peers.relayed:
             targets.update((one.name, one) for one in self.list_other_aggregators(now=now))
         return list(targets.values())
 
     def list_other_aggregators(self, *, now: float) -> list[InstanceRecord]:
-        """Return the relays of the other failure domains.
+        """Return the aggregators of the other failure domains.
 
-        Failure: two domains lose their relays at the same time. Neither hears of the other any
-        more, so neither knows the other's next relays. Of a domain in which nobody is heard, those
-        that are known are tried in turn; whoever gets the bundle hands it to its relays.
+        Two domains that lose their aggregators at the same time receive nothing from each other, so
+        neither knows the other's next aggregators. The known instances of a domain without live
+        ones are therefore tried in turn; the one that receives the aggregated heartbeat forwards it
+        to its aggregators.
         """
         known: dict[str, dict[str, InstanceRecord]] = {}
         for one in self._peers.list_targets():
@@ -114,13 +116,13 @@
         return [one for one in self._peers.list_targets() if one.failure_domain == own]
 
     def list_domain_peers(self, *, now: float) -> list[Peer]:
-        """Return the live instances of the own failure domain, of which the others are told."""
+        """Return the live instances of the own failure domain, to report to the other domains."""
         own = self._record.failure_domain
         live = self._peers.list_live(now=now)
         return [peer for peer in live if peer.record.failure_domain == own]
 
     def _list_aggregators(self, domain: str, *, now: float) -> list[InstanceRecord]:
-        """Return the relays of a failure domain, this instance among them if it is one."""
+        """Return the aggregators of a failure domain, including this instance if it is one."""
         records = {
             peer.record.name: peer.record
             for peer in self._peers.list_live(now=now)
@@ -135,7 +137,7 @@
 
 
 def _rank_aggregators(records: dict[str, InstanceRecord]) -> list[str]:
-    """Return the names of a domain's instances in the order in which they are to be relays."""
+    """Return the names of a domain's instances, the preferred aggregators first."""
     return sorted(
         records,
         key=lambda name: (records[name].link_mbps, recall_weight(AGGREGATOR_RANK_KEY, name), name),
@@ -144,7 +146,7 @@
 
 
 def _select_probe_targets(known: dict[str, InstanceRecord], *, now: float) -> list[InstanceRecord]:
-    """Return the instances of a domain whose turn it is, the usual relays first."""
+    """Return the preferred aggregators of a domain and the instances whose turn it is."""
     names = _rank_aggregators(known)
     first = int(now / PROBE_TURN_S) * RELAYS_EACH
     rotating = [names[(first + number) % len(names)] for number in range(RELAYS_EACH)]
--- a/src/guavamast/relay/beat_socket.py
+++ b/src/guavamast/relay/beat_socket.py
@@ -1,4 +1,4 @@
-"""The UDP socket over which an instance's beats go out and come in."""
+"""UDP socket for heartbeats, updates and scheduling messages between instances."""
 
 from __future__ import annotations
 
@@ -26,13 +26,13 @@
 
 
 class BeatSocket(asyncio.DatagramProtocol):
-    """Receives beats and notices and sends them.
+    """Sends and receives the datagrams between instances.
 
     Args:
-        take: Called with each message.
-        take_catalog: Called with each configuration and its datagram.
-        take_endpoints: Called with each table of endpoints and its datagram.
-        take_scheduling: Called with each message of scheduling and the address that it came from.
+        take: Called with each heartbeat, aggregated heartbeat and load update.
+        take_catalog: Called with each catalog update and its datagram.
+        take_endpoints: Called with each endpoint update and its datagram.
+        take_scheduling: Called with each scheduling message and the address of its sender.
         counters: Metrics.
     """
 
@@ -71,7 +71,7 @@
         self._transport = transport  # type: ignore[assignment]
 
     def datagram_received(self, data: bytes, addr: tuple[str, int]) -> None:
-        """Take a beat; what is none is counted."""
+        """Decode and dispatch a datagram; count those that are malformed."""
         try:
             if data.startswith(SCHEDULING_MARK):
                 self._on_scheduling_message(decode_scheduling(data), addr)
@@ -85,11 +85,11 @@
             self._counters.add("malformed_beats_total")
 
     def error_received(self, exc: Exception) -> None:
-        """Count a datagram that could not be delivered; the next beat replaces it."""
+        """Count a datagram that could not be delivered; the next heartbeat replaces it."""
         self._counters.add(f'beat_errors_total{{error="{type(exc).__name__}"}}')
 
     def send(self, data: bytes, target: InstanceRecord) -> None:
-        """Send a beat to one instance."""
+        """Send a datagram to an instance and count it."""
         self.send_to(data, (target.ip, target.peer_port))
         self._counters.add("beats_sent_total")
 
--- a/src/guavamast/relay/beats.py
+++ b/src/guavamast/relay/beats.py
@@ -1,7 +1,7 @@
-"""What instances tell each other a few times a second, as datagrams.
+"""Heartbeats and load updates, which instances send each other a few times a second.
 
-Datagrams, since a connection between instances can fall silent without an error, and what a beat
-says is replaced by the next one anyway.
+They are datagrams because a connection between instances can stall without an error, and the next
+heartbeat replaces a lost one anyway.
 """
 
 from __future__ import annotations
@@ -21,31 +21,31 @@
 from guavamast.relay.store import InstanceRecord
 
 AGGREGATE_PREFIX: Final = b"z"
-"""Begins the datagram of a bundle; beats begin with a brace, notices with a bracket."""
+"""First byte of an aggregated heartbeat; others begin with a brace, load updates with a bracket."""
 
 
 class InstanceState(StrEnum):
-    """Whether callers may be sent to an instance."""
+    """State of an instance, which determines whether callers may be sent to it."""
 
     STARTING = "starting"
     SERVING = "serving"
     STALE = "stale"
-    """Its configuration is too old to accept keys."""
+    """Its configuration is too old to accept callers' keys."""
     LEAVING = "leaving"
 
 
 AGGREGATE_VERSION: Final = 2
-"""Rank of the form of bundles; another is not understood."""
+"""Rank of the encoding of aggregated heartbeats; any other is rejected."""
 _STATES: Final = list(InstanceState)
 _STATE_CODES: Final = {state: code for code, state in enumerate(InstanceState)}
 
 
 @dataclass(frozen=True, slots=True, kw_only=True)
 class LivenessRecord:
-    """That a process lives and in which state, for those who know its record."""
+    """Liveness and state of a process, for instances that already have its instance record."""
 
     name: str
-    """Of the instance."""
+    """Name of the instance."""
     incarnation: int
     sequence: int
     state: InstanceState
@@ -54,31 +54,31 @@
 
 @dataclass(frozen=True, slots=True, kw_only=True)
 class Beat:
-    """One instance's word on itself and on what it knows."""
+    """State of one instance, its load, and what it knows of the store's tables."""
 
     record: InstanceRecord
     incarnation: int
-    """Start of the process; a greater one replaces the instance's earlier words."""
+    """Start of the process; a greater value supersedes earlier heartbeats of the instance."""
     sequence: int
-    """Number of the beat within the incarnation."""
+    """Number of the heartbeat within the incarnation."""
     state: InstanceState
     store_answers: bool
     """Whether the instance's last read of the store succeeded."""
     catalog: Proof | None
     endpoints: Proof | None
     loads: dict[str, Load]
-    """Work that the instance has at endpoints."""
+    """Load that the instance places on each endpoint."""
     demand: Demand
-    """Work in each lane that the instance was asked for lately."""
+    """Work in each length bucket that the instance has recently been asked for."""
     refusals: list[RefusalCount]
-    """Requests that the instance has decided on lately."""
+    """Recent counts of requests and rejections at the instance."""
     profiles: dict[str, ProfileEstimates]
-    """What the instance has seen of the engines of each service lately."""
+    """Recent estimates by the instance for the engines of each service."""
     sends: list[PromptSend]
     """Prompts that the instance has sent in the last second."""
 
     def make_sign(self) -> LivenessRecord:
-        """Return the part that is passed on to those who know the instance."""
+        """Return the part that is forwarded to those that already have the instance record."""
         return LivenessRecord(
             name=self.record.name,
             incarnation=self.incarnation,
@@ -90,9 +90,9 @@
 
 @dataclass(frozen=True, slots=True, kw_only=True)
 class LoadNotice:
-    """One instance's work at the endpoints where it has just changed.
+    """Load of one instance at the endpoints where it has just changed.
 
-    A beat tells the same again later, so that nothing is lost with a datagram.
+    The next heartbeat repeats it, so a lost datagram loses no information.
     """
 
     instance: str
@@ -103,35 +103,35 @@
 
 @dataclass(frozen=True, slots=True, kw_only=True)
 class BeatBundle:
-    """What a relay of beats passes on of many instances together.
+    """State of many instances, forwarded by an aggregator in one datagram.
 
-    Most of what an instance says of itself never changes, and of what it has read the newest of all
-    is enough; so a bundle names those that live and tells the rest once.
+    Most of an instance's own record never changes, and of all freshness stamps the newest suffices;
+    so the datagram lists the live instances and contains the rest only once.
     """
 
     aggregator: str
-    """Name of the instance that passes it on."""
+    """Name of the instance that forwards it."""
     liveness: list[LivenessRecord]
     records: list[InstanceRecord]
-    """Of those among them that are new or have changed, and of some others in turn."""
+    """Records of listed instances that are new or have changed, and of some others in rotation."""
     catalog: Proof | None
-    """The newest that the relay has heard of."""
+    """The newest stamp that the aggregator knows."""
     endpoints: Proof | None
     profiles: dict[str, dict[str, ProfileEstimates]]
-    """What the instances of each failure domain have seen together of each service's engines."""
+    """Combined estimates of each failure domain for the engines of each service."""
 
 
 class MalformedBeat(Exception):
-    """A datagram that is no beat."""
+    """A datagram that is not a valid heartbeat or update."""
 
 
 def encode_beat(heartbeat: Beat) -> bytes:
-    """Return the datagram of a beat."""
+    """Return the datagram of a heartbeat."""
     return json.dumps(_to_fields(heartbeat), separators=(",", ":")).encode()
 
 
 def encode_aggregate(aggregate: BeatBundle) -> bytes:
-    """Return the datagram of a bundle."""
+    """Return the datagram of an aggregated heartbeat."""
     fields = [
         AGGREGATE_VERSION,
         aggregate.aggregator,
@@ -172,10 +172,10 @@
 
 
 def decode_beat(data: bytes) -> Beat:
-    """Return the beat of a datagram.
+    """Return the heartbeat of a datagram.
 
     Raises:
-        MalformedBeat: It is none.
+        MalformedBeat: The datagram is not a valid heartbeat.
     """
     try:
         return _from_fields(json.loads(data))
@@ -267,7 +267,7 @@
 
 
 def encode_notice(update: LoadNotice) -> bytes:
-    """Return the datagram of a notice."""
+    """Return the datagram of a load update."""
     fields = [
         "n",
         update.instance,
@@ -282,7 +282,7 @@
     """Return the message of a datagram.
 
     Raises:
-        MalformedBeat: It is none.
+        MalformedBeat: The datagram is not a valid message.
     """
     if data.startswith(AGGREGATE_PREFIX):
         return _decode_aggregate(data[len(AGGREGATE_PREFIX) :])
@@ -368,7 +368,7 @@
 
 
 def _encode_profiles(profiles: dict[str, ProfileEstimates]) -> dict[str, list[float]]:
-    """Return value and samples of each quantity in turn."""
+    """Return the value and sample count of each quantity, alternating."""
     encoded = {}
     for service, estimates in profiles.items():
         numbers: list[float] = []
--- a/src/guavamast/relay/boot_clock.py
+++ b/src/guavamast/relay/boot_clock.py
@@ -1,4 +1,4 @@
-"""The clock of the relay's processes."""
+"""The clock of the relay's processes, which includes time suspended."""
 
 from __future__ import annotations
 
@@ -6,5 +6,5 @@
 
 
 def read_boot_time() -> float:
-    """Return seconds that go on while the machine is suspended."""
+    """Return the seconds since boot, including time in which the machine was suspended."""
     return time.clock_gettime(time.CLOCK_BOOTTIME)
--- a/src/guavamast/relay/bundle_content.py
+++ b/src/guavamast/relay/bundle_content.py
@@ -1,4 +1,4 @@
-"""What a relay of beats tells: who lives, and of the rest what has changed."""
+"""Aggregated heartbeats: the live instances and the records that have changed."""
 
 from __future__ import annotations
 
@@ -15,26 +15,26 @@
     from guavamast.relay.peers import Peer
     from guavamast.relay.store import InstanceRecord
 
-RECORDS_PER_AGGREGATE: Final = 400
-"""Instances in one datagram, compressed well below what UDP carries."""
+INSTANCES_PER_DATAGRAM: Final = 400
+"""Instances in one datagram; compressed, they stay well below the UDP limit."""
 CHANGED_RECORD_REPEAT_S: Final = 3.0
-"""Seconds for which a record that is news is told with each bundle: several may be lost."""
+"""Seconds for which every aggregated heartbeat repeats a changed record: several may be lost."""
 RECORD_ROTATION_PARTS: Final = 12
-"""Parts into which all records are divided; each bundle tells those of one, so that whoever has
-missed a change gets it in some seconds."""
+"""Parts into which all records are divided; each aggregated heartbeat contains one part, so an
+instance that has missed a change receives it within a few seconds."""
 
 
 class BundleContent:
-    """Makes the bundles of one instance.
+    """Builds the aggregated heartbeats of one instance.
 
-    Failure: each instance takes in the whole words of all others twice a second, and a machine with
-    half a core is busy with that alone before the first request comes. Only names, numbers and
-    states are told of all.
+    Of all instances, they contain only names, numbers and states. If each instance decoded full
+    heartbeats of all others twice a second, that alone would saturate a machine with half a core
+    before the first request.
 
     Args:
         record: This instance.
-        knowledge: What has been read and heard of the store's tables.
-        read_profiles: Returns what the instances of each failure domain have seen of the engines.
+        knowledge: What is known of the store's tables, read here or received.
+        read_profiles: Returns the estimates of each failure domain for the engines.
     """
 
     __slots__ = ("_knowledge", "_read_profiles", "_record", "_rotation")
@@ -54,12 +54,12 @@
     def build_for_aggregators(
         self, heartbeat: Beat, peers: list[Peer], *, now: float
     ) -> list[BeatBundle]:
-        """Return what the relays of other failure domains are told of this one.
+        """Return the state of this failure domain for the aggregators of the others.
 
         Args:
-            beat: This instance's own.
-            peers: The others of its failure domain.
-            now: The present time.
+            heartbeat: This instance's heartbeat.
+            peers: The other live instances of its failure domain.
+            now: Local time.
         """
         own = self._record.failure_domain
         profiles = {key: value for key, value in self._read_profiles().items() if key == own}
@@ -68,12 +68,12 @@
     def build_for_domain(
         self, heartbeat: Beat, peers: list[Peer], *, now: float
     ) -> list[BeatBundle]:
-        """Return what the own failure domain is told of all instances.
+        """Return the state of all instances for the own failure domain.
 
         Args:
-            beat: This instance's own.
-            peers: All others.
-            now: The present time.
+            heartbeat: This instance's heartbeat.
+            peers: All other live instances.
+            now: Local time.
         """
         return self._build(heartbeat, peers, self._read_profiles(), now=now)
 
@@ -91,13 +91,13 @@
         return [
             BeatBundle(
                 aggregator=self._record.name,
-                liveness=liveness[first : first + RECORDS_PER_AGGREGATE],
+                liveness=liveness[first : first + INSTANCES_PER_DATAGRAM],
                 records=records,
                 catalog=self._knowledge.heard_catalog_proof,
                 endpoints=self._knowledge.heard_endpoint_proof,
                 profiles=profiles,
             )
-            for first in range(0, len(liveness), RECORDS_PER_AGGREGATE)
+            for first in range(0, len(liveness), INSTANCES_PER_DATAGRAM)
         ]
 
     def _select_records(self, peers: list[Peer], *, now: float) -> list[InstanceRecord]:
--- a/src/guavamast/relay/catalog_news.py
+++ b/src/guavamast/relay/catalog_news.py
@@ -1,4 +1,4 @@
-"""The operators' configuration as one instance has read it, told to the others in a datagram."""
+"""Catalog update: the operators' configuration as one instance has read it, in a datagram."""
 
 from __future__ import annotations
 
@@ -10,34 +10,34 @@
 from guavamast.relay.packing import pack, unpack
 
 CATALOG_MARK: Final = b"c"
-"""Begins the datagram of a configuration."""
+"""First byte of a catalog update."""
 
 
 @dataclass(frozen=True, slots=True, kw_only=True)
 class CatalogNews:
-    """A configuration as the store holds it, and who has read it."""
+    """A configuration as stored, and the failure domain of its reader."""
 
     domain: str
     """Failure domain of the instance that read it."""
     row_version: int
-    """The store's number of the row."""
+    """Version of the row in the store."""
     reading: float
-    """Seconds on the store's clock at the read."""
+    """Store time of the read, in seconds."""
     text: bytes
 
 
 def encode_catalog(update: CatalogNews) -> bytes | None:
-    """Return the datagram of a configuration, or None if it is too long for one."""
+    """Return the datagram of a catalog update, or None if it is too long for one."""
     fields = [update.domain, update.row_version, update.reading, update.text.decode("latin-1")]
     data = CATALOG_MARK + pack(fields)
     return data if len(data) <= MAX_DATAGRAM_BYTES else None
 
 
 def decode_catalog_news(data: bytes) -> CatalogNews:
-    """Return the configuration of a datagram.
+    """Return the catalog update of a datagram.
 
     Raises:
-        MalformedBeat: It is none.
+        MalformedBeat: The datagram is not a valid catalog update.
     """
     try:
         domain, row_version, store_time, text = unpack(data[len(CATALOG_MARK) :])
--- a/src/guavamast/relay/endpoint_news.py
+++ b/src/guavamast/relay/endpoint_news.py
@@ -1,4 +1,4 @@
-"""The table of endpoints as one instance has read it, told to the others in a datagram."""
+"""Endpoint update: the table of endpoints as one instance has read it, in a datagram."""
 
 from __future__ import annotations
 
@@ -11,14 +11,14 @@
 from guavamast.relay.store import EndpointReading
 
 ENDPOINTS_PREFIX: Final = b"e"
-"""Begins the datagram of a table of endpoints."""
+"""First byte of an endpoint update."""
 MAX_DATAGRAM_BYTES: Final = 60_000
-"""Bytes of the longest datagram that is sent, below what UDP carries."""
+"""Bytes of the longest datagram that is sent, below the UDP limit."""
 
 
 @dataclass(frozen=True, slots=True, kw_only=True)
 class EndpointNews:
-    """A table of endpoints and who has read it."""
+    """A snapshot of the endpoint table, and the failure domain of its reader."""
 
     domain: str
     """Failure domain of the instance that read it."""
@@ -26,7 +26,7 @@
 
 
 def encode_endpoints(update: EndpointNews) -> bytes | None:
-    """Return the datagram of a table, or None if it is too long for one."""
+    """Return the datagram of an endpoint update, or None if it is too long for one."""
     snapshot = update.reading
     rows = [
         [
@@ -47,10 +47,10 @@
 
 
 def decode_endpoint_update(data: bytes) -> EndpointNews:
-    """Return the table of a datagram.
+    """Return the endpoint update of a datagram.
 
     Raises:
-        MalformedBeat: It is none.
+        MalformedBeat: The datagram is not a valid endpoint update.
     """
     try:
         domain, digest, store_time, rows = unpack(data[len(ENDPOINTS_PREFIX) :])
--- a/src/guavamast/relay/load_notices.py
+++ b/src/guavamast/relay/load_notices.py
@@ -1,4 +1,4 @@
-"""Tells the other instances of changed work at endpoints, sooner than the next beat."""
+"""Updates of changed load at endpoints, sent ahead of the next heartbeat."""
 
 from __future__ import annotations
 
@@ -16,26 +16,26 @@
     from guavamast.relay.prompt_cache import PromptCache
 
 INCREASE_BATCH_S: Final = 0.02
-"""Seconds in which new work is gathered for one notice: short beside the usual wait for an
-engine."""
+"""Seconds for which increases are collected into one load update: short beside the usual wait for
+an engine."""
 DECREASE_BATCH_S: Final = 0.1
-"""Seconds in which ended work is gathered; told later, it costs no more than a detour."""
+"""Seconds for which decreases are collected; a late report at worst diverts a request."""
 
 
 class LoadNotices:
-    """Gathers changes of this instance's loads and sends them on.
+    """Collects changes of this instance's loads and sends them to the others.
 
-    Failure: a burst comes to all instances at once, each sends to the engine that had the least
-    work a beat ago, and the requests queue there while others idle. Notices make the work known
-    within some 25 ms instead of a beat's 250.
+    Without this, a burst that reaches all instances at once goes to the engine that had the least
+    load at the last heartbeat, and requests queue there while other engines idle. Load updates
+    report the load within some 25 ms instead of a heartbeat's 250.
 
     Args:
         instance: Name of this instance.
         incarnation: Start of this process.
         loads: This instance's loads.
-        cache: This instance's sends.
-        send: Sends a notice to all instances.
-        count_instances: Returns how many there are.
+        cache: Prompts that this instance has sent.
+        send: Sends a load update to all instances.
+        count_instances: Returns the number of instances.
         read_time: The local clock.
     """
 
@@ -75,11 +75,11 @@
         self._last_sent_number = 0
 
     def note(self, endpoint_id: str, *, more: bool) -> None:
-        """Tell soon that the work at an endpoint has changed.
+        """Schedule an update after the load at an endpoint has changed.
 
         Args:
             endpoint_id: The endpoint.
-            more: Whether its work has grown.
+            more: Whether its load has increased.
         """
         if self._count_instances() > FULL_MESH_INSTANCES:
             return
--- a/src/guavamast/relay/loop_delay.py
+++ b/src/guavamast/relay/loop_delay.py
@@ -1,18 +1,18 @@
-"""How late the event loop of this process runs what is due."""
+"""Delay with which the event loop of this process runs what is due."""
 
 from __future__ import annotations
 
 from typing import Final
 
 DELAY_WINDOW_S: Final = 1.0
-"""Seconds for which a delay is told: as long as a request usually waits for what was held up."""
+"""Seconds for which a delay is reported: as long as a request usually waits for delayed work."""
 
 
 class LoopDelay:
     """The greatest delay of the last second or two.
 
-    A process that is short of processor time takes messages, timeouts and requests late, and all
-    of them look like faults of others. The delay tells one from the other.
+    A process that is short of CPU time handles messages, timeouts and requests late, and each of
+    these looks like a fault of another component. The delay distinguishes the two cases.
     """
 
     __slots__ = ("_previous_greatest", "_window_start", "_greatest")
@@ -23,17 +23,17 @@
         self._previous_greatest = 0.0
 
     def record(self, delay_s: float, *, now: float) -> None:
-        """Note how much later than due something ran."""
+        """Record how much later than due something ran."""
         self._advance_window(now)
         self._greatest = max(self._greatest, delay_s)
 
     def read(self, *, now: float) -> float:
-        """Return the greatest delay in seconds that was noted lately."""
+        """Return the greatest recent delay in seconds."""
         self._advance_window(now)
         return max(self._greatest, self._previous_greatest)
 
     def _advance_window(self, now: float) -> None:
-        """Begin another span; of the spans before, the last one counts."""
+        """Start a new window when the current one is over; keep only the window just before it."""
         if now - self._window_start < DELAY_WINDOW_S:
             return
         recent = now - self._window_start < 2 * DELAY_WINDOW_S
--- a/src/guavamast/relay/loop_timeout.py
+++ b/src/guavamast/relay/loop_timeout.py
@@ -1,4 +1,4 @@
-"""A time limit that a slow process does not mistake for a silent server."""
+"""Timeout that does not mistake a slow event loop for a silent server."""
 
 from __future__ import annotations
 
@@ -12,22 +12,22 @@
 T = TypeVar("T")
 
 TIMEOUT_STEPS: Final = 7
-"""Parts in which a limit is counted; an exchange of some messages takes fewer turns of the loop."""
+"""Parts into which a timeout is split; an exchange of some messages takes fewer loop iterations."""
 
 
 async def wait_turns(work: Coroutine[Any, Any, T], *, timeout_s: float) -> T:
-    """Return the result of some work with another machine, within a time that the loop has.
+    """Return the result of some network I/O within a timeout that tolerates a blocked loop.
 
-    Failure: the process is held up for longer than the limit while the answer waits in its socket,
-    and the server is given up as silent. The limit is counted in parts, each of which ends in a
-    turn of the loop of its own, so what has come is taken in before the limit is reached.
+    With a single timer, a process that is blocked for longer than the timeout treats the server as
+    silent although its answer waits in the socket. The timeout is split into parts, each of which
+    ends in its own loop iteration, so data that has arrived is read before the timeout is reached.
 
     Args:
-        work: What is waited for; cancelled at the limit.
-        timeout_s: The limit in seconds.
+        work: The I/O to wait for; cancelled on timeout.
+        timeout_s: Timeout in seconds.
 
     Raises:
-        TimeoutError: The limit is reached.
+        TimeoutError: The timeout is reached.
     """
     task = asyncio.ensure_future(work)
     try:
--- a/src/guavamast/relay/packing.py
+++ b/src/guavamast/relay/packing.py
@@ -1,4 +1,4 @@
-"""Fields of a message as compressed JSON, for messages that hold a whole table."""
+"""Encoding of messages as compressed JSON, for those that contain a whole table."""
 
 from __future__ import annotations
 
@@ -7,9 +7,9 @@
 from typing import Any, Final
 
 COMPRESSION_LEVEL: Final = 1
-"""Level of compression, the least: most of the gain for little processor time."""
+"""Level of compression, the lowest: most of the reduction for little CPU time."""
 MAX_UNPACKED_BYTES: Final = 4_194_304
-"""Bytes of what is unpacked at most; far above that of a thousand beats."""
+"""Bytes that are decompressed at most; far above those of a thousand heartbeats."""
 
 
 def pack(fields: list[Any]) -> bytes:
@@ -19,10 +19,10 @@
 
 
 def unpack(data: bytes) -> Any:
-    """Return the fields of compressed JSON, of bounded length.
+    """Return the fields of compressed JSON, decompressing a bounded length.
 
     Raises:
-        ValueError: It is none, or too long.
+        ValueError: The data is not compressed JSON, or is too long.
     """
     try:
         return json.loads(zlib.decompressobj().decompress(data, MAX_UNPACKED_BYTES))
--- a/src/guavamast/relay/peers.py
+++ b/src/guavamast/relay/peers.py
@@ -1,4 +1,4 @@
-"""The other instances as one instance hears them."""
+"""The other instances, as known from their heartbeats and the store's listing."""
 
 from __future__ import annotations
 
@@ -13,39 +13,39 @@
     from guavamast.relay.store import InstanceRecord
 
 BEAT_INTERVAL_S: Final = 0.25
-"""Seconds between two beats to the same instance while there are few instances."""
+"""Seconds between two heartbeats to the same instance in a fleet with a full mesh."""
 FULL_MESH_INSTANCES: Final = 32
-"""Instances up to which each sends its beats to all others; beyond, beats are relayed, as their
-number would grow with the square."""
+"""Instances up to which each sends its heartbeats to all others; beyond, they are aggregated, as
+their number would grow quadratically."""
 AGGREGATED_INTERVAL_S: Final = 0.5
-"""Seconds between two beats that are relayed."""
+"""Seconds between two heartbeats of an instance when they are aggregated."""
 MISSED_BEATS: Final = 4.5
-"""Beats missed in a row after which an instance is taken for gone: by mere loss hardly ever."""
+"""Intervals without a heartbeat after which an instance counts as gone: rarely by loss alone."""
 AGGREGATED_SILENCE_S: Final = 3.0
-"""Seconds of silence after which an instance is taken for gone when beats are relayed: a beat, its
-way and the bundle, any of them lost once."""
+"""Seconds of silence after which an instance counts as gone when heartbeats are aggregated: time
+for a heartbeat, its delivery and the aggregated heartbeat, any of them lost once."""
 FORGET_AFTER_S: Final = 90.0
-"""Seconds of silence after which an instance gets no beats any more."""
+"""Seconds of silence after which an instance receives no more heartbeats."""
 READER_KEY: Final = "store reader"
 
 
 @dataclass(slots=True, kw_only=True)
 class Peer:
-    """Another instance as it is known here."""
+    """Another instance as known here."""
 
     record: InstanceRecord
     received_at: float
-    """Local time of its newest word, or of the listing while there was none."""
+    """Local time of its newest liveness record, or of the store's listing before the first."""
     changed_at: float
-    """Local time at which its process, state or record was last news here."""
+    """Local time of the last change of its process, state or record here."""
     incarnation: int = 0
     sequence: int = 0
     state: InstanceState | None = None
-    """What it last said of itself; None before its first word."""
+    """State in its newest liveness record; None before the first."""
     store_answers: bool = False
 
     def build_liveness_record(self) -> LivenessRecord:
-        """Return its newest word for others that know its record."""
+        """Return its newest liveness record, for instances that already have its record."""
         assert self.state is not None
         return LivenessRecord(
             name=self.record.name,
@@ -57,19 +57,19 @@
 
 
 def compute_beat_interval(instances: int) -> float:
-    """Return the seconds between two beats of an instance."""
+    """Return the seconds between two heartbeats of an instance."""
     return BEAT_INTERVAL_S if instances <= FULL_MESH_INSTANCES else AGGREGATED_INTERVAL_S
 
 
 def compute_liveness_timeout(instances: int) -> float:
-    """Return the seconds without a beat after which an instance is taken for gone."""
+    """Return the seconds without a heartbeat after which an instance counts as gone."""
     if instances <= FULL_MESH_INSTANCES:
         return MISSED_BEATS * BEAT_INTERVAL_S
     return AGGREGATED_SILENCE_S
 
 
 class Peers:
-    """Which instances are there, from their beats and the store's listing.
+    """The other instances, from their heartbeats and the store's listing.
 
     Args:
         own_name: Name of this instance, whose own record is not kept.
@@ -85,37 +85,38 @@
 
     @property
     def relayed(self) -> bool:
-        """Whether there are so many instances that beats are relayed."""
+        """Whether there are so many instances that heartbeats are aggregated."""
         return self.count_known() > FULL_MESH_INSTANCES
 
     def add_listed(self, record: InstanceRecord, *, now: float) -> None:
-        """Take an instance from the store's listing, unless it has been heard already."""
+        """Add an instance from the store's listing, unless it is already known."""
         if record.name != self._own_name and record.name not in self._peers:
             self._peers[record.name] = Peer(record=record, received_at=now, changed_at=now)
 
     def take(self, heartbeat: Beat, *, now: float) -> bool:
-        """Take a beat from its instance itself; False if it is older than what is known.
+        """Apply a heartbeat from its own sender; return False if it is older than the known one.
 
-        Failure: an instance starts while its time of day is ahead, the clock is set right, and its
-        next process seems older than the one before; it would never be heard, and get no callers.
-        A process that has fallen silent can have no late words any more, so any other replaces it.
+        If an instance starts while its wall clock is ahead and the clock is then corrected, its
+        next process seems older than the previous one, would be ignored for good and get no
+        callers. A process that has gone silent can have no late heartbeats left, so any other
+        replaces it.
         """
         return self._apply(heartbeat.record, heartbeat.make_sign(), now=now, direct=True)
 
     def take_sign(
         self, liveness: LivenessRecord, record: InstanceRecord | None, *, now: float
     ) -> bool:
-        """Take an instance's word that was passed on; False if it is no news.
+        """Apply a forwarded liveness record; return False if it is not newer.
 
-        Failure: relays that forget an instance at different times tell each other its last word
-        again and again, and callers are sent to an instance that ended long ago. A word that was
-        passed on counts only if it is a later one, or of another process.
+        Aggregators drop an instance at different times and could forward its last liveness record
+        to each other again and again, so callers would be sent to an instance that stopped long
+        ago. A forwarded one counts only if it is newer, or of another process.
 
         Args:
-            sign: The word.
-            record: The instance, where it was passed on too; without it the word says nothing of a
-                process that is not known.
-            now: The present time.
+            liveness: The liveness record.
+            record: The instance record, if it was forwarded too; without it, a liveness record of
+                an unknown process is ignored.
+            now: Local time.
         """
         peer = self._peers.get(liveness.name)
         if peer is not None and peer.incarnation == liveness.incarnation:
@@ -160,7 +161,7 @@
         return True
 
     def is_current(self, name: str, incarnation: int) -> bool:
-        """Return whether a process is the newest that is known of its instance."""
+        """Return whether a process is the newest known one of its instance."""
         peer = self._peers.get(name)
         return peer is not None and peer.state is not None and peer.incarnation == incarnation
 
@@ -169,11 +170,11 @@
         return 1 + len(self._peers)
 
     def list_targets(self) -> list[InstanceRecord]:
-        """Return the instances that may be running, heard or not."""
+        """Return the instances that may be running, with or without a heartbeat so far."""
         return [peer.record for peer in self._peers.values()]
 
     def forget_silent(self, *, now: float) -> list[str]:
-        """Drop the instances that have been silent for long; returns their names."""
+        """Drop the instances that have been silent for long; return their names."""
         expired = [
             name for name, peer in self._peers.items() if now - peer.received_at > FORGET_AFTER_S
         ]
@@ -183,17 +184,17 @@
         return expired
 
     def find_record(self, name: str) -> InstanceRecord | None:
-        """Return where an instance is."""
+        """Return the record of an instance."""
         peer = self._peers.get(name)
         return peer.record if peer is not None else None
 
     def find_state(self, name: str) -> InstanceState | None:
-        """Return what an instance last said of itself."""
+        """Return the last reported state of an instance."""
         peer = self._peers.get(name)
         return peer.state if peer is not None else None
 
     def list_live(self, *, now: float) -> list[Peer]:
-        """Return the instances that are there."""
+        """Return the live instances."""
         oldest = now - compute_liveness_timeout(self.count_known())
         return [
             peer
@@ -211,9 +212,9 @@
         return weight
 
     def rank_as_reader(self, *, now: float) -> int:
-        """Return how many live instances come before this one in reading the store.
+        """Return how many live instances precede this one in reading the store.
 
-        An instance that the store turns away tells so and does not count.
+        An instance whose reads the store rejects reports this in its heartbeats and does not count.
         """
         return sum(
             1
--- a/tests/test_relay_beat_exchange.py
+++ b/tests/test_relay_beat_exchange.py
@@ -1,4 +1,4 @@
-"""Tests of beats that are relayed: forty instances over a network that loses what it is told to."""
+"""Tests of aggregated heartbeats: forty instances over a network with configurable loss."""
 
 from __future__ import annotations
 
@@ -7,7 +7,7 @@
 from random import Random
 
 from guavamast.relay.beat_exchange import AGGREGATE_EXCHANGE_INTERVAL_S, BeatExchange
-from guavamast.relay.beat_relays import RELAYS_EACH, AGGREGATOR_SILENCE_S, BeatRelays
+from guavamast.relay.beat_relays import AGGREGATOR_SILENCE_S, RELAYS_EACH, BeatRelays
 from guavamast.relay.beats import Beat, BeatBundle, InstanceState, LoadNotice, decode_message
 from guavamast.relay.bundle_content import BundleContent
 from guavamast.relay.endpoint_news import (
@@ -18,7 +18,7 @@
 )
 from guavamast.relay.fleet_knowledge import FleetKnowledge
 from guavamast.relay.freshness import Proof, StoreClock
-from guavamast.relay.peers import FULL_MESH_INSTANCES, AGGREGATED_SILENCE_S, Peers
+from guavamast.relay.peers import AGGREGATED_SILENCE_S, FULL_MESH_INSTANCES, Peers
 from guavamast.relay.prompt_lanes import LANES, Demand
 from guavamast.relay.store import EndpointReading, InstanceRecord
 from tests.relay_facts import make_endpoint
@@ -37,7 +37,7 @@
 
 
 class SimulatedInstance:
-    """One instance's beats, without sockets and clocks."""
+    """Heartbeat exchange of one instance, without sockets and clocks."""
 
     def __init__(self, number: int, network: SimulatedNetwork) -> None:
         self.network = network
@@ -56,14 +56,14 @@
         self.incarnation = 1
         self.sequence = 0
         self.peers = Peers(own_name=self.record.name)
-        self.relays = BeatRelays(record=self.record, peers=self.peers)
+        self.topology = BeatRelays(record=self.record, peers=self.peers)
         self.knowledge = FleetKnowledge(
             failure_domain=self.record.failure_domain, peers=self.peers, clock=StoreClock()
         )
         self.exchange = BeatExchange(
             name=self.record.name,
             peers=self.peers,
-            relays=self.relays,
+            relays=self.topology,
             content=BundleContent(
                 record=self.record, knowledge=self.knowledge, read_profiles=lambda: {}
             ),
@@ -91,11 +91,11 @@
             sends=[],
         )
 
-    def apply_heartbeat(self, beat: Beat) -> None:
-        self.apply_stamp(beat.catalog)
+    def apply_heartbeat(self, heartbeat: Beat) -> None:
+        self.apply_stamp(heartbeat.catalog)
 
-    def apply_aggregate(self, bundle: BeatBundle) -> None:
-        self.apply_stamp(bundle.catalog)
+    def apply_aggregate(self, aggregate: BeatBundle) -> None:
+        self.apply_stamp(aggregate.catalog)
 
     def apply_stamp(self, catalog: Proof | None) -> None:
         self.knowledge.take_proofs(catalog=catalog, endpoints=None)
@@ -109,17 +109,17 @@
             self.exchange.take_bundle(message)
 
     def receive_endpoint_update(self, data: bytes) -> None:
-        news = decode_endpoint_update(data)
-        if news.reading != self.endpoints:
-            self.endpoints = news.reading
-            self.exchange.forward_table(data, domain=news.domain)
+        update = decode_endpoint_update(data)
+        if update.reading != self.endpoints:
+            self.endpoints = update.reading
+            self.exchange.forward_table(data, domain=update.domain)
 
     def list_live(self) -> set[str]:
         return {peer.record.name for peer in self.peers.list_live(now=self.network.now)}
 
 
 class SimulatedNetwork:
-    """Delivers datagrams at once, but for those that it loses."""
+    """Delivers datagrams at once, except those that it loses."""
 
     def __init__(self, *, loss: float = 0.0) -> None:
         self.now = 100.0
@@ -151,53 +151,53 @@
         return [one for name, one in self.instances.items() if name not in self.stopped]
 
     def register_all(self) -> None:
-        """Each finds in the store those that have come before it and tells them."""
+        """Start the instances in turn; each lists the earlier ones and announces itself."""
         known: list[InstanceRecord] = []
-        for member in self.list_running():
+        for instance in self.list_running():
             for record in known:
-                member.peers.add_listed(record, now=self.now)
-            known.append(member.record)
-            member.exchange.announce_to_all()
+                instance.peers.add_listed(record, now=self.now)
+            known.append(instance.record)
+            instance.exchange.announce_to_all()
             self.deliver()
 
     async def run(self, seconds: float) -> None:
         for _ in range(round(seconds / AGGREGATE_EXCHANGE_INTERVAL_S)):
             self.now += AGGREGATE_EXCHANGE_INTERVAL_S
-            for member in self.list_running():
-                member.exchange.send_heartbeat()
+            for instance in self.list_running():
+                instance.exchange.send_heartbeat()
             self.deliver()
-            for member in self.list_running():
-                member.exchange.send_to_aggregators()
+            for instance in self.list_running():
+                instance.exchange.send_to_aggregators()
             self.deliver()
-            for member in self.list_running():
-                await member.exchange.send_to_domain(gap_s=0.0)
+            for instance in self.list_running():
+                await instance.exchange.send_to_domain(gap_s=0.0)
             self.deliver()
 
 
 class RelaysByLinkTest(unittest.TestCase):
-    """Relays are the instances with the widest links, whatever their names.
+    """Aggregators are the instances with the widest links, whatever their names.
 
-    The pattern: most instances have links of 5 Mbit/s, two in a domain 100. A relay of 112
-    instances sends 5 Mbit/s of bundles; on a narrow link its callers' answers wait a second.
+    Most instances have links of 5 Mbit/s, two in a domain 100. An aggregator of 112 instances sends
+    5 Mbit/s of aggregated heartbeats; on a narrow link, answers to its callers wait a second.
     """
 
     def test_widest_links_first(self) -> None:
-        beat = SimulatedInstance(0, SimulatedNetwork()).build_heartbeat()
+        heartbeat = SimulatedInstance(0, SimulatedNetwork()).build_heartbeat()
         peers = Peers(own_name="x")
         for number in range(INSTANCES):
             link_mbps = 100.0 if number in (17, 31) else 5.0
             record = replace(NARROW_LINK, name=f"n{number}", link_mbps=link_mbps)
-            peers.take(replace(beat, record=record), now=0.0)
-        relays = BeatRelays(record=NARROW_LINK, peers=peers)
-        relays.record_aggregate(now=0.0)
+            peers.take(replace(heartbeat, record=record), now=0.0)
+        topology = BeatRelays(record=NARROW_LINK, peers=peers)
+        topology.record_aggregate(now=0.0)
         self.assertEqual(
-            {one.name for one in relays.list_heartbeat_targets(now=0.0)}, {"n17", "n31"}
+            {one.name for one in topology.list_heartbeat_targets(now=0.0)}, {"n17", "n31"}
         )
-        self.assertFalse(relays.is_aggregator(now=0.0))
+        self.assertFalse(topology.is_aggregator(now=0.0))
 
 
 class RelayedBeatsTest(unittest.IsolatedAsyncioTestCase):
-    """What many instances know of each other."""
+    """Liveness of the instances of a fleet whose heartbeats are aggregated."""
 
     async def asyncSetUp(self) -> None:
         self.assertGreater(INSTANCES, FULL_MESH_INSTANCES)
@@ -206,17 +206,17 @@
         await self.network.run(2.0)
 
     def assert_all_live(self, expected: set[str]) -> None:
-        for member in self.network.list_running():
+        for instance in self.network.list_running():
             self.assertEqual(
-                member.list_live() | {member.record.name}, expected, member.record.name
+                instance.list_live() | {instance.record.name}, expected, instance.record.name
             )
 
     def list_aggregators(self, domain: str) -> list[str]:
         return [
-            member.record.name
-            for member in self.network.list_running()
-            if member.record.failure_domain == domain
-            and member.relays.is_aggregator(now=self.network.now)
+            instance.record.name
+            for instance in self.network.list_running()
+            if instance.record.failure_domain == domain
+            and instance.topology.is_aggregator(now=self.network.now)
         ]
 
     async def test_all_are_heard_with_few_datagrams(self) -> None:
@@ -234,14 +234,14 @@
         await network.run(4.0)
         for _ in range(6):
             await network.run(1.0)
-            for member in network.list_running():
-                self.assertEqual(len(member.list_live()), INSTANCES - 1)
+            for instance in network.list_running():
+                self.assertEqual(len(instance.list_live()), INSTANCES - 1)
 
     async def test_an_instance_that_ended_is_gone_everywhere_and_stays_gone(self) -> None:
-        """No caller is sent to an instance that ended some seconds ago.
+        """No caller is sent to an instance that stopped some seconds ago.
 
-        Relays forget it at different times; one that still has its last beat tells it to another
-        that has just forgotten it, which must not take it for a sign of life.
+        Aggregators drop it at different times. One that still has its last heartbeat forwards it to
+        another that has just dropped it, which must not count the instance as live.
         """
         self.network.stopped = {"i5"}
         await self.network.run(AGGREGATED_SILENCE_S + 2.0)
@@ -250,10 +250,11 @@
             await self.network.run(0.5)
 
     async def test_the_end_of_all_relays_of_a_domain_is_survived(self) -> None:
-        """Callers are sent to the instances that are left, and to no others.
+        """Callers are sent to the remaining instances, and to no others.
 
-        Both relays of a failure domain end at once. Its instances hear no bundle, tell each other
-        directly, take the silent relays for gone, and the next ones pass beats on.
+        Both aggregators of a failure domain stop at once. Its instances receive no aggregated
+        heartbeats, send theirs directly to each other, count the silent aggregators as gone, and
+        the next aggregators take over.
         """
         self.network.stopped = set(self.list_aggregators("b"))
         self.assertEqual(len(self.network.stopped), RELAYS_EACH)
@@ -262,70 +263,70 @@
         self.assertEqual(len(self.list_aggregators("b")), RELAYS_EACH)
 
     async def test_who_hears_no_relay_is_heard_by_its_domain(self) -> None:
-        """Callers are still sent to the instances that are left while no relay works.
+        """Callers are still sent to the remaining instances while there is no aggregator.
 
-        Both relays of a domain have ended and no other has begun to pass beats on. Before all seem
-        gone at once, the instances tell each other directly.
+        Both aggregators of a domain have stopped and no other has taken over. The instances send
+        heartbeats directly to each other before all of them count as gone.
         """
         self.network.stopped = set(self.list_aggregators("b"))
-        left = [one for one in self.network.list_running() if one.record.failure_domain == "b"]
-        names = {one.record.name for one in left}
+        remaining = [one for one in self.network.list_running() if one.record.failure_domain == "b"]
+        names = {one.record.name for one in remaining}
         for _ in range(round((AGGREGATED_SILENCE_S + 1.0) / AGGREGATE_EXCHANGE_INTERVAL_S)):
             self.network.now += AGGREGATE_EXCHANGE_INTERVAL_S
-            for member in left:
-                member.exchange.send_heartbeat()
+            for instance in remaining:
+                instance.exchange.send_heartbeat()
             self.network.deliver()
-            for member in left:
-                heard = member.list_live() & names
-                self.assertEqual(heard | {member.record.name}, names)
+            for instance in remaining:
+                live = instance.list_live() & names
+                self.assertEqual(live | {instance.record.name}, names)
 
     async def test_domains_that_lose_their_relays_together_find_each_other(self) -> None:
-        """Callers are sent to all that are left although every relay ended at the same time."""
-        relays = [name for domain in DOMAINS for name in self.list_aggregators(domain)]
-        self.network.stopped = set(relays)
+        """Callers are sent to all remaining instances after every aggregator stopped at once."""
+        aggregators = [name for domain in DOMAINS for name in self.list_aggregators(domain)]
+        self.network.stopped = set(aggregators)
         await self.network.run(14.0)
         self.assert_all_live(set(self.network.instances) - self.network.stopped)
 
     async def test_a_domain_that_was_dark_is_heard_again(self) -> None:
-        dark = {
+        stopped = {
             name for name, one in self.network.instances.items() if one.record.failure_domain == "c"
         }
-        self.network.stopped = dark
+        self.network.stopped = stopped
         await self.network.run(6.0)
-        self.assert_all_live(set(self.network.instances) - dark)
+        self.assert_all_live(set(self.network.instances) - stopped)
         self.network.stopped = set()
-        for name in dark:
+        for name in stopped:
             self.network.instances[name].incarnation += 1
             self.network.instances[name].exchange.announce_to_all()
         await self.network.run(3.0)
         self.assert_all_live(set(self.network.instances))
 
     async def test_news_does_not_wait_for_a_bundle(self) -> None:
-        """Operators' changes are in force everywhere soon after one instance has read them."""
-        proof = Proof(version="9", reading=500.0)
-        self.network.instances["i11"].catalog = proof
+        """Operators' changes take effect everywhere soon after one instance has read them."""
+        stamp = Proof(version="9", reading=500.0)
+        self.network.instances["i11"].catalog = stamp
         self.network.instances["i11"].exchange.announce()
         self.network.deliver()
-        for name, member in self.network.instances.items():
+        for name, instance in self.network.instances.items():
             if name != "i11":
-                self.assertEqual(member.received_catalog, proof, name)
+                self.assertEqual(instance.received_catalog, stamp, name)
 
     async def test_a_table_of_endpoints_reaches_all(self) -> None:
-        reading = EndpointReading(records=[make_endpoint("e1", slots=64)], digest="d", reading=1.0)
-        news = EndpointNews(domain=DOMAINS[11 % len(DOMAINS)], reading=reading)
-        self.network.instances["i11"].exchange.tell_table(encode_endpoints(news))
+        snapshot = EndpointReading(records=[make_endpoint("e1", slots=64)], digest="d", reading=1.0)
+        update = EndpointNews(domain=DOMAINS[11 % len(DOMAINS)], reading=snapshot)
+        self.network.instances["i11"].exchange.tell_table(encode_endpoints(update))
         self.network.deliver()
-        for name, member in self.network.instances.items():
+        for name, instance in self.network.instances.items():
             if name != "i11":
-                self.assertEqual(member.endpoints, reading, name)
+                self.assertEqual(instance.endpoints, snapshot, name)
 
     async def test_a_leaving_instance_is_named_to_no_caller_at_once(self) -> None:
         leaving = self.network.instances["i3"]
         leaving.state = InstanceState.LEAVING
         leaving.exchange.announce_to_all()
         self.network.deliver()
-        for member in self.network.list_running():
-            serving = [one.name for one in member.peers.list_serving(now=self.network.now)]
+        for instance in self.network.list_running():
+            serving = [one.name for one in instance.peers.list_serving(now=self.network.now)]
             self.assertNotIn("i3", serving)
 
 
--- a/tests/test_relay_endpoint_news.py
+++ b/tests/test_relay_endpoint_news.py
@@ -1,4 +1,4 @@
-"""Tests of the table of endpoints as instances tell it to each other."""
+"""Tests of the endpoint updates that instances send each other."""
 
 from __future__ import annotations
 
@@ -23,24 +23,24 @@
 
 
 def make_snapshot(*names: str, store_time: float) -> EndpointReading:
-    """Return a table with endpoints of these names."""
+    """Return a snapshot with endpoints of these names."""
     records = [make_endpoint(name, slots=64) for name in names]
     return EndpointReading(records=records, digest="-".join(names), reading=store_time)
 
 
 class EndpointNewsTest(unittest.TestCase):
-    """Tables survive the wire, and anything else is refused."""
+    """Endpoint updates are decoded as encoded, and anything else is rejected."""
 
     def test_tables_survive_the_wire(self) -> None:
-        news = EndpointNews(domain="a", reading=make_snapshot("e1", "e2", store_time=12.5))
-        data = encode_endpoints(news)
+        update = EndpointNews(domain="a", reading=make_snapshot("e1", "e2", store_time=12.5))
+        data = encode_endpoints(update)
         assert data is not None
-        self.assertEqual(decode_endpoint_update(data), news)
+        self.assertEqual(decode_endpoint_update(data), update)
 
     def test_a_table_that_no_datagram_holds_is_not_told(self) -> None:
         names = [f"{number * 2_654_435_761 % 2**64:x}" for number in range(12_000)]
-        news = EndpointNews(domain="a", reading=make_snapshot(*names, store_time=1.0))
-        self.assertIsNone(encode_endpoints(news))
+        update = EndpointNews(domain="a", reading=make_snapshot(*names, store_time=1.0))
+        self.assertIsNone(encode_endpoints(update))
 
     @given(data=st.binary(max_size=60))
     def test_any_other_datagram_is_refused(self, data: bytes) -> None:
@@ -51,8 +51,8 @@
     def test_an_older_table_changes_nothing(self) -> None:
         """A request is not sent to an endpoint that has left.
 
-        The instance has read the table without the endpoint; another's older table, which was held
-        up on its way, still names it.
+        The instance has read the table without the endpoint; a delayed, older update from another
+        instance still lists it.
         """
         knowledge = FleetKnowledge(
             failure_domain="a", peers=Peers(own_name="me"), clock=StoreClock()
--- a/tests/test_relay_loop_delay.py
+++ b/tests/test_relay_loop_delay.py
@@ -1,4 +1,4 @@
-"""Tests of the delay that tells a slow process from a slow store."""
+"""Tests of the loop delay, which distinguishes a slow process from a slow store."""
 
 from __future__ import annotations
 
@@ -8,7 +8,7 @@
 
 
 class LoopDelayTest(unittest.TestCase):
-    """The greatest delay of the last moments, and none of long ago."""
+    """The greatest recent delay is reported, and none from long ago."""
 
     def test_the_greatest_is_told_until_it_is_old(self) -> None:
         delay = LoopDelay()
--- a/tests/test_relay_loop_timeout.py
+++ b/tests/test_relay_loop_timeout.py
@@ -1,4 +1,4 @@
-"""Tests of the time limit that a slow process does not mistake for a silent server."""
+"""Tests of the timeout that does not mistake a slow event loop for a silent server."""
 
 from __future__ import annotations
 
@@ -13,7 +13,7 @@
 from guavamast.relay.loop_timeout import wait_turns
 
 BLOCKED_S = 0.06
-"""Time that each turn of the loop takes while the process is held up."""
+"""Seconds that each loop iteration takes while the process is blocked."""
 
 
 class Handler(socketserver.StreamRequestHandler):
@@ -30,7 +30,7 @@
 
 
 class WaitTurnsTest(unittest.IsolatedAsyncioTestCase):
-    """What came while the process was held up counts as in time."""
+    """Data that arrived while the process was blocked counts as in time."""
 
     async def asyncSetUp(self) -> None:
         self.server = socketserver.ThreadingTCPServer(("127.0.0.1", 0), Handler)
@@ -48,17 +48,17 @@
         await self.connection.send("GET", "/", [("Host", "x")], b"")
         return (await self.connection.read_head()).status
 
-    def block_loop(self, turns: int) -> None:
-        """Have each of the next turns of the loop take long."""
+    def block_loop(self, iterations: int) -> None:
+        """Block the loop in this and each of the next iterations."""
         time.sleep(BLOCKED_S)
-        if turns:
-            asyncio.get_running_loop().call_soon(self.block_loop, turns - 1)
+        if iterations:
+            asyncio.get_running_loop().call_soon(self.block_loop, iterations - 1)
 
     async def test_a_connection_that_was_accepted_is_taken(self) -> None:
-        """A store that answers at once is not taken to be away by an instance that is held up.
+        """A store that answers at once does not seem unavailable to a blocked instance.
 
-        Each turn of the loop takes longer than the limit, and the connection is accepted within the
-        first. With one timer over it all, the limit is reached before that is looked at.
+        Each loop iteration takes longer than the timeout, and the connection is accepted within the
+        first. With a single timer, the timeout is reached before the socket is checked.
         """
         asyncio.get_running_loop().call_soon(self.block_loop, 20)
         ip, port = self.server.server_address
