--- a/src/guavamast/relay/beat_socket.py
+++ b/src/guavamast/relay/beat_socket.py
@@ -1,4 +1,4 @@
-"""The UDP socket over which an instance's beats go out and come in."""
+"""UDP socket for heartbeats, updates and scheduling messages between instances."""
 
 from __future__ import annotations
 
@@ -7,7 +7,7 @@
 
 from guavamast.relay.beats import MalformedBeat, decode_message
 from guavamast.relay.catalog_news import CATALOG_MARK, decode_catalog_news
-from guavamast.relay.endpoint_news import NEWS_MARK, decode_endpoints
+from guavamast.relay.endpoint_news import ENDPOINTS_PREFIX, decode_endpoint_update
 from guavamast.relay.scheduling_wire import (
     SCHEDULING_MARK,
     MalformedScheduling,
@@ -26,22 +26,22 @@
 
 
 class BeatSocket(asyncio.DatagramProtocol):
-    """Receives beats and notices and sends them.
+    """Sends and receives the datagrams between instances.
 
     Args:
-        take: Called with each message.
-        take_catalog: Called with each configuration and its datagram.
-        take_endpoints: Called with each table of endpoints and its datagram.
-        take_scheduling: Called with each message of scheduling and the address that it came from.
+        take: Called with each heartbeat, aggregated heartbeat and load update.
+        take_catalog: Called with each catalog update and its datagram.
+        take_endpoints: Called with each endpoint update and its datagram.
+        take_scheduling: Called with each scheduling message and the address of its sender.
         counters: Metrics.
     """
 
     __slots__ = (
         "_counters",
-        "_take",
-        "_take_catalog",
-        "_take_endpoints",
-        "_take_scheduling",
+        "_on_message",
+        "_on_catalog_update",
+        "_on_endpoint_update",
+        "_on_scheduling_message",
         "_transport",
     )
 
@@ -54,10 +54,10 @@
         take_scheduling: Callable[[SchedulingMessage, tuple[str, int]], None],
         counters: Counters,
     ) -> None:
-        self._take_catalog = take_catalog
-        self._take_endpoints = take_endpoints
-        self._take_scheduling = take_scheduling
-        self._take = take
+        self._on_catalog_update = take_catalog
+        self._on_endpoint_update = take_endpoints
+        self._on_scheduling_message = take_scheduling
+        self._on_message = take
         self._counters = counters
         self._transport: asyncio.DatagramTransport | None = None
 
@@ -71,25 +71,25 @@
         self._transport = transport  # type: ignore[assignment]
 
     def datagram_received(self, data: bytes, addr: tuple[str, int]) -> None:
-        """Take a beat; what is none is counted."""
+        """Decode and dispatch a datagram; count those that are malformed."""
         try:
             if data.startswith(SCHEDULING_MARK):
-                self._take_scheduling(decode_scheduling(data), addr)
+                self._on_scheduling_message(decode_scheduling(data), addr)
             elif data.startswith(CATALOG_MARK):
-                self._take_catalog(decode_catalog_news(data), data)
-            elif data.startswith(NEWS_MARK):
-                self._take_endpoints(decode_endpoints(data), data)
+                self._on_catalog_update(decode_catalog_news(data), data)
+            elif data.startswith(ENDPOINTS_PREFIX):
+                self._on_endpoint_update(decode_endpoint_update(data), data)
             else:
-                self._take(decode_message(data))
+                self._on_message(decode_message(data))
         except (MalformedBeat, MalformedScheduling):
             self._counters.add("malformed_beats_total")
 
     def error_received(self, exc: Exception) -> None:
-        """Count a datagram that could not be delivered; the next beat replaces it."""
+        """Count a datagram that could not be delivered; the next heartbeat replaces it."""
         self._counters.add(f'beat_errors_total{{error="{type(exc).__name__}"}}')
 
     def send(self, data: bytes, target: InstanceRecord) -> None:
-        """Send a beat to one instance."""
+        """Send a datagram to an instance and count it."""
         self.send_to(data, (target.ip, target.peer_port))
         self._counters.add("beats_sent_total")
 
--- a/src/guavamast/relay/beats.py
+++ b/src/guavamast/relay/beats.py
@@ -1,7 +1,7 @@
-"""What instances tell each other a few times a second, as datagrams.
+"""Heartbeats and load updates, which instances send each other a few times a second.
 
-Datagrams, since a connection between instances can fall silent without an error, and what a beat
-says is replaced by the next one anyway.
+They are datagrams because a connection between instances can stall without an error, and the next
+heartbeat replaces a lost one anyway.
 """
 
 from __future__ import annotations
@@ -20,32 +20,32 @@
 from guavamast.relay.refusal_history import RefusalCount
 from guavamast.relay.store import InstanceRecord
 
-BUNDLE_MARK: Final = b"z"
-"""Begins the datagram of a bundle; beats begin with a brace, notices with a bracket."""
+AGGREGATE_PREFIX: Final = b"z"
+"""First byte of an aggregated heartbeat; others begin with a brace, load updates with a bracket."""
 
 
 class InstanceState(StrEnum):
-    """Whether callers may be sent to an instance."""
+    """State of an instance, which determines whether callers may be sent to it."""
 
     STARTING = "starting"
     SERVING = "serving"
     STALE = "stale"
-    """Its configuration is too old to accept keys."""
+    """Its configuration is too old to accept callers' keys."""
     LEAVING = "leaving"
 
 
-BUNDLE_VERSION: Final = 2
-"""Rank of the form of bundles; another is not understood."""
+AGGREGATE_VERSION: Final = 2
+"""Rank of the encoding of aggregated heartbeats; any other is rejected."""
 _STATES: Final = list(InstanceState)
 _STATE_CODES: Final = {state: code for code, state in enumerate(InstanceState)}
 
 
 @dataclass(frozen=True, slots=True, kw_only=True)
-class LifeSign:
-    """That a process lives and in which state, for those who know its record."""
+class LivenessRecord:
+    """Liveness and state of a process, for instances that already have its instance record."""
 
     name: str
-    """Of the instance."""
+    """Name of the instance."""
     incarnation: int
     sequence: int
     state: InstanceState
@@ -54,32 +54,32 @@
 
 @dataclass(frozen=True, slots=True, kw_only=True)
 class Beat:
-    """One instance's word on itself and on what it knows."""
+    """State of one instance, its load, and what it knows of the store's tables."""
 
     record: InstanceRecord
     incarnation: int
-    """Start of the process; a greater one replaces the instance's earlier words."""
+    """Start of the process; a greater value supersedes earlier heartbeats of the instance."""
     sequence: int
-    """Number of the beat within the incarnation."""
+    """Number of the heartbeat within the incarnation."""
     state: InstanceState
     store_answers: bool
     """Whether the instance's last read of the store succeeded."""
     catalog: Proof | None
     endpoints: Proof | None
     loads: dict[str, Load]
-    """Work that the instance has at endpoints."""
+    """Load that the instance places on each endpoint."""
     demand: Demand
-    """Work in each lane that the instance was asked for lately."""
+    """Work in each length bucket that the instance has recently been asked for."""
     refusals: list[RefusalCount]
-    """Requests that the instance has decided on lately."""
+    """Recent counts of requests and rejections at the instance."""
     profiles: dict[str, ProfileEstimates]
-    """What the instance has seen of the engines of each service lately."""
+    """Recent estimates by the instance for the engines of each service."""
     sends: list[PromptSend]
     """Prompts that the instance has sent in the last second."""
 
-    def make_sign(self) -> LifeSign:
-        """Return the part that is passed on to those who know the instance."""
-        return LifeSign(
+    def make_sign(self) -> LivenessRecord:
+        """Return the part that is forwarded to those that already have the instance record."""
+        return LivenessRecord(
             name=self.record.name,
             incarnation=self.incarnation,
             sequence=self.sequence,
@@ -90,9 +90,9 @@
 
 @dataclass(frozen=True, slots=True, kw_only=True)
 class LoadNotice:
-    """One instance's work at the endpoints where it has just changed.
+    """Load of one instance at the endpoints where it has just changed.
 
-    A beat tells the same again later, so that nothing is lost with a datagram.
+    The next heartbeat repeats it, so a lost datagram loses no information.
     """
 
     instance: str
@@ -103,79 +103,79 @@
 
 @dataclass(frozen=True, slots=True, kw_only=True)
 class BeatBundle:
-    """What a relay of beats passes on of many instances together.
+    """State of many instances, forwarded by an aggregator in one datagram.
 
-    Most of what an instance says of itself never changes, and of what it has read the newest of all
-    is enough; so a bundle names those that live and tells the rest once.
+    Most of an instance's own record never changes, and of all freshness stamps the newest suffices;
+    so the datagram lists the live instances and contains the rest only once.
     """
 
-    relay: str
-    """Name of the instance that passes it on."""
-    signs: list[LifeSign]
+    aggregator: str
+    """Name of the instance that forwards it."""
+    liveness: list[LivenessRecord]
     records: list[InstanceRecord]
-    """Of those among them that are new or have changed, and of some others in turn."""
+    """Records of listed instances that are new or have changed, and of some others in rotation."""
     catalog: Proof | None
-    """The newest that the relay has heard of."""
+    """The newest stamp that the aggregator knows."""
     endpoints: Proof | None
     profiles: dict[str, dict[str, ProfileEstimates]]
-    """What the instances of each failure domain have seen together of each service's engines."""
+    """Combined estimates of each failure domain for the engines of each service."""
 
 
 class MalformedBeat(Exception):
-    """A datagram that is no beat."""
+    """A datagram that is not a valid heartbeat or update."""
 
 
-def encode_beat(beat: Beat) -> bytes:
-    """Return the datagram of a beat."""
-    return json.dumps(_to_fields(beat), separators=(",", ":")).encode()
+def encode_beat(heartbeat: Beat) -> bytes:
+    """Return the datagram of a heartbeat."""
+    return json.dumps(_to_fields(heartbeat), separators=(",", ":")).encode()
 
 
-def encode_bundle(bundle: BeatBundle) -> bytes:
-    """Return the datagram of a bundle."""
+def encode_aggregate(aggregate: BeatBundle) -> bytes:
+    """Return the datagram of an aggregated heartbeat."""
     fields = [
-        BUNDLE_VERSION,
-        bundle.relay,
+        AGGREGATE_VERSION,
+        aggregate.aggregator,
         [
             [
-                sign.name,
-                sign.incarnation,
-                sign.sequence,
-                _STATE_CODES[sign.state],
-                sign.store_answers,
+                liveness.name,
+                liveness.incarnation,
+                liveness.sequence,
+                _STATE_CODES[liveness.state],
+                liveness.store_answers,
             ]
-            for sign in bundle.signs
+            for liveness in aggregate.liveness
         ],
-        [_encode_record(record) for record in bundle.records],
-        _encode_proof(bundle.catalog),
-        _encode_proof(bundle.endpoints),
-        {domain: _encode_profiles(profiles) for domain, profiles in bundle.profiles.items()},
+        [_encode_record(record) for record in aggregate.records],
+        _encode_stamp(aggregate.catalog),
+        _encode_stamp(aggregate.endpoints),
+        {domain: _encode_profiles(profiles) for domain, profiles in aggregate.profiles.items()},
     ]
-    return BUNDLE_MARK + pack(fields)
+    return AGGREGATE_PREFIX + pack(fields)
 
 
-def _to_fields(beat: Beat) -> dict[str, Any]:
+def _to_fields(heartbeat: Beat) -> dict[str, Any]:
     return {
         "v": 1,
-        "who": _encode_record(beat.record),
-        "inc": beat.incarnation,
-        "seq": beat.sequence,
-        "state": beat.state,
-        "store": beat.store_answers,
-        "cat": _encode_proof(beat.catalog),
-        "end": _encode_proof(beat.endpoints),
-        "ask": [round(work, 1) for work in beat.demand.work_ms],
-        "back": _encode_refusals(beat.refusals),
-        "speed": _encode_profiles(beat.profiles),
-        "sent": _encode_sends(beat.sends),
-        "load": _encode_loads(beat.loads),
+        "who": _encode_record(heartbeat.record),
+        "inc": heartbeat.incarnation,
+        "seq": heartbeat.sequence,
+        "state": heartbeat.state,
+        "store": heartbeat.store_answers,
+        "cat": _encode_stamp(heartbeat.catalog),
+        "end": _encode_stamp(heartbeat.endpoints),
+        "ask": [round(work, 1) for work in heartbeat.demand.work_ms],
+        "back": _encode_rejections(heartbeat.refusals),
+        "speed": _encode_profiles(heartbeat.profiles),
+        "sent": _encode_sends(heartbeat.sends),
+        "load": _encode_loads(heartbeat.loads),
     }
 
 
 def decode_beat(data: bytes) -> Beat:
-    """Return the beat of a datagram.
+    """Return the heartbeat of a datagram.
 
     Raises:
-        MalformedBeat: It is none.
+        MalformedBeat: The datagram is not a valid heartbeat.
     """
     try:
         return _from_fields(json.loads(data))
@@ -192,27 +192,27 @@
         sequence=int(fields["seq"]),
         state=InstanceState(fields["state"]),
         store_answers=bool(fields["store"]),
-        catalog=_decode_proof(fields["cat"]),
-        endpoints=_decode_proof(fields["end"]),
+        catalog=_decode_stamp(fields["cat"]),
+        endpoints=_decode_stamp(fields["end"]),
         loads=_decode_loads(fields["load"]),
         demand=_decode_demand(fields["ask"]),
-        refusals=_decode_refusals(fields.get("back", [])),
+        refusals=_decode_rejections(fields.get("back", [])),
         profiles=_decode_profiles(fields["speed"]),
         sends=_decode_sends(fields["sent"]),
     )
 
 
-def _decode_bundle(data: bytes) -> BeatBundle:
+def _decode_aggregate(data: bytes) -> BeatBundle:
     try:
-        version, relay, signs, records, catalog, endpoints, profiles = unpack(data)
-        if version != BUNDLE_VERSION:
+        version, aggregator, liveness, records, catalog, endpoints, profiles = unpack(data)
+        if version != AGGREGATE_VERSION:
             raise MalformedBeat("unknown version")
         return BeatBundle(
-            relay=str(relay),
-            signs=[_decode_sign(*fields) for fields in signs],
+            aggregator=str(aggregator),
+            liveness=[_decode_liveness_record(*fields) for fields in liveness],
             records=[_decode_record(*fields) for fields in records],
-            catalog=_decode_proof(catalog),
-            endpoints=_decode_proof(endpoints),
+            catalog=_decode_stamp(catalog),
+            endpoints=_decode_stamp(endpoints),
             profiles={str(key): _decode_profiles(value) for key, value in profiles.items()},
         )
     except (ValueError, KeyError, TypeError, AttributeError, IndexError) as error:
@@ -254,10 +254,10 @@
     )
 
 
-def _decode_sign(
+def _decode_liveness_record(
     name: str, incarnation: int, sequence: int, state: int, store_answers: bool
-) -> LifeSign:
-    return LifeSign(
+) -> LivenessRecord:
+    return LivenessRecord(
         name=str(name),
         incarnation=int(incarnation),
         sequence=int(sequence),
@@ -266,14 +266,14 @@
     )
 
 
-def encode_notice(notice: LoadNotice) -> bytes:
-    """Return the datagram of a notice."""
+def encode_notice(update: LoadNotice) -> bytes:
+    """Return the datagram of a load update."""
     fields = [
         "n",
-        notice.instance,
-        notice.incarnation,
-        _encode_loads(notice.loads),
-        _encode_sends(notice.sends),
+        update.instance,
+        update.incarnation,
+        _encode_loads(update.loads),
+        _encode_sends(update.sends),
     ]
     return json.dumps(fields, separators=(",", ":")).encode()
 
@@ -282,10 +282,10 @@
     """Return the message of a datagram.
 
     Raises:
-        MalformedBeat: It is none.
+        MalformedBeat: The datagram is not a valid message.
     """
-    if data.startswith(BUNDLE_MARK):
-        return _decode_bundle(data[len(BUNDLE_MARK) :])
+    if data.startswith(AGGREGATE_PREFIX):
+        return _decode_aggregate(data[len(AGGREGATE_PREFIX) :])
     if not data.startswith(b'["n"'):
         return decode_beat(data)
     try:
@@ -341,7 +341,7 @@
     return Demand(work_ms=tuple(float(work) for work in value))
 
 
-def _encode_refusals(refusals: list[RefusalCount]) -> list[list[str | float]]:
+def _encode_rejections(rejections: list[RefusalCount]) -> list[list[str | float]]:
     return [
         [
             one.service,
@@ -350,11 +350,11 @@
             round(one.sent_back, 2),
             round(one.wait_ms, 1),
         ]
-        for one in refusals
+        for one in rejections
     ]
 
 
-def _decode_refusals(value: list[list[Any]]) -> list[RefusalCount]:
+def _decode_rejections(value: list[list[Any]]) -> list[RefusalCount]:
     return [
         RefusalCount(
             service=str(service),
@@ -368,7 +368,7 @@
 
 
 def _encode_profiles(profiles: dict[str, ProfileEstimates]) -> dict[str, list[float]]:
-    """Return value and samples of each quantity in turn."""
+    """Return the value and sample count of each quantity, alternating."""
     encoded = {}
     for service, estimates in profiles.items():
         numbers: list[float] = []
@@ -393,12 +393,12 @@
     return profiles
 
 
-def _encode_proof(proof: Proof | None) -> list[str | float] | None:
-    return None if proof is None else [proof.version, round(proof.reading, 4)]
+def _encode_stamp(stamp: Proof | None) -> list[str | float] | None:
+    return None if stamp is None else [stamp.version, round(stamp.reading, 4)]
 
 
-def _decode_proof(value: object) -> Proof | None:
+def _decode_stamp(value: object) -> Proof | None:
     if value is None:
         return None
-    version, reading = value  # type: ignore[misc]
-    return Proof(version=str(version), reading=float(reading))
+    version, store_time = value  # type: ignore[misc]
+    return Proof(version=str(version), reading=float(store_time))
