--- a/src/guavamast/relay/admission_control.py
+++ b/src/guavamast/relay/admission_control.py
@@ -1,4 +1,4 @@
-"""Admits requests by urgency, so that none is sent back for a less urgent one."""
+"""Admission by urgency, so that no request is rejected in favour of a less urgent one."""
 
 from __future__ import annotations
 
@@ -12,21 +12,21 @@
 
     from guavamast.relay.admission import ComeBack, WaitTerms
     from guavamast.relay.engine_model import Forecast
-    from guavamast.relay.refusal_history import Pressure, RefusalHistory
+    from guavamast.relay.refusal_history import RefusalHistory, RejectionPressure
 
-HELD_BACK_SHARE: Final = 1 / 4
-"""Share of the reading time of more urgent requests that is given to those held back for them, so
-that no kind starves while these go on being sent back."""
-MOST_CREDIT_MS: Final = 100.0
-"""Milliseconds of reading time that are kept for them at most: about one prompt."""
+LESS_URGENT_CREDIT_SHARE: Final = 1 / 4
+"""Share of the prefill time of admitted requests that is credited to less urgent ones that yield
+to them, so that no urgency starves while more urgent requests are being rejected."""
+MAX_CREDIT_MS: Final = 100.0
+"""Milliseconds of prefill time that are credited at most: about one prompt."""
 
 
 class AdmissionControl:
-    """Admits the requests to some endpoints.
+    """Admission of the requests to a set of endpoints.
 
     Args:
-        history: Requests sent back lately.
-        random: Source of the spread of times to come back.
+        history: Recent rejections by urgency.
+        random: Source of the retry jitter.
     """
 
     __slots__ = ("_credits_ms", "_history", "_random")
@@ -35,96 +35,98 @@
         self._history = history
         self._random = random
         self._credits_ms: dict[tuple[str, int], float] = {}
-        """Reading time that requests which are held back may still have, by service and urgency."""
+        """Prefill time that requests which yield may still use, by service and urgency."""
 
     def admit(
         self, forecast: Forecast, terms: WaitTerms, *, service: str, urgency: int, now: float
     ) -> ComeBack | None:
-        """Refuse a request that would wait too long, or that more urgent ones need room before.
+        """Reject a request that would wait too long or take capacity that more urgent ones need.
 
         Args:
-            forecast: What the request would meet at the best engine.
-            terms: How long it may wait by itself.
-            service: Where it goes.
-            urgency: 0 goes first.
+            forecast: The request's forecast at the best engine.
+            terms: How long it may wait, regardless of other requests.
+            service: Its service.
+            urgency: Its urgency; 0 is the most urgent.
             now: The present time.
 
         Returns:
-            When to come back, or None if the request is to be sent.
+            The rejection, or None if the request is admitted.
         """
         own_ms = compute_allowed_wait(forecast, terms)
         pressures = self._history.list_pressures(service, urgency, now=now)
-        allowed_ms = make_way(own_ms, forecast, pressures)
-        held_back = allowed_ms < forecast.waiting_ms <= own_ms
-        if held_back and self._take_credit(service, urgency, forecast.reading_ms):
+        allowed_ms = reduce_wait_for_urgent(own_ms, forecast, pressures)
+        yields = allowed_ms < forecast.waiting_ms <= own_ms
+        if yields and self._spend_credit(service, urgency, forecast.reading_ms):
             allowed_ms = own_ms
-        later = admit_within(allowed_ms, forecast, random=self._random)
-        if later is None:
-            self._give_credit(service, urgency, forecast.reading_ms)
-        # Nothing is held back for a request that would be late at an idle engine, too.
+        rejection = admit_within(allowed_ms, forecast, random=self._random)
+        if rejection is None:
+            self._add_credit(service, urgency, forecast.reading_ms)
+        # Less urgent requests don't yield to one that would be late even at an idle engine.
         if _may_be_in_time(forecast, terms):
             self._history.record(
-                service, urgency, sent_back=later is not None, wait_ms=own_ms, now=now
+                service, urgency, sent_back=rejection is not None, wait_ms=own_ms, now=now
             )
-        return later
+        return rejection
 
     def find_filter(
         self, terms: WaitTerms, *, service: str, urgency: int, now: float
     ) -> Callable[[Forecast], bool] | None:
-        """Return what tells where a request would be admitted; None if any engine may be taken.
+        """Return a predicate for engines that would admit a request; None if any engine may do.
 
-        Failure: where an urgent request costs least, all slots are taken; it is sent back from
-        there while an engine that costs more has room. There its pauses are often too long, so only
-        requests before which none goes are sent there, and only while too many are sent back.
+        Failure: an urgent request is rejected at the engine with the least cost, whose slots are
+        full, while a more expensive engine has room. Pauses there are often too long, so only the
+        most urgent requests use it, and only while too many of them are rejected.
 
         Args:
             terms: How long the request may wait.
-            service: Where it goes.
-            urgency: 0 goes first.
+            service: Its service.
+            urgency: Its urgency; 0 is the most urgent.
             now: The present time.
         """
-        if not terms.first or not self._history.is_pressed(service, urgency, now=now):
+        if not terms.first or not self._history.exceeds_tolerance(service, urgency, now=now):
             return None
         return lambda forecast: forecast.waiting_ms <= compute_allowed_wait(forecast, terms)
 
-    def _take_credit(self, service: str, urgency: int, reading_ms: float) -> bool:
-        """Return whether a request that is held back is let in for the share of its kind."""
+    def _spend_credit(self, service: str, urgency: int, prefill_ms: float) -> bool:
+        """Return whether a request that yields is admitted on credit, and spend the credit."""
         key = (service, urgency)
         credit_ms = self._credits_ms.setdefault(key, 0.0)
         if credit_ms <= 0.0:
             return False
-        self._credits_ms[key] = credit_ms - reading_ms
+        self._credits_ms[key] = credit_ms - prefill_ms
         return True
 
-    def _give_credit(self, service: str, urgency: int, reading_ms: float) -> None:
-        """Credit less urgent requests with their share for a request that is let in."""
+    def _add_credit(self, service: str, urgency: int, prefill_ms: float) -> None:
+        """Credit less urgent requests with their share of an admitted request's prefill time."""
         for key, credit_ms in self._credits_ms.items():
             if key[0] == service and key[1] > urgency:
-                more_ms = credit_ms + HELD_BACK_SHARE * reading_ms
-                self._credits_ms[key] = min(MOST_CREDIT_MS, more_ms)
+                raised_ms = credit_ms + LESS_URGENT_CREDIT_SHARE * prefill_ms
+                self._credits_ms[key] = min(MAX_CREDIT_MS, raised_ms)
 
 
 def _may_be_in_time(forecast: Forecast, terms: WaitTerms) -> bool:
-    """Return whether a request would be in time if it had nothing to wait for."""
+    """Return whether a request would be in time at an idle engine."""
     return forecast.start_ms + forecast.reading_ms <= terms.objective_s * 1000.0
 
 
-def make_way(allowed_ms: float, forecast: Forecast, pressures: tuple[Pressure, ...]) -> float:
-    """Return the milliseconds that a request may wait beside more urgent ones.
+def reduce_wait_for_urgent(
+    allowed_ms: float, forecast: Forecast, pressures: tuple[RejectionPressure, ...]
+) -> float:
+    """Return the milliseconds that a request may wait, given the rejections of more urgent ones.
 
-    Failure: urgent requests may wait a fifth of a second, less urgent ones half of one. In a burst
-    the less urgent keep all queues between the two, urgent ones are sent back everywhere, and each
-    of these decisions is right by itself. The more of the urgent are sent back, the nearer the less
-    urgent come to joining only queues that stay short enough for the urgent after them.
+    Failure: urgent requests may wait a fifth of a second, less urgent ones half a second. In a
+    burst the less urgent ones keep all queues between these two limits, and urgent ones are
+    rejected everywhere although each decision is right by itself. The more urgent requests are
+    rejected, the closer the limit moves to queues that stay short enough for urgent requests.
 
     Args:
-        allowed_ms: What it may wait by itself.
-        forecast: What it would meet.
-        pressures: More urgent requests that are being sent back.
+        allowed_ms: Milliseconds that it may wait, regardless of other requests.
+        forecast: Its forecast at the engine.
+        pressures: Rejection pressure of more urgent requests.
     """
-    least_ms = allowed_ms
+    reduced_ms = allowed_ms
     for pressure in pressures:
         room_ms = max(0.0, pressure.wait_ms - forecast.reading_ms)
         if room_ms < allowed_ms:
-            least_ms = min(least_ms, allowed_ms + pressure.weight * (room_ms - allowed_ms))
-    return least_ms
+            reduced_ms = min(reduced_ms, allowed_ms + pressure.weight * (room_ms - allowed_ms))
+    return reduced_ms
--- a/src/guavamast/relay/disturbance.py
+++ b/src/guavamast/relay/disturbance.py
@@ -1,8 +1,8 @@
-"""How an engine that reads a long prompt disturbs the streams that run there.
+"""Interference of long prefills with the streams that run at the same engine.
 
-Engines read prompts in pieces between the tokens of running requests, so each event takes longer
-while a long prompt is read, however idle the engine is otherwise. A stream whose route allows
-shorter pauses than that is late from its first such event on.
+Engines prefill prompts in chunks between the tokens of running requests, so each event takes longer
+during a long prefill, however idle the engine is otherwise. A stream whose route only allows
+shorter pauses is late from its first such event on.
 """
 
 from __future__ import annotations
@@ -13,27 +13,27 @@
     from guavamast.relay.catalog import Route
     from guavamast.relay.engine_profile import EngineProfile
 
-DELICATE_MARGIN: Final = 1.2
-"""Factor above the pauses that reading makes up to which a route counts as delicate: these are
-known as a median, and the longest of a stream's many pauses decides."""
-HARMLESS_READING: Final = 0.5
-"""Share of the longest pause allowed; reading that takes less delays no stream too long, as its
-pieces and the steps between them still fit."""
+PAUSE_SENSITIVE_MARGIN: Final = 1.2
+"""Factor on the pauses caused by prefill; routes that allow only shorter ones are pause-sensitive.
+The pauses are known as a median, but the longest pause of a stream is decisive."""
+HARMLESS_PREFILL_SHARE: Final = 0.5
+"""Share of the longest allowed pause; a shorter prefill delays no stream too long, as its chunks
+and the decoding steps between them still fit."""
 
 
 def is_delicate(route: Route, profile: EngineProfile) -> bool:
-    """Return whether streams of a route are late if long prompts are read beside them."""
+    """Return whether concurrent prefills of long prompts make streams of a route late."""
     if route.longest_pause_s is None:
         return False
-    return route.longest_pause_s * 1000.0 < DELICATE_MARGIN * profile.reading_pause_ms
+    return route.longest_pause_s * 1000.0 < PAUSE_SENSITIVE_MARGIN * profile.reading_pause_ms
 
 
-def estimate_disturbed_share(reading_ms: float, *, pause_s: float) -> float:
-    """Return the share of delicate streams that become late beside some reading.
+def estimate_delayed_share(prefill_ms: float, *, pause_s: float) -> float:
+    """Return the share of pause-sensitive streams that a prefill makes late.
 
     Args:
-        reading_ms: Time that the engine reads without end.
+        prefill_ms: Time for which the engine prefills without interruption.
         pause_s: The longest pause that the streams' route allows.
     """
-    excess = reading_ms / (pause_s * 1000.0) - HARMLESS_READING
-    return min(1.0, max(0.0, excess / (1.0 - HARMLESS_READING)))
+    excess = prefill_ms / (pause_s * 1000.0) - HARMLESS_PREFILL_SHARE
+    return min(1.0, max(0.0, excess / (1.0 - HARMLESS_PREFILL_SHARE)))
--- a/src/guavamast/relay/endpoint_load.py
+++ b/src/guavamast/relay/endpoint_load.py
@@ -1,4 +1,4 @@
-"""Work that is under way at each endpoint: this instance's own and what other instances tell."""
+"""Work in progress at each endpoint, from this instance and as other instances publish it."""
 
 from __future__ import annotations
 
@@ -6,13 +6,14 @@
 from typing import Final
 
 FAILURE_HALF_LIFE_S: Final = 2.0
-"""Seconds in which half of an endpoint's failures is forgotten: one that is well again gets its
-share back soon."""
+"""Seconds in which an endpoint's failure count decays by half, so that one that has recovered soon
+gets its share of requests again."""
 SUCCESS_FACTOR: Final = 0.85
-"""Factor that a success leaves of the failures remembered: one that fails often stays out, one that
-fails seldom does not."""
+"""Factor on the failure count at each success: an endpoint that fails often stays out of use, one
+that seldom fails does not."""
 FAILURE_LIMIT: Final = 8.0
-"""Failures remembered at most, so that a long bad time is forgotten as soon as a short one."""
+"""Failures counted at most, so that the count decays as soon after a long outage as after a short
+one."""
 
 
 @dataclass(slots=True, kw_only=True)
@@ -21,21 +22,21 @@
 
     requests: int = 0
     prefill_tokens: int = 0
-    """Prompt tokens that are to be read before the first event of their requests."""
+    """Prompt tokens that are to be prefilled before the first events of their requests."""
     memory_tokens: int = 0
-    """Tokens that the requests take in memory when they end."""
+    """Tokens that the requests take in the KV cache at their ends."""
     delicate: int = 0
-    """Requests whose pauses must be shorter than reading beside them would make them."""
+    """Pause-sensitive requests: concurrent prefills would make their pauses too long."""
 
     def add(self, other: Load) -> None:
-        """Count other work in."""
+        """Add other work."""
         self.requests += other.requests
         self.prefill_tokens += other.prefill_tokens
         self.memory_tokens += other.memory_tokens
         self.delicate += other.delicate
 
     def subtract(self, other: Load) -> None:
-        """Count out what was counted in."""
+        """Subtract work that was added before."""
         self.requests -= other.requests
         self.prefill_tokens -= other.prefill_tokens
         self.memory_tokens -= other.memory_tokens
@@ -49,42 +50,42 @@
     """One request's share of its endpoint's load.
 
     Args:
-        load: What it is part of.
-        prefill_tokens: Prompt tokens until the first event.
-        memory_tokens: Tokens in memory until the end.
-        delicate: Whether reading beside it would make it late.
+        load: The load that it is added to.
+        prefill_tokens: Prompt tokens that count until the first event.
+        kv_tokens: KV cache tokens that count until the end.
+        pause_sensitive: Whether concurrent prefills would make it late.
     """
 
-    __slots__ = ("_delicate", "_ended", "_load", "_memory_tokens", "_prefill_tokens")
+    __slots__ = ("_pause_sensitive", "_ended", "_load", "_kv_tokens", "_prefill_tokens")
 
     def __init__(
-        self, *, load: Load, prefill_tokens: int, memory_tokens: int, delicate: bool
+        self, *, load: Load, prefill_tokens: int, kv_tokens: int, pause_sensitive: bool
     ) -> None:
         self._load = load
-        self._delicate = delicate
+        self._pause_sensitive = pause_sensitive
         self._prefill_tokens = prefill_tokens
-        self._memory_tokens = memory_tokens
+        self._kv_tokens = kv_tokens
         self._ended = False
         load.requests += 1
         load.prefill_tokens += prefill_tokens
-        load.memory_tokens += memory_tokens
-        load.delicate += delicate
+        load.memory_tokens += kv_tokens
+        load.delicate += pause_sensitive
 
     def finish_prefill(self) -> bool:
-        """Count the prompt as read; returns whether that is news."""
-        news = self._prefill_tokens > 0
+        """Count the prompt as prefilled; return whether prefill tokens were still counted."""
+        was_pending = self._prefill_tokens > 0
         self._load.prefill_tokens -= self._prefill_tokens
         self._prefill_tokens = 0
-        return news
+        return was_pending
 
     def end(self) -> None:
-        """Count the request out; a second call changes nothing."""
+        """Remove the request from the load; a second call changes nothing."""
         if self._ended:
             return
         self._ended = True
         self.finish_prefill()
-        self._load.memory_tokens -= self._memory_tokens
-        self._load.delicate -= self._delicate
+        self._load.memory_tokens -= self._kv_tokens
+        self._load.delicate -= self._pause_sensitive
         self._load.requests -= 1
 
 
@@ -95,25 +96,25 @@
         self.amount = 0.0
         self.updated = 0.0
 
-    def read(self, now: float) -> float:
-        """Return what is remembered."""
+    def compute_decayed(self, now: float) -> float:
+        """Return the decayed count of failures."""
         return self.amount * 0.5 ** (max(0.0, now - self.updated) / FAILURE_HALF_LIFE_S)
 
 
 class EndpointLoads:
-    """Load and recent failures of all endpoints as this instance knows them.
+    """Load and recent failures of all endpoints as known to this instance.
 
-    Sums over the other instances are kept as their words come, so that reading one costs the same
-    however many instances there are.
+    Sums over the other instances are updated as their loads arrive, so that a lookup costs the same
+    for any number of instances.
     """
 
-    __slots__ = ("_failures", "_own", "_peers", "_told")
+    __slots__ = ("_failures", "_own", "_peers", "_peer_totals")
 
     def __init__(self) -> None:
         self._own: dict[str, Load] = {}
         self._peers: dict[str, dict[str, Load]] = {}
-        self._told: dict[str, Load] = {}
-        """Sum of the other instances' work by endpoint."""
+        self._peer_totals: dict[str, Load] = {}
+        """Sum of the other instances' loads by endpoint."""
         self._failures: dict[str, _Failures] = {}
 
     def begin(
@@ -124,103 +125,103 @@
         memory_tokens: int,
         delicate: bool = False,
     ) -> Work:
-        """Count a request that is being sent; the work returned counts it out.
+        """Add a request that is being sent; the work returned removes it again.
 
         Args:
-            endpoint_id: Where it goes.
-            prefill_tokens: Prompt tokens that are to be read.
-            memory_tokens: Tokens that it takes in memory when it ends.
-            delicate: Whether reading beside it would make it late.
+            endpoint_id: Its endpoint.
+            prefill_tokens: Prompt tokens that are to be prefilled.
+            memory_tokens: Tokens that it takes in the KV cache at its end.
+            delicate: Whether it is pause-sensitive: concurrent prefills would make it late.
         """
         load = self._own.setdefault(endpoint_id, Load())
         return Work(
             load=load,
             prefill_tokens=prefill_tokens,
-            memory_tokens=memory_tokens,
-            delicate=delicate,
+            kv_tokens=memory_tokens,
+            pause_sensitive=delicate,
         )
 
     def list_own(self) -> dict[str, Load]:
-        """Return this instance's work by endpoint."""
+        """Return this instance's load by endpoint."""
         self._own = {key: load for key, load in self._own.items() if load.requests}
         return self._own
 
     def take_peer(self, instance: str, loads: dict[str, Load]) -> None:
-        """Replace what another instance has told."""
+        """Replace all loads of another instance."""
         self._drop_peer(instance)
         self._peers[instance] = dict(loads)
         for endpoint_id, load in loads.items():
-            self._add_told(endpoint_id, load)
+            self._add_peer_load(endpoint_id, load)
 
     def update_peer(self, instance: str, loads: dict[str, Load]) -> None:
-        """Replace what another instance has told of some endpoints."""
+        """Replace the loads of another instance at some endpoints."""
         known = self._peers.setdefault(instance, {})
         for endpoint_id, load in loads.items():
             former = known.get(endpoint_id)
             if former is not None:
-                self._subtract_told(endpoint_id, former)
+                self._subtract_peer_load(endpoint_id, former)
             known[endpoint_id] = load
-            self._add_told(endpoint_id, load)
+            self._add_peer_load(endpoint_id, load)
 
     def keep_peers(self, instances: set[str]) -> None:
-        """Drop the work of instances that are gone."""
+        """Drop the loads of instances that are gone."""
         for instance in list(self._peers):
             if instance not in instances:
                 self._drop_peer(instance)
 
     def sum_up(self, endpoint_id: str) -> Load:
-        """Return the work of all instances at an endpoint."""
+        """Return the load of all instances at an endpoint."""
         total = Load()
-        for load in (self._own.get(endpoint_id), self._told.get(endpoint_id)):
+        for load in (self._own.get(endpoint_id), self._peer_totals.get(endpoint_id)):
             if load is not None:
                 total.add(load)
         return total
 
     def _drop_peer(self, instance: str) -> None:
         for endpoint_id, load in self._peers.pop(instance, {}).items():
-            self._subtract_told(endpoint_id, load)
+            self._subtract_peer_load(endpoint_id, load)
 
-    def _add_told(self, endpoint_id: str, load: Load) -> None:
-        self._told.setdefault(endpoint_id, Load()).add(load)
+    def _add_peer_load(self, endpoint_id: str, load: Load) -> None:
+        self._peer_totals.setdefault(endpoint_id, Load()).add(load)
 
-    def _subtract_told(self, endpoint_id: str, load: Load) -> None:
-        # Work that was told as none may have left no sum.
-        total = self._told.setdefault(endpoint_id, Load())
+    def _subtract_peer_load(self, endpoint_id: str, load: Load) -> None:
+        # There may be no sum for an endpoint whose reported load was empty.
+        total = self._peer_totals.setdefault(endpoint_id, Load())
         total.subtract(load)
         if total == _NO_LOAD:
-            del self._told[endpoint_id]
+            del self._peer_totals[endpoint_id]
 
     def record_failure(self, endpoint_id: str, *, weight: float, now: float) -> None:
-        """Remember that an endpoint failed a request."""
+        """Add a failed request to an endpoint's failure count."""
         failures = self._failures.setdefault(endpoint_id, _Failures())
-        failures.amount = min(FAILURE_LIMIT, failures.read(now) + weight)
+        failures.amount = min(FAILURE_LIMIT, failures.compute_decayed(now) + weight)
         failures.updated = now
 
     def record_success(self, endpoint_id: str, *, now: float) -> None:
-        """Forget a part of what is remembered."""
+        """Reduce an endpoint's failure count after a success."""
         failures = self._failures.get(endpoint_id)
         if failures is None:
             return
-        failures.amount = failures.read(now) * SUCCESS_FACTOR
+        failures.amount = failures.compute_decayed(now) * SUCCESS_FACTOR
         failures.updated = now
         if failures.amount < 0.05:
             del self._failures[endpoint_id]
 
     def read_failures(self, endpoint_id: str, *, now: float) -> float:
-        """Return the failures remembered, each weighing less the longer ago it was."""
+        """Return an endpoint's failure count, in which older failures weigh less."""
         failures = self._failures.get(endpoint_id)
-        return failures.read(now) if failures else 0.0
+        return failures.compute_decayed(now) if failures else 0.0
 
     def list_failing(self, *, least: float, now: float) -> list[str]:
-        """Return the endpoints of which so many failures or more are remembered."""
+        """Return the endpoints whose failure count is at least ``least``."""
         return [
             endpoint_id
             for endpoint_id, failures in self._failures.items()
-            if failures.read(now) >= least
+            if failures.compute_decayed(now) >= least
         ]
 
     def keep_only(self, endpoint_ids: set[str]) -> None:
-        """Forget the failures of endpoints that are gone."""
+        """Drop the failure counts of endpoints that are gone."""
         for endpoint_id in list(self._failures):
             if endpoint_id not in endpoint_ids:
                 del self._failures[endpoint_id]
--- a/src/guavamast/relay/expected_returns.py
+++ b/src/guavamast/relay/expected_returns.py
@@ -1,4 +1,4 @@
-"""Requests that were sent back and whose callers are expected to come again."""
+"""Rejected requests whose callers are expected to retry."""
 
 from __future__ import annotations
 
@@ -7,37 +7,37 @@
 if TYPE_CHECKING:
     from guavamast.relay.scheduling_messages import PlacementQuery
 
-EXPECTED_S: Final = 4.0
-"""Seconds for which a return is expected: well above the longest time to come back."""
-MOST_EXPECTED: Final = 5_000
-"""Requests that are remembered at all; the oldest go first."""
+RETRY_WINDOW_S: Final = 4.0
+"""Seconds for which a retry is expected: well above the longest retry delay."""
+MAX_EXPECTED: Final = 5_000
+"""Requests that are remembered at most; the oldest are dropped first."""
 
 
 class ExpectedReturns:
-    """Recognises a request that was sent back, wherever its caller comes again.
+    """Rejected requests, by which a retry is recognised on whichever instance it arrives.
 
-    A caller's next attempt has another id and mostly another instance, but the same prompt, whose
-    last part is its own or its session's.
+    A caller's retry has another id and mostly reaches another instance, but has the same prompt,
+    whose last part belongs to it or its session alone.
     """
 
-    __slots__ = ("_sent_back",)
+    __slots__ = ("_rejected_at",)
 
     def __init__(self) -> None:
-        self._sent_back: dict[str, float] = {}
+        self._rejected_at: dict[str, float] = {}
 
     def note(self, query: PlacementQuery, *, now: float) -> None:
-        """Note that a request is sent back."""
+        """Record that a request is rejected."""
         if not query.prompt_parts:
             return
         key = query.prompt_parts[-1].part_id
-        self._sent_back.pop(key, None)
-        self._sent_back[key] = now
-        if len(self._sent_back) > MOST_EXPECTED:
-            del self._sent_back[next(iter(self._sent_back))]
+        self._rejected_at.pop(key, None)
+        self._rejected_at[key] = now
+        if len(self._rejected_at) > MAX_EXPECTED:
+            del self._rejected_at[next(iter(self._rejected_at))]
 
     def recall(self, query: PlacementQuery, *, now: float) -> bool:
-        """Return whether a request was sent back before."""
+        """Return whether a request is a retry of a recently rejected one."""
         if not query.prompt_parts:
             return False
-        noted = self._sent_back.get(query.prompt_parts[-1].part_id)
-        return noted is not None and now - noted < EXPECTED_S
+        rejected_at = self._rejected_at.get(query.prompt_parts[-1].part_id)
+        return rejected_at is not None and now - rejected_at < RETRY_WINDOW_S
--- a/src/guavamast/relay/late_loads.py
+++ b/src/guavamast/relay/late_loads.py
@@ -1,4 +1,4 @@
-"""What to make of loads that are told late."""
+"""Correction of loads from late updates."""
 
 from __future__ import annotations
 
@@ -6,24 +6,24 @@
 
 from guavamast.relay.endpoint_load import Load
 
-TOLD_WEIGHT: Final = 0.5
-"""Share that an engine's own work weighs against the mean of its lane when loads are told late:
-queues come and go between two tellings."""
+REPORTED_WEIGHT: Final = 0.5
+"""Share of an engine's reported load in the blend with the mean of its length bucket when load
+updates are late: queues build up and drain between two updates."""
 
 
-def blend_loads(loads: dict[str, Load], lanes: dict[str, int]) -> dict[str, Load]:
-    """Return the loads of engines, drawn towards the mean of their lanes.
+def blend_loads(loads: dict[str, Load], buckets: dict[str, int]) -> dict[str, Load]:
+    """Return the loads of engines, blended with the mean of their length buckets.
 
-    Failure: what was told a second ago calls one engine of a lane full and the next idle; by now it
-    is often the other way round. Requests are refused at engines that have room, and meet queues
-    at those that seemed idle. Between old news and the mean, the truth lies nearer to the mean.
+    Failure: loads reported a second ago show one engine of a bucket as full and the next as idle;
+    by now it is often the other way round. Requests are rejected at engines with room and queue at
+    those that seemed idle. The actual load is closer to the mean than to the stale report.
     """
     members: dict[int, list[Load]] = {}
     for endpoint_id, load in loads.items():
-        members.setdefault(lanes.get(endpoint_id, 0), []).append(load)
-    means = {lane: _compute_mean(those) for lane, those in members.items()}
+        members.setdefault(buckets.get(endpoint_id, 0), []).append(load)
+    means = {lane: _compute_mean(bucket_loads) for lane, bucket_loads in members.items()}
     return {
-        endpoint_id: _blend(load, means[lanes.get(endpoint_id, 0)])
+        endpoint_id: _blend(load, means[buckets.get(endpoint_id, 0)])
         for endpoint_id, load in loads.items()
     }
 
@@ -37,17 +37,19 @@
 
 
 def _blend(load: Load, mean: Load) -> Load:
-    """Return a load between what was told and the mean.
+    """Return a load between the reported one and the mean.
 
-    Failure: an engine was told full, its lane's mean halves that, it is given more prompts, and its
-    memory ends: it stops running requests, some of them more urgent than others that go on. What
-    running requests keep in memory, and which are delicate, lasts longer than news, so it counts as
-    told.
+    Failure: an engine is reported as full, its bucket's mean halves that, and it is sent more
+    prompts until its KV cache is full: it preempts running requests, some of them more urgent than
+    others that continue. KV cache use and pause-sensitive requests last longer than the delay of an
+    update, so both count as reported.
     """
-    rest = 1.0 - TOLD_WEIGHT
+    mean_weight = 1.0 - REPORTED_WEIGHT
     return Load(
-        requests=round(TOLD_WEIGHT * load.requests + rest * mean.requests),
-        prefill_tokens=round(TOLD_WEIGHT * load.prefill_tokens + rest * mean.prefill_tokens),
+        requests=round(REPORTED_WEIGHT * load.requests + mean_weight * mean.requests),
+        prefill_tokens=round(
+            REPORTED_WEIGHT * load.prefill_tokens + mean_weight * mean.prefill_tokens
+        ),
         memory_tokens=load.memory_tokens,
         delicate=load.delicate,
     )
--- a/src/guavamast/relay/placement.py
+++ b/src/guavamast/relay/placement.py
@@ -1,4 +1,4 @@
-"""What is known of one request when its endpoint is chosen."""
+"""Properties of a request that determine the choice of its endpoint."""
 
 from __future__ import annotations
 
@@ -15,32 +15,32 @@
 
 @dataclass(frozen=True, slots=True, kw_only=True)
 class Placement:
-    """The facts of one request that matter for its place."""
+    """The properties of one request that determine the choice of its endpoint."""
 
     prompt_parts: tuple[PromptPart, ...]
     prompt_tokens: int
     failure_domain: str
-    """Of the instance that sends."""
+    """Failure domain of the sending instance."""
     lane: int
-    """Which engines are meant for its prompt."""
+    """Length bucket of its prompt."""
     lane_shares: tuple[float, ...]
-    """Share of the engines that each lane of prompts should have."""
+    """Share of the engines for each length bucket."""
     output_tokens: int
-    """Most tokens that the answer may have."""
+    """Token limit of the answer."""
     memory_tokens: int
-    """Tokens that fit into an engine's memory; 0 for plain services."""
+    """Tokens that fit into an engine's KV cache; 0 for plain services."""
     profile: EngineProfile
-    """How fast the service's engines are; of no account for plain services."""
+    """Profile of the service's engines; unused for plain services."""
     objective_s: float = float("inf")
     """Time in which the first event is due."""
     delicate: bool = False
-    """Whether long prompts that are read beside it would make it late."""
+    """Whether it is pause-sensitive: concurrent prefills of long prompts would make it late."""
     shortest_pause_s: float = float("inf")
-    """The longest pause that the most delicate streams of its service may have."""
+    """The longest allowed pause of the most pause-sensitive streams of its service."""
     memory_limit: MemoryLimit = RECENT_LIMIT
-    """How much of an engine's memory running requests may take."""
+    """How much of an engine's KV cache running requests may take."""
     loads_late: bool = False
-    """Whether other instances' work is told too late to be compared at all endpoints."""
+    """Whether load updates are too late for a comparison of all endpoints."""
 
     @property
     def shared_parts(self) -> tuple[PromptPart, ...]:
--- a/src/guavamast/relay/prompt_lanes.py
+++ b/src/guavamast/relay/prompt_lanes.py
@@ -1,4 +1,7 @@
-"""Keeps prompts of unlike length apart, so that short ones don't wait behind long ones."""
+"""Assignment of prompts and engines to length buckets.
+
+Short prompts don't wait behind long ones, as each bucket has its own engines.
+"""
 
 from __future__ import annotations
 
@@ -12,38 +15,38 @@
     from guavamast.relay.endpoint_table import EndpointRecord
     from guavamast.relay.engine_profile import EngineProfile
 
-LANE_READING_SHARES: Final = (1 / 12, 1 / 4)
-"""Share of the shortest objective; prompts that take an engine so much and more to read belong to
-the next lane."""
-PATIENT_OBJECTIVES: Final = 3.3
-"""Factor on the shortest objective; prompts that are due sooner never belong to the last lane,
-where they would wait behind prompts that have more time."""
-LANES: Final = len(LANE_READING_SHARES) + 1
-LANE_ROOM: Final = (1.5, 1.3, 1.0)
-"""Factor on each lane's work for its room: the shorter the prompts, the sooner they are due."""
+BUCKET_PREFILL_SHARES: Final = (1 / 12, 1 / 4)
+"""Share of the shortest objective; prompts whose prefill takes at least this long belong to the
+next length bucket."""
+LATENCY_TOLERANT_FACTOR: Final = 3.3
+"""Factor on the shortest objective; prompts that are due sooner never belong to the last length
+bucket, where they would wait behind prompts that have more time."""
+LANES: Final = len(BUCKET_PREFILL_SHARES) + 1
+BUCKET_CAPACITY_FACTORS: Final = (1.5, 1.3, 1.0)
+"""Factor on each length bucket's work for its share of engines: shorter prompts are due sooner."""
 DEMAND_HALF_LIFE_S: Final = 4.0
-"""Seconds in which half of the demand seen is forgotten: bursts last some seconds."""
-TOKEN_SHARE: Final = 1 / 20
-"""Share of the time of a generated token that counts as its engine's: a busy engine makes one for
+"""Seconds in which recorded demand decays by half: bursts last some seconds."""
+TOKEN_TIME_SHARE: Final = 1 / 20
+"""Share of the time per generated token that counts as engine time: a busy engine generates one for
 many requests in each step."""
-LANE_KEY: Final = "prompt lanes"
+BUCKET_KEY: Final = "prompt lanes"
 
 
 @dataclass(frozen=True, slots=True, kw_only=True)
 class Demand:
-    """Engine milliseconds asked for lately in each lane, older ones weighing less."""
+    """Recent demand in engine milliseconds per length bucket, decayed by age."""
 
     work_ms: tuple[float, ...]
 
 
 NO_DEMAND: Final = Demand(work_ms=(0.0,) * LANES)
-"""Engine milliseconds where nothing is asked for or told."""
+"""No demand in any length bucket."""
 
 
 class PromptDemand:
-    """Work in each lane that all instances have seen lately.
+    """Recent work per length bucket over all instances.
 
-    All instances sum up the same figures, so their lanes agree but for the delay of a beat.
+    All instances sum the same values, so their buckets agree but for the delay of a heartbeat.
     """
 
     __slots__ = ("_own", "_peers", "_updated")
@@ -62,36 +65,38 @@
         profile: EngineProfile,
         now: float,
     ) -> None:
-        """Count a request to a model engine in its lane."""
-        self._fade(now)
-        work_ms = profile.compute_reading_ms(prompt_tokens)
-        self._own[lane] += work_ms + TOKEN_SHARE * profile.token_ms * output_tokens
+        """Add the work of a request to an engine to its length bucket."""
+        self._decay(now)
+        work_ms = profile.compute_prefill_ms(prompt_tokens)
+        self._own[lane] += work_ms + TOKEN_TIME_SHARE * profile.token_ms * output_tokens
 
     def read_own(self, *, now: float) -> Demand:
-        """Return what this instance has seen."""
-        self._fade(now)
+        """Return the demand that this instance has recorded."""
+        self._decay(now)
         return Demand(work_ms=tuple(self._own))
 
     def take_peer(self, instance: str, demand: Demand) -> None:
-        """Replace what another instance has told."""
+        """Replace the demand of another instance."""
         self._peers[instance] = demand
 
     def keep_peers(self, instances: set[str]) -> None:
-        """Forget instances that are gone."""
+        """Drop the demand of instances that are gone."""
         self._peers = {key: value for key, value in self._peers.items() if key in instances}
 
     def compute_shares(self) -> tuple[float, ...]:
-        """Return the share of the engines that each lane should have; they sum up to 1."""
+        """Return the share of the engines for each length bucket; the shares sum to 1."""
         sums = list(self._own)
         for demand in self._peers.values():
             sums = [total + work for total, work in zip(sums, demand.work_ms, strict=True)]
-        weighted = [work * room for work, room in zip(sums, LANE_ROOM, strict=True)]
+        weighted = [
+            work * factor for work, factor in zip(sums, BUCKET_CAPACITY_FACTORS, strict=True)
+        ]
         total = sum(weighted)
         if total <= 0.0:
             return (1.0 / LANES,) * LANES
         return tuple(weight / total for weight in weighted)
 
-    def _fade(self, now: float) -> None:
+    def _decay(self, now: float) -> None:
         if self._updated is not None:
             factor = 0.5 ** (max(0.0, now - self._updated) / DEMAND_HALF_LIFE_S)
             self._own = [work * factor for work in self._own]
@@ -99,53 +104,53 @@
 
 
 def is_patient(objective_s: float, *, shortest_s: float) -> bool:
-    """Return whether a request has far more time than the most urgent of its service.
+    """Return whether a request is latency-tolerant: far above its service's shortest objective.
 
     Args:
         objective_s: Time in which its first event is due.
         shortest_s: The shortest such time of all routes to its service.
     """
-    return objective_s >= PATIENT_OBJECTIVES * shortest_s
+    return objective_s >= LATENCY_TOLERANT_FACTOR * shortest_s
 
 
 def find_lane(
     prompt_tokens: int, *, objective_s: float, shortest_s: float, profile: EngineProfile
 ) -> int:
-    """Return the lane of a prompt, 0 for the shortest.
+    """Return the length bucket of a prompt, 0 for the shortest prompts.
 
     Args:
         prompt_tokens: Its length.
         objective_s: Time in which its first event is due.
         shortest_s: The shortest such time of all routes to its service.
-        profile: How fast the engines read.
+        profile: The service's engine profile.
     """
-    reading_ms = profile.compute_reading_ms(prompt_tokens)
-    bounds_ms = [share * shortest_s * 1000.0 for share in LANE_READING_SHARES]
-    lane = bisect_right(bounds_ms, reading_ms)
-    return lane if is_patient(objective_s, shortest_s=shortest_s) else min(lane, LANES - 2)
+    prefill_ms = profile.compute_prefill_ms(prompt_tokens)
+    bounds_ms = [share * shortest_s * 1000.0 for share in BUCKET_PREFILL_SHARES]
+    bucket = bisect_right(bounds_ms, prefill_ms)
+    return bucket if is_patient(objective_s, shortest_s=shortest_s) else min(bucket, LANES - 2)
 
 
-def assign_lanes(candidates: list[EndpointRecord], shares: tuple[float, ...]) -> dict[str, int]:
-    """Return the lane of each engine.
+def assign_buckets(candidates: list[EndpointRecord], shares: tuple[float, ...]) -> dict[str, int]:
+    """Return the length bucket of each engine.
 
-    All instances rank the engines alike and cut the ranking at the cumulated shares, so that lanes
-    of instances whose shares differ a little differ by an engine at a border.
+    All instances rank the engines alike and split the ranking at the cumulative shares, so that a
+    small difference between two instances' shares moves one engine at a boundary.
 
     Args:
         candidates: The engines of one service.
-        shares: Share of the engines for each lane.
+        shares: Share of the engines for each length bucket.
     """
     ids = sorted(
         (record.endpoint_id for record in candidates),
-        key=lambda endpoint_id: compute_weight(LANE_KEY, endpoint_id),
+        key=lambda endpoint_id: compute_weight(BUCKET_KEY, endpoint_id),
     )
-    lanes = {}
+    buckets = {}
     cumulated = 0.0
-    first = 0
-    for lane, share in enumerate(shares):
+    start = 0
+    for bucket, share in enumerate(shares):
         cumulated += share
-        last = len(ids) if lane == LANES - 1 else min(len(ids), round(len(ids) * cumulated))
-        for endpoint_id in ids[first:last]:
-            lanes[endpoint_id] = lane
-        first = max(first, last)
-    return lanes
+        end = len(ids) if bucket == LANES - 1 else min(len(ids), round(len(ids) * cumulated))
+        for endpoint_id in ids[start:end]:
+            buckets[endpoint_id] = bucket
+        start = max(start, end)
+    return buckets
--- a/src/guavamast/relay/refusal_history.py
+++ b/src/guavamast/relay/refusal_history.py
@@ -1,4 +1,4 @@
-"""How many requests of each urgency were asked for and sent back lately, by all instances."""
+"""Recent requests and rejections by service and urgency, over all instances."""
 
 from __future__ import annotations
 
@@ -6,62 +6,64 @@
 from typing import Final
 
 HALF_LIFE_S: Final = 1.0
-"""Seconds in which half of what was counted is forgotten, about when a caller that was sent back
-comes again: a kind that nobody asks for any more soon holds nothing back."""
+"""Seconds in which counts decay by half, about the delay of a retry. Requests of an urgency that no
+longer arrive soon exert no pressure."""
 TOLERATED_SHARE: Final = 1 / 12
-"""Share of requests sent back that changes nothing: most of their callers come again and are
-served."""
+"""Share of rejected requests that is tolerated: most of their callers retry and are served."""
 FULL_PRESSURE_SHARE: Final = 1 / 6
-"""Share of requests sent back from which on less urgent ones get only what these can't use."""
-PRIOR_ASKED: Final = 4.0
-"""Requests that are added to those asked for, so that a refusal among few is forgotten soon."""
-LEAST_COUNTED: Final = 0.01
-"""Requests below which a count is dropped."""
+"""Share of rejected requests from which on less urgent ones get only capacity that these can't
+use."""
+PRIOR_REQUESTS: Final = 4.0
+"""Requests that are added to the requests counted, so that one rejection among few soon has no
+effect."""
+MIN_COUNTED: Final = 0.01
+"""Requests below which a decayed count is dropped."""
 
 
 @dataclass(frozen=True, slots=True, kw_only=True)
 class RefusalCount:
-    """Requests of one urgency at one service, older ones weighing less."""
+    """Decayed counts of the requests of one urgency to one service."""
 
     service: str
     urgency: int
     asked: float
     sent_back: float
     wait_ms: float
-    """For which the latest that was sent back was allowed to wait."""
+    """Milliseconds that the latest rejected request was allowed to wait."""
 
 
 @dataclass(frozen=True, slots=True, kw_only=True)
-class Pressure:
-    """More urgent requests that are being sent back."""
+class RejectionPressure:
+    """How strongly the rejections of one urgency restrict less urgent requests."""
 
     weight: float
-    """Above 0 and at most 1: how far less urgent requests make way."""
+    """Above 0 and at most 1; at 1, less urgent requests yield in full."""
     wait_ms: float
-    """For which they are allowed to wait."""
+    """Milliseconds that the rejected requests are allowed to wait."""
 
 
 @dataclass(slots=True, kw_only=True)
 class _Count:
-    """Requests of one urgency at one service, as of a local time."""
+    """Decayed counts of the requests of one urgency to one service, as of a local time."""
 
-    asked: float = 0.0
-    sent_back: float = 0.0
+    requests: float = 0.0
+    rejected: float = 0.0
     wait_ms: float = 0.0
     updated: float = 0.0
 
-    def fade(self, *, now: float) -> None:
-        """Forget what is older."""
+    def decay(self, *, now: float) -> None:
+        """Decay the counts to the present time."""
         factor = 0.5 ** (max(0.0, now - self.updated) / HALF_LIFE_S)
-        self.asked *= factor
-        self.sent_back *= factor
+        self.requests *= factor
+        self.rejected *= factor
         self.updated = now
 
 
 class RefusalHistory:
-    """Relates refusals of urgent requests to what less urgent ones may still have.
+    """The recent rejections of urgent requests, which limit the admission of less urgent ones.
 
-    Each instance tells its counts with its beats, as one alone sees too few requests of a kind.
+    Each instance publishes its counts with its heartbeats, as one instance alone sees too few
+    requests of an urgency.
     """
 
     __slots__ = ("_own", "_peers")
@@ -73,85 +75,87 @@
     def record(
         self, service: str, urgency: int, *, sent_back: bool, wait_ms: float, now: float
     ) -> None:
-        """Count a request that was decided on.
+        """Count a request and its decision.
 
         Args:
-            service: Where it goes.
-            urgency: 0 goes first.
-            sent_back: Whether it was refused for want of room.
-            wait_ms: For which it was allowed to wait.
+            service: Its service.
+            urgency: Its urgency; 0 is the most urgent.
+            sent_back: Whether it was rejected for lack of capacity.
+            wait_ms: Milliseconds that it was allowed to wait.
             now: The present time.
         """
         count = self._own.setdefault((service, urgency), _Count(updated=now))
-        count.fade(now=now)
-        count.asked += 1.0
+        count.decay(now=now)
+        count.requests += 1.0
         if sent_back:
-            count.sent_back += 1.0
+            count.rejected += 1.0
             count.wait_ms = wait_ms
 
     def list_own(self, *, now: float) -> list[RefusalCount]:
-        """Return what this instance has counted."""
+        """Return the counts of this instance."""
         for count in self._own.values():
-            count.fade(now=now)
-        self._own = {key: one for key, one in self._own.items() if one.asked >= LEAST_COUNTED}
+            count.decay(now=now)
+        self._own = {key: one for key, one in self._own.items() if one.requests >= MIN_COUNTED}
         return [
             RefusalCount(
                 service=service,
                 urgency=urgency,
-                asked=count.asked,
-                sent_back=count.sent_back,
+                asked=count.requests,
+                sent_back=count.rejected,
                 wait_ms=count.wait_ms,
             )
             for (service, urgency), count in self._own.items()
         ]
 
     def take_peer(self, instance: str, counts: list[RefusalCount], *, now: float) -> None:
-        """Replace what another instance has told."""
+        """Replace the counts of another instance."""
         self._peers[instance] = {
             (one.service, one.urgency): _Count(
-                asked=one.asked, sent_back=one.sent_back, wait_ms=one.wait_ms, updated=now
+                requests=one.asked, rejected=one.sent_back, wait_ms=one.wait_ms, updated=now
             )
             for one in counts
         }
 
     def keep_peers(self, instances: set[str]) -> None:
-        """Forget instances that are gone."""
+        """Drop the counts of instances that are gone."""
         self._peers = {key: value for key, value in self._peers.items() if key in instances}
 
-    def list_pressures(self, service: str, urgency: int, *, now: float) -> tuple[Pressure, ...]:
-        """Return what more urgent requests to a service suffer, by urgency."""
+    def list_pressures(
+        self, service: str, urgency: int, *, now: float
+    ) -> tuple[RejectionPressure, ...]:
+        """Return the rejection pressure of more urgent requests to a service, by urgency."""
         totals: dict[int, _Count] = {}
         for counts in (self._own, *self._peers.values()):
             for (counted_service, counted_urgency), count in counts.items():
                 if counted_service == service and counted_urgency < urgency:
-                    _add(totals.setdefault(counted_urgency, _Count()), count, now=now)
+                    _accumulate(totals.setdefault(counted_urgency, _Count()), count, now=now)
         return tuple(
-            Pressure(weight=_weigh(total), wait_ms=total.wait_ms)
+            RejectionPressure(weight=_compute_pressure_weight(total), wait_ms=total.wait_ms)
             for _, total in sorted(totals.items())
-            if _weigh(total) > 0.0
+            if _compute_pressure_weight(total) > 0.0
         )
 
-    def is_pressed(self, service: str, urgency: int, *, now: float) -> bool:
-        """Return whether more requests of an urgency than is tolerated are being sent back."""
+    def exceeds_tolerance(self, service: str, urgency: int, *, now: float) -> bool:
+        """Return whether more requests of an urgency are being rejected than is tolerated."""
         total = _Count()
         for counts in (self._own, *self._peers.values()):
             count = counts.get((service, urgency))
             if count is not None:
-                _add(total, count, now=now)
-        return _weigh(total) > 0.0
+                _accumulate(total, count, now=now)
+        return _compute_pressure_weight(total) > 0.0
 
 
-def _add(total: _Count, count: _Count, *, now: float) -> None:
-    count.fade(now=now)
-    total.asked += count.asked
-    if count.sent_back > 0.0:
-        # The mean of the waits, each weighing as the requests that were sent back.
-        weight = count.sent_back / (total.sent_back + count.sent_back)
+def _accumulate(total: _Count, count: _Count, *, now: float) -> None:
+    count.decay(now=now)
+    total.requests += count.requests
+    if count.rejected > 0.0:
+        # The mean of the allowed waits, weighted by the rejected requests.
+        weight = count.rejected / (total.rejected + count.rejected)
         total.wait_ms += weight * (count.wait_ms - total.wait_ms)
-        total.sent_back += count.sent_back
+        total.rejected += count.rejected
 
 
-def _weigh(count: _Count) -> float:
-    share = count.sent_back / (count.asked + PRIOR_ASKED)
+def _compute_pressure_weight(count: _Count) -> float:
+    share = count.rejected / (count.requests + PRIOR_REQUESTS)
     excess = (share - TOLERATED_SHARE) / (FULL_PRESSURE_SHARE - TOLERATED_SHARE)
     return min(1.0, max(0.0, excess))
--- a/tests/burst_world.py
+++ b/tests/burst_world.py
@@ -88,7 +88,7 @@
     def read(self, tokens: int, *, now: float) -> float:
         """Return when a prompt's first event comes."""
         begin = max(now, self.read_until)
-        self.read_until = begin + PROFILE.compute_reading_ms(tokens) / 1000.0
+        self.read_until = begin + PROFILE.compute_prefill_ms(tokens) / 1000.0
         return self.read_until + PROFILE.first_event_ms / 1000.0
 
 
--- a/tests/test_relay_admission.py
+++ b/tests/test_relay_admission.py
@@ -52,11 +52,11 @@
             expected = forecast(
                 full,
                 PROFILE,
-                unread_tokens=12_000,
-                needed_tokens=12_300,
+                uncached_tokens=12_000,
+                kv_tokens=12_300,
                 slots=64,
-                memory_tokens=611_000,
-                memory_limit=LATE_LIMIT if loads_late else RECENT_LIMIT,
+                kv_capacity_tokens=611_000,
+                kv_limit=LATE_LIMIT if loads_late else RECENT_LIMIT,
             )
             terms = WaitTerms(objective_s=2.0, patient=True, first=True, old_news=loads_late)
             refusal = admit(expected, terms, random=Random(1))
@@ -91,10 +91,10 @@
         idle = forecast(
             Load(),
             PROFILE,
-            unread_tokens=60_000,
-            needed_tokens=61_000,
+            uncached_tokens=60_000,
+            kv_tokens=61_000,
             slots=64,
-            memory_tokens=600_000,
+            kv_capacity_tokens=600_000,
         )
         self.assertIsNone(admit(idle, WaitTerms(objective_s=0.3, patient=False), random=Random(1)))
 
@@ -119,7 +119,7 @@
         for _ in range(200):
             engine.prefill_tokens = max(0, engine.prefill_tokens - 3_000)
             expected = forecast(
-                engine, PROFILE, unread_tokens=6_000, needed_tokens=0, slots=64, memory_tokens=0
+                engine, PROFILE, uncached_tokens=6_000, kv_tokens=0, slots=64, kv_capacity_tokens=0
             )
             if admit(expected, WaitTerms(objective_s=2.0, patient=True), random=Random(1)) is None:
                 admitted += 1
@@ -136,18 +136,18 @@
         for waiting, own, measured_ms in ((0, 600, 78), (7_000, 500, 186), (28_000, 2_000, 550)):
             load = Load(requests=10, prefill_tokens=waiting, memory_tokens=0)
             found = forecast(
-                load, PROFILE, unread_tokens=own, needed_tokens=0, slots=64, memory_tokens=0
+                load, PROFILE, uncached_tokens=own, kv_tokens=0, slots=64, kv_capacity_tokens=0
             )
             self.assertAlmostEqual(found.first_event_ms, measured_ms, delta=0.15 * measured_ms)
 
     def test_slots_and_memory(self) -> None:
         full = Load(requests=66, prefill_tokens=0, memory_tokens=550_000)
         found = forecast(
-            full, PROFILE, unread_tokens=0, needed_tokens=500, slots=64, memory_tokens=0
+            full, PROFILE, uncached_tokens=0, kv_tokens=500, slots=64, kv_capacity_tokens=0
         )
         self.assertEqual(found.waiting_ms, 150.0)
         found = forecast(
-            full, PROFILE, unread_tokens=0, needed_tokens=9_000, slots=99, memory_tokens=600_000
+            full, PROFILE, uncached_tokens=0, kv_tokens=9_000, slots=99, kv_capacity_tokens=600_000
         )
         self.assertEqual(found.waiting_ms, 1_000.0)
 
--- a/tests/test_relay_admission_control_properties.py
+++ b/tests/test_relay_admission_control_properties.py
@@ -10,7 +10,7 @@
 from hypothesis import strategies as st
 
 from guavamast.relay.admission import WaitTerms
-from guavamast.relay.admission_control import HELD_BACK_SHARE, AdmissionControl
+from guavamast.relay.admission_control import LESS_URGENT_CREDIT_SHARE, AdmissionControl
 from guavamast.relay.engine_model import Forecast
 from guavamast.relay.refusal_history import RefusalHistory
 
@@ -84,7 +84,7 @@
             self.press()
             self.assertTrue(self.admit(0, 0.0))
             let_in += self.admit(1, 300.0)
-        self.assertAlmostEqual(let_in, HELD_BACK_SHARE * 160, delta=2.0)
+        self.assertAlmostEqual(let_in, LESS_URGENT_CREDIT_SHARE * 160, delta=2.0)
 
     def test_a_greater_overload_lets_no_more_in(self) -> None:
         """Guards against a share of what is asked for, which alone can be all there is."""
@@ -93,7 +93,7 @@
             self.press()
             self.admit(0, 0.0)
             let_in += sum(self.admit(1, 300.0) for _ in range(40))
-        self.assertLessEqual(let_in, HELD_BACK_SHARE * 40 + 2)
+        self.assertLessEqual(let_in, LESS_URGENT_CREDIT_SHARE * 40 + 2)
 
     @settings(max_examples=EXAMPLES, deadline=None)
     @given(requests)
@@ -116,7 +116,7 @@
             for later in range(urgency + 1, 3):
                 given_ms[later] += reading_ms * admitted
         for urgency, most_ms in given_ms.items():
-            most = HELD_BACK_SHARE * most_ms + LONGEST_READING_MS
+            most = LESS_URGENT_CREDIT_SHARE * most_ms + LONGEST_READING_MS
             self.assertLessEqual(let_in_ms[urgency], most + 1e-6)
 
 
--- a/tests/test_relay_disturbance.py
+++ b/tests/test_relay_disturbance.py
@@ -12,13 +12,13 @@
 from random import Random
 
 from guavamast.relay.catalog import RouteKind
-from guavamast.relay.disturbance import estimate_disturbed_share, is_delicate
+from guavamast.relay.disturbance import estimate_delayed_share, is_delicate
 from guavamast.relay.endpoint_choice import EndpointChooser
 from guavamast.relay.endpoint_load import EndpointLoads, Load
 from guavamast.relay.engine_profile import EngineProfile
 from guavamast.relay.placement import Placement
 from guavamast.relay.prompt_cache import PromptCache
-from guavamast.relay.prompt_lanes import assign_lanes
+from guavamast.relay.prompt_lanes import assign_buckets
 from tests.relay_facts import make_endpoint, make_route
 
 READING = EngineProfile(
@@ -41,7 +41,7 @@
 
     def test_late_share_grows_with_the_reading(self) -> None:
         shares = [
-            estimate_disturbed_share(ms, pause_s=0.12) for ms in (0.0, 60.0, 90.0, 120.0, 900.0)
+            estimate_delayed_share(ms, pause_s=0.12) for ms in (0.0, 60.0, 90.0, 120.0, 900.0)
         ]
         self.assertEqual(shares, [0.0, 0.0, 0.5, 1.0, 1.0])
 
@@ -52,7 +52,7 @@
     def setUp(self) -> None:
         self.loads = EndpointLoads()
         self.endpoints = [make_endpoint(f"e{number}", slots=32) for number in range(8)]
-        self.lanes = assign_lanes(self.endpoints, SHARES)
+        self.lanes = assign_buckets(self.endpoints, SHARES)
         self.quiet = sorted(name for name, lane in self.lanes.items() if lane == 0)
         self.reading = sorted(name for name, lane in self.lanes.items() if lane == 1)
 
--- a/tests/test_relay_engine_profile.py
+++ b/tests/test_relay_engine_profile.py
@@ -154,10 +154,10 @@
                 expected = forecast(
                     queue,
                     profile,
-                    unread_tokens=500,
-                    needed_tokens=500,
+                    uncached_tokens=500,
+                    kv_tokens=500,
                     slots=engine.slots,
-                    memory_tokens=0,
+                    kv_capacity_tokens=0,
                 )
                 refusal = admit(
                     expected,
--- a/tests/test_relay_placement.py
+++ b/tests/test_relay_placement.py
@@ -20,7 +20,7 @@
     LANES,
     Demand,
     PromptDemand,
-    assign_lanes,
+    assign_buckets,
     find_lane,
 )
 from tests.relay_facts import PROFILE, make_endpoint, make_parts
@@ -57,7 +57,7 @@
 
     def test_a_session_goes_where_another_instance_has_sent_it(self) -> None:
         home = self.choose()
-        lanes = assign_lanes(self.endpoints, SHARES)
+        lanes = assign_buckets(self.endpoints, SHARES)
         other = next(name for name, lane in lanes.items() if lane == 2 and name != home)
         send = PromptSend(number=1, endpoint_id=other, part_id="session", tokens=6200)
         self.cache.take_peer("peer", 1, [send])
@@ -116,7 +116,7 @@
         """A short prompt is not sent among long ones because these were all that was looked at."""
         self.endpoints = [make_endpoint(f"e{number}", slots=64) for number in range(20)]
         shares = (0.2, 0.8, 0.0)
-        lanes = assign_lanes(self.endpoints, shares)
+        lanes = assign_buckets(self.endpoints, shares)
         self.placement = replace(
             self.placement, prompt_parts=(), lane=0, lane_shares=shares, loads_late=True
         )
@@ -257,7 +257,7 @@
         demand = PromptDemand()
         demand.take_peer("x", Demand(work_ms=tuple(work)))
         endpoints = [make_endpoint(f"e{number}") for number in range(count)]
-        lanes = assign_lanes(endpoints, demand.compute_shares())
+        lanes = assign_buckets(endpoints, demand.compute_shares())
         self.assertEqual(set(lanes), {record.endpoint_id for record in endpoints})
 
     def test_prompts_that_are_due_soon_stay_out_of_the_lane_of_patient_ones(self) -> None:
@@ -272,8 +272,8 @@
             self.assertEqual(found, lane)
 
     def test_like_shares_move_one_engine_at_a_border_at_most(self) -> None:
-        before = assign_lanes(self.endpoints, (0.30, 0.2, 0.50))
-        after = assign_lanes(self.endpoints, (0.35, 0.2, 0.45))
+        before = assign_buckets(self.endpoints, (0.30, 0.2, 0.50))
+        after = assign_buckets(self.endpoints, (0.35, 0.2, 0.45))
         moved = [name for name, lane in before.items() if after[name] != lane]
         self.assertLessEqual(len(moved), 2)
         self.assertTrue(all(abs(after[name] - before[name]) == 1 for name in moved))
@@ -296,7 +296,7 @@
         loads = EndpointLoads()
         chooser = EndpointChooser(loads=loads, cache=PromptCache(), random=Random(2))
         shares = (0.3, 0.1, 0.6)
-        lanes = assign_lanes(self.endpoints, shares)
+        lanes = assign_buckets(self.endpoints, shares)
         busy = {name: Load(requests=running) for name, lane in lanes.items() if lane < 2}
         loads.take_peer("peer", busy)
         got = {"short": 0, "long": 0}
