--- a/src/guavamast/relay/admission.py
+++ b/src/guavamast/relay/admission.py
@@ -54,7 +54,7 @@
     first: bool = False
     """Whether no stream of its service is more urgent."""
     old_news: bool = False
-    """Whether forecasts use loads from late updates."""
+    """Whether forecasts use stale loads, from late updates."""
     fresh: bool = False
     """Whether the request is known not to be a retry."""
 
--- a/src/guavamast/relay/late_loads.py
+++ b/src/guavamast/relay/late_loads.py
@@ -1,4 +1,4 @@
-"""Correction of loads from late updates."""
+"""Correction of loads that are stale because load updates are late."""
 
 from __future__ import annotations
 
@@ -21,7 +21,7 @@
     members: dict[int, list[Load]] = {}
     for endpoint_id, load in loads.items():
         members.setdefault(buckets.get(endpoint_id, 0), []).append(load)
-    means = {lane: _compute_mean(bucket_loads) for lane, bucket_loads in members.items()}
+    means = {bucket: _compute_mean(bucket_loads) for bucket, bucket_loads in members.items()}
     return {
         endpoint_id: _blend(load, means[buckets.get(endpoint_id, 0)])
         for endpoint_id, load in loads.items()
--- a/tests/burst_world.py
+++ b/tests/burst_world.py
@@ -1,4 +1,4 @@
-"""Engines without a network, what decides on their requests, and callers who come in a burst."""
+"""Discrete-event simulation of a burst of requests, their admission and the engines."""
 
 from __future__ import annotations
 
@@ -37,96 +37,101 @@
 FACTS = ServiceFacts(profile=PROFILE, memory_tokens=MEMORY_TOKENS, shortest_pause_s=0.6)
 BEGIN_S = LEARNING_S + 1.0
 INSTANCES = 6
-TELL_S = 0.25
-"""Seconds between two beats of an instance."""
+HEARTBEAT_INTERVAL_S = 0.25
+"""Seconds between two heartbeats of an instance."""
 
 
 @dataclass(frozen=True, slots=True, kw_only=True)
 class Kind:
-    """One kind of request."""
+    """A class of requests with common properties."""
 
     name: str
     urgency: int
     objective_s: float
     prompt_tokens: int
     run_s: float
-    a_second: float
+    rate_per_s: float
 
 
 @dataclass(slots=True, kw_only=True)
 class Outcome:
-    """How the requests of one kind ended."""
+    """Counts of the requests of one kind by their results."""
 
-    asked: int = 0
-    refused: int = 0
-    """Sent back, and sent back again when they returned."""
-    begun: int = 0
+    requests: int = 0
+    rejected: int = 0
+    """Rejected, and rejected again at the retry."""
+    started: int = 0
     in_time: int = 0
 
 
 QUESTION = Kind(
-    name="question", urgency=0, objective_s=0.25, prompt_tokens=900, run_s=0.5, a_second=60.0
+    name="question", urgency=0, objective_s=0.25, prompt_tokens=900, run_s=0.5, rate_per_s=60.0
 )
 DOSSIER = Kind(
-    name="dossier", urgency=1, objective_s=0.6, prompt_tokens=6_000, run_s=0.3, a_second=60.0
+    name="dossier", urgency=1, objective_s=0.6, prompt_tokens=6_000, run_s=0.3, rate_per_s=60.0
 )
-SHORT_OF_TIME = Kind(
-    name="short of time", urgency=1, objective_s=0.2, prompt_tokens=2_500, run_s=0.3, a_second=150.0
+TIGHT_DEADLINE = Kind(
+    name="short of time",
+    urgency=1,
+    objective_s=0.2,
+    prompt_tokens=2_500,
+    run_s=0.3,
+    rate_per_s=150.0,
 )
-FEWER_DOSSIERS = replace(DOSSIER, a_second=30.0)
+FEWER_DOSSIERS = replace(DOSSIER, rate_per_s=30.0)
 SUMMARY = Kind(
-    name="summary", urgency=2, objective_s=2.0, prompt_tokens=9_000, run_s=0.4, a_second=15.0
+    name="summary", urgency=2, objective_s=2.0, prompt_tokens=9_000, run_s=0.4, rate_per_s=15.0
 )
 
 
 @dataclass(slots=True, kw_only=True)
 class Engine:
-    """Reads prompts in the order in which they come."""
+    """An engine that prefills prompts in their order of arrival."""
 
-    read_until: float = 0.0
+    prefill_until: float = 0.0
 
-    def read(self, tokens: int, *, now: float) -> float:
-        """Return when a prompt's first event comes."""
-        begin = max(now, self.read_until)
-        self.read_until = begin + PROFILE.compute_prefill_ms(tokens) / 1000.0
-        return self.read_until + PROFILE.first_event_ms / 1000.0
+    def schedule_prefill(self, tokens: int, *, now: float) -> float:
+        """Add a prompt to the prefill queue and return the time of its first event."""
+        start = max(now, self.prefill_until)
+        self.prefill_until = start + PROFILE.compute_prefill_ms(tokens) / 1000.0
+        return self.prefill_until + PROFILE.first_event_ms / 1000.0
 
 
 @dataclass(order=True, slots=True)
 class Event:
-    """Something that is due."""
+    """An event of the simulation."""
 
     due: float
     number: int
     kind: Kind = field(compare=False)
     phase: WorkPhase | None = field(compare=False, default=None)
-    """None for a request that comes."""
-    returned: bool = field(compare=False, default=False)
-    came: float = field(compare=False, default=0.0)
+    """None for the arrival of a request."""
+    is_retry: bool = field(compare=False, default=False)
+    arrived: float = field(compare=False, default=0.0)
 
 
 @dataclass(frozen=True, slots=True, kw_only=True)
 class Decision:
-    """Where a request goes, or when it comes back."""
+    """The endpoint of a request, or the delay before its retry."""
 
     endpoint_id: str | None = None
     retry_after_s: float = 0.0
 
 
 class Decider(ABC):
-    """What decides on requests and is told how they go on."""
+    """A component that decides on requests and receives their progress."""
 
     @abstractmethod
     def decide(self, event: Event) -> Decision:
-        """Decide on a request that comes."""
+        """Decide on a request that arrives."""
 
     @abstractmethod
-    def tell(self, event: Event) -> None:
-        """Take how a request goes on."""
+    def report(self, event: Event) -> None:
+        """Receive the progress of a request."""
 
 
 class ScheduledDecider(Decider):
-    """One scheduler that all instances ask."""
+    """One scheduler for all instances."""
 
     def __init__(self, records: list[EndpointRecord], kinds: list[Kind], *, seed: int) -> None:
         self.shortest_s = min(kind.objective_s for kind in kinds)
@@ -158,7 +163,7 @@
             return Decision(endpoint_id=reply.endpoint_id)
         return Decision(retry_after_s=reply.retry_after_s)
 
-    def tell(self, event: Event) -> None:
+    def report(self, event: Event) -> None:
         assert event.phase is not None
         asker = self.make_query(event).asker
         update = WorkUpdate(asker=asker, group=GROUP, number=event.number, phase=event.phase)
@@ -189,8 +194,8 @@
     )
 
 
-def make_profiles() -> EngineProfiles:
-    """Return the engines' speeds as all have learnt them."""
+def build_profiles() -> EngineProfiles:
+    """Return engine profiles as learnt by all instances."""
     estimates = {
         name: Estimate(value=getattr(PROFILE, name), samples=500)
         for name in ProfileEstimates.__dataclass_fields__
@@ -200,8 +205,8 @@
     return profiles
 
 
-class OwnDecider(Decider):
-    """Instances that decide alone, know each other's work at once and refusals by their beats."""
+class LocalDecider(Decider):
+    """Instances that decide locally, with current loads and rejections from heartbeats."""
 
     def __init__(self, records: list[EndpointRecord], kinds: list[Kind], *, seed: int) -> None:
         self.now = 0.0
@@ -213,19 +218,19 @@
         )
         self.knowledge.take_catalog(CatalogReading(catalog=make_catalog(kinds), reading=1.0))
         self.knowledge.take_endpoints(EndpointReading(records=records, digest="d", reading=1.0))
-        self.profiles = make_profiles()
+        self.profiles = build_profiles()
         self.demand = PromptDemand()
-        self.refusals = [RefusalHistory() for _ in range(INSTANCES)]
-        self.told = 0.0
-        self.placers = [self.make_placer(refusals, seed=seed) for refusals in self.refusals]
+        self.rejections = [RefusalHistory() for _ in range(INSTANCES)]
+        self.last_exchange = 0.0
+        self.placers = [self.build_placer(history, seed=seed) for history in self.rejections]
 
-    def make_placer(self, refusals: RefusalHistory, *, seed: int) -> OwnPlacer:
+    def build_placer(self, history: RefusalHistory, *, seed: int) -> OwnPlacer:
         return OwnPlacer(
             knowledge=self.knowledge,
             chooser=EndpointChooser(loads=self.loads, cache=PromptCache(), random=Random(seed)),
             demand=self.demand,
             profiles=self.profiles,
-            refusals=refusals,
+            refusals=history,
             random=Random(seed),
             read_time=lambda: self.now,
         )
@@ -238,7 +243,7 @@
 
     def decide(self, event: Event) -> Decision:
         self.now = event.due
-        self.exchange_beats()
+        self.exchange_heartbeats()
         kind = event.kind
         assert self.knowledge.catalog is not None
         request = make_request(
@@ -273,17 +278,17 @@
         )
         return Decision(endpoint_id=endpoint_id)
 
-    def exchange_beats(self) -> None:
-        if self.now - self.told < TELL_S:
+    def exchange_heartbeats(self) -> None:
+        if self.now - self.last_exchange < HEARTBEAT_INTERVAL_S:
             return
-        self.told = self.now
-        for receiver in self.refusals:
-            for number, sender in enumerate(self.refusals):
+        self.last_exchange = self.now
+        for receiver in self.rejections:
+            for number, sender in enumerate(self.rejections):
                 if sender is not receiver:
                     counts = sender.list_own(now=self.now)
                     receiver.take_peer(f"i{number}", counts, now=self.now)
 
-    def tell(self, event: Event) -> None:
+    def report(self, event: Event) -> None:
         if event.phase is WorkPhase.ENDED:
             self.works.pop(event.number).end()
         else:
@@ -291,16 +296,18 @@
 
 
 class BurstWorld:
-    """Engines, what decides on them, and callers that come back once."""
+    """A simulation of engines, a decider and callers that retry once."""
 
-    def __init__(self, kinds: list[Kind], *, seed: int, own: bool, length_s: float = 10.0) -> None:
+    def __init__(
+        self, kinds: list[Kind], *, seed: int, local: bool, duration_s: float = 10.0
+    ) -> None:
         self.random = Random(seed)
         records = [
             make_endpoint(f"e{number}", service=POOL, slots=SLOTS) for number in range(ENGINES)
         ]
         self.decider: Decider = (
-            OwnDecider(records, kinds, seed=seed)
-            if own
+            LocalDecider(records, kinds, seed=seed)
+            if local
             else ScheduledDecider(records, kinds, seed=seed)
         )
         self.engines = {record.endpoint_id: Engine() for record in records}
@@ -308,48 +315,48 @@
         self.events: list[Event] = []
         self.number = 0
         for kind in kinds:
-            self.add_arrivals(kind, length_s=length_s)
+            self.add_arrivals(kind, duration_s=duration_s)
 
-    def add_arrivals(self, kind: Kind, *, length_s: float) -> None:
+    def add_arrivals(self, kind: Kind, *, duration_s: float) -> None:
         due = BEGIN_S
-        while due < BEGIN_S + length_s:
-            due += self.random.expovariate(kind.a_second)
+        while due < BEGIN_S + duration_s:
+            due += self.random.expovariate(kind.rate_per_s)
             self.number += 1
-            heappush(self.events, Event(due=due, number=self.number, kind=kind, came=due))
+            heappush(self.events, Event(due=due, number=self.number, kind=kind, arrived=due))
 
-    def play(self) -> dict[str, Outcome]:
-        """Have all that is due happen in turn."""
+    def run(self) -> dict[str, Outcome]:
+        """Process all events in the order of their times."""
         while self.events:
             event = heappop(self.events)
             if event.phase is None:
-                self.ask(event)
+                self.request(event)
             else:
-                self.decider.tell(event)
+                self.decider.report(event)
         return self.outcomes
 
-    def ask(self, event: Event) -> None:
+    def request(self, event: Event) -> None:
         outcome = self.outcomes[event.kind.name]
-        outcome.asked += not event.returned
+        outcome.requests += not event.is_retry
         decision = self.decider.decide(event)
         if decision.endpoint_id is not None:
-            self.begin(event, decision.endpoint_id)
-        elif event.returned:
-            outcome.refused += 1
+            self.start(event, decision.endpoint_id)
+        elif event.is_retry:
+            outcome.rejected += 1
         else:
             self.number += 1
-            again = Event(
+            retry = Event(
                 due=event.due + decision.retry_after_s,
                 number=self.number,
                 kind=event.kind,
-                returned=True,
-                came=event.came,
+                is_retry=True,
+                arrived=event.arrived,
             )
-            heappush(self.events, again)
+            heappush(self.events, retry)
 
-    def begin(self, event: Event, endpoint_id: str) -> None:
+    def start(self, event: Event, endpoint_id: str) -> None:
         kind, outcome = event.kind, self.outcomes[event.kind.name]
-        first = self.engines[endpoint_id].read(kind.prompt_tokens, now=event.due)
-        outcome.begun += 1
-        outcome.in_time += first - event.came <= kind.objective_s
+        first = self.engines[endpoint_id].schedule_prefill(kind.prompt_tokens, now=event.due)
+        outcome.started += 1
+        outcome.in_time += first - event.arrived <= kind.objective_s
         for due, phase in ((first, WorkPhase.RUNNING), (first + kind.run_s, WorkPhase.ENDED)):
             heappush(self.events, Event(due=due, number=event.number, kind=kind, phase=phase))
--- a/tests/relay_facts.py
+++ b/tests/relay_facts.py
@@ -1,4 +1,4 @@
-"""Records, routes and requests that the relay's tests use."""
+"""Routes, requests and records for the tests of the relay."""
 
 from __future__ import annotations
 
@@ -30,7 +30,7 @@
     run_ms=1_600.0,
     reading_pause_ms=90.0,
 )
-"""Engines as measured on a day of heavy load; 64 requests run at the same time."""
+"""Engine performance measured on a day of heavy load, with 64 concurrent requests."""
 
 
 def make_route(**changes: Any) -> Route:
--- a/tests/test_relay_admission.py
+++ b/tests/test_relay_admission.py
@@ -1,4 +1,4 @@
-"""Tests of which requests wait and when others are to come back, and of the forecasts behind it."""
+"""Tests of admission, of retry delays and of the forecasts that they are based on."""
 
 from __future__ import annotations
 
@@ -21,31 +21,31 @@
 
 
 class AdmissionTest(unittest.TestCase):
-    """Requests that would be late are sent back at once; none is while little waits.
+    """Requests that would be late are rejected at once, and none is while queues are short.
 
-    The pattern: users come in a burst at twice what the engines can do. The figures are those of
-    the engine model: 60 prompt tokens a millisecond, and objectives of 0.3 and 2 seconds.
+    The scenario is a burst at twice the engines' capacity. The engines prefill 60 tokens per
+    millisecond; the objectives are 0.3 and 2 seconds.
     """
 
-    def admit(self, waiting_ms: float, *, reading_ms: float = 10.0) -> ComeBack | None:
-        expected = Forecast(start_ms=72.0, waiting_ms=waiting_ms, reading_ms=reading_ms)
+    def admit(self, waiting_ms: float, *, prefill_ms: float = 10.0) -> ComeBack | None:
+        expected = Forecast(start_ms=72.0, waiting_ms=waiting_ms, reading_ms=prefill_ms)
         return admit(expected, WaitTerms(objective_s=0.3, patient=False), random=Random(1))
 
     def test_waiting_decides_and_not_the_length_of_the_request(self) -> None:
-        self.assertIsNone(self.admit(224.0, reading_ms=900.0))
-        self.assertIsNotNone(self.admit(226.0, reading_ms=1.0))
+        self.assertIsNone(self.admit(224.0, prefill_ms=900.0))
+        self.assertIsNotNone(self.admit(226.0, prefill_ms=1.0))
 
     def test_patient_requests_wait_a_smaller_share(self) -> None:
-        for waiting_ms, refused in ((1000.0, False), (1001.0, True)):
+        for waiting_ms, is_rejected in ((1000.0, False), (1001.0, True)):
             expected = Forecast(start_ms=72.0, waiting_ms=waiting_ms, reading_ms=10.0)
-            refusal = admit(expected, WaitTerms(objective_s=2.0, patient=True), random=Random(1))
-            self.assertEqual(refusal is not None, refused)
+            rejection = admit(expected, WaitTerms(objective_s=2.0, patient=True), random=Random(1))
+            self.assertEqual(rejection is not None, is_rejected)
 
     def test_late_loads_leave_memory_for_what_nobody_has_heard_of(self) -> None:
-        """No running answer is stopped for want of memory.
+        """Guards against running answers that are preempted for lack of KV cache.
 
-        Many instances send long prompts to the same engine before they hear of each other's; when
-        its memory is full, it stops some answers and reads their prompts again.
+        Many instances send long prompts to the same engine before they learn of each other's. When
+        its KV cache is full, it preempts some answers and prefills their prompts again.
         """
         full = Load(requests=40, prefill_tokens=600, memory_tokens=500_000)
         for loads_late in (False, True):
@@ -59,16 +59,17 @@
                 kv_limit=LATE_LIMIT if loads_late else RECENT_LIMIT,
             )
             terms = WaitTerms(objective_s=2.0, patient=True, first=True, old_news=loads_late)
-            refusal = admit(expected, terms, random=Random(1))
-            self.assertEqual(refusal is not None, loads_late)
+            rejection = admit(expected, terms, random=Random(1))
+            self.assertEqual(rejection is not None, loads_late)
 
     def test_old_news_lets_wait_longer_above_all_the_most_urgent(self) -> None:
-        """All instances heard a second ago that the engines of a lane are 300 ms behind.
+        """Guards against idle engines after rejections that are based on stale loads.
 
-        If all of them refused for it, the engines would idle until the next news, and all would
-        come again. The most urgent go before others at an engine, whatever waits there; refused,
-        they would get nothing while less urgent ones are served. A queue that is far too long still
-        sends them back.
+        All instances received a second ago that the engines of a bucket are 300 ms behind. If all
+        rejected requests for it, the engines would idle until the next update, and all callers
+        would retry. Engines serve the most urgent requests first, whatever is queued; rejected,
+        they would get nothing while less urgent ones are served. A far too long queue still rejects
+        them.
         """
         cases = (
             (300.0, WaitTerms(objective_s=0.3), True),
@@ -77,10 +78,10 @@
             (1_500.0, WaitTerms(objective_s=0.3, old_news=True, first=True), False),
             (1_850.0, WaitTerms(objective_s=0.3, old_news=True, first=True), True),
         )
-        for waiting_ms, terms, refused in cases:
+        for waiting_ms, terms, is_rejected in cases:
             expected = Forecast(start_ms=40.0, waiting_ms=waiting_ms, reading_ms=10.0)
-            refusal = admit(expected, terms, random=Random(1))
-            self.assertEqual(refusal is not None, refused, (waiting_ms, terms))
+            rejection = admit(expected, terms, random=Random(1))
+            self.assertEqual(rejection is not None, is_rejected, (waiting_ms, terms))
 
     def test_the_share_of_late_first_events_grows_with_their_forecast(self) -> None:
         shares = [estimate_late_share(ms, due_ms=600.0) for ms in (300.0, 420.0, 600.0, 900.0)]
@@ -102,16 +103,17 @@
     def test_the_time_to_come_back_grows_with_the_queue_within_bounds(
         self, waiting_ms: float
     ) -> None:
-        refusal = self.admit(waiting_ms)
-        assert refusal is not None
-        self.assertGreaterEqual(refusal.retry_after_s, 0.1)
-        self.assertLessEqual(refusal.retry_after_s, 2.25)
+        rejection = self.admit(waiting_ms)
+        assert rejection is not None
+        self.assertGreaterEqual(rejection.retry_after_s, 0.1)
+        self.assertLessEqual(rejection.retry_after_s, 2.25)
 
     def test_a_burst_at_twice_the_capacity_is_answered_in_time_up_to_the_capacity(self) -> None:
-        """Ten seconds of twice the prompts that one engine can read, each 6,000 tokens.
+        """Guards against a queue that grows without bound under overload.
 
-        Without a bound the queue would be ten seconds long in the end. With it, nine in ten of the
-        requests that the engine can read are admitted, and each waits a second at most.
+        For ten seconds, twice the prompts that one engine can prefill arrive, 6,000 tokens each.
+        Without a bound the queue would end up ten seconds long. With it, nine in ten of the
+        requests within the engine's capacity are admitted, and each waits a second at most.
         """
         engine = Load()
         admitted = 0
@@ -130,7 +132,7 @@
 
 
 class EngineModelTest(unittest.TestCase):
-    """The model follows what was measured of first events."""
+    """The model matches measured times to the first event."""
 
     def test_measured_first_events(self) -> None:
         for waiting, own, measured_ms in ((0, 600, 78), (7_000, 500, 186), (28_000, 2_000, 550)):
--- a/tests/test_relay_decisions.py
+++ b/tests/test_relay_decisions.py
@@ -1,4 +1,4 @@
-"""Tests of the relay's decisions: gate, routes, endpoints, repeats, reads, peers and addresses."""
+"""Tests of the relay's gate, routes, endpoints, retries, store reads, peers and addresses."""
 
 from __future__ import annotations
 
@@ -42,7 +42,7 @@
 
 
 class CatalogTest(unittest.TestCase):
-    """Routes are found by host and longest prefix."""
+    """Routes are selected by host and longest prefix."""
 
     def test_longest_prefix_wins(self) -> None:
         short = make_route(name="short", path_prefix="/a/")
@@ -65,20 +65,20 @@
 
 
 class CallerLimitsTest(unittest.TestCase):
-    """Connections stay open for whatever callers may still send on them."""
+    """Connections stay open as long as callers may send requests on them."""
 
     def test_a_request_sent_at_the_idle_limit_finds_its_connection_open(self) -> None:
-        """The caller gets its answer although it used the whole idle time.
+        """Guards against a connection that is closed while a request is in transit.
 
-        It sends its request at the very end of the limit; the request takes its way, and the
-        instance would close the connection while it is under way.
+        The caller sends its request at the very end of the idle limit; without a margin the
+        instance would close the connection before the request arrives.
         """
         limits = make_catalog().limits
         self.assertGreaterEqual(limits.close_idle_after_s, limits.idle_timeout_s + 0.5)
 
 
 class CallerGateTest(unittest.TestCase):
-    """Requests are judged by a configuration only while it is proved recent enough."""
+    """Requests are decided by a configuration only while it is known to be recent enough."""
 
     def setUp(self) -> None:
         self.gate = CallerGate(bounds=BOUNDS)
@@ -92,10 +92,11 @@
         self.assertEqual(decision.status, 503)
 
     def test_key_is_not_accepted_when_it_may_have_been_revoked(self) -> None:
-        """The caller of an instance that is cut off gets 503 with a time to come back.
+        """Guards against a revoked key that is accepted while the store doesn't answer.
 
-        The store falls silent, an operator revokes the key, and after five seconds it must not
-        work. The instance can't know, so it stops accepting keys before that.
+        A revoked key must stop working after five seconds. An instance without the store can't know
+        of the revocation, so it stops accepting keys before that and answers 503 with a retry
+        delay.
         """
         self.assertIsInstance(self.decide(4.2), Admitted)
         decision = self.decide(4.4)
@@ -119,7 +120,7 @@
 
 
 class EndpointTableTest(unittest.TestCase):
-    """Endpoints that are gone get nothing; those that lapsed with the store stay."""
+    """Removed endpoints get no requests; those whose entries lapsed with the store stay."""
 
     def setUp(self) -> None:
         self.table = EndpointTable()
@@ -134,9 +135,9 @@
         self.assertEqual(self.list_ready(), [])
 
     def test_lapsed_endpoints_stay_until_they_had_time_to_return(self) -> None:
-        """Callers are served right after an outage of the store.
+        """Guards against callers without endpoints right after an outage of the store.
 
-        All entries lapse while it is away; the first listing is empty although the endpoints live.
+        All entries lapse during the outage; the first listing is empty although the endpoints run.
         """
         self.table.apply([], digest="2", returning=True)
         self.assertEqual(self.list_ready(), ["x", "y"])
@@ -150,7 +151,7 @@
 
 
 class UrgencyTest(unittest.TestCase):
-    """Organisations come before routes, and routes decide among equals."""
+    """Urgency is ordered by organisation first and by route second."""
 
     def test_order(self) -> None:
         answer = make_route(name="answer", path_prefix="/a/", urgency=0)
@@ -183,7 +184,7 @@
 
 
 class AttemptBudgetTest(unittest.TestCase):
-    """Repeats of all instances together stay within the allowance."""
+    """Retries of all instances together stay within the retry budget."""
 
     @given(
         instances=st.integers(min_value=1, max_value=20),
@@ -197,19 +198,19 @@
         budget = AttemptBudget(terms=terms)
         events = sorted([(at, False) for at in requests] + [(at, True) for at in tries])
         spent = []
-        for at, repeat in events:
-            if not repeat:
+        for at, is_retry in events:
+            if not is_retry:
                 budget.record_request("s", now=at)
             elif budget.try_spend("s", instances=instances, now=at):
                 spent.append(at)
         for end in spent:
-            repeats = sum(end - 10.0 < at <= end for at in spent)
-            asked = sum(end - 10.0 < at <= end for at in requests)
-            self.assertLessEqual(repeats, 0.2 * asked + 20.0 / instances)
+            retries = sum(end - 10.0 < at <= end for at in spent)
+            requested = sum(end - 10.0 < at <= end for at in requests)
+            self.assertLessEqual(retries, 0.2 * requested + 20.0 / instances)
 
 
 class ReadScheduleTest(unittest.TestCase):
-    """One instance reads; the others step in within a second when it falls silent."""
+    """One instance reads the store; others take over within a second when it stops."""
 
     def setUp(self) -> None:
         self.schedule = ReadSchedule(random=Random(1), bound_s=60.0, count_instances=lambda: 14)
@@ -226,10 +227,10 @@
             self.assertTrue(self.schedule.is_due(age_s=2.0, rank=place, news=False, now=0.0))
 
     def test_everyone_reads_before_requests_are_held_for_it(self) -> None:
-        """No request waits for a read although every datagram to its instance is lost.
+        """Guards against requests that wait for a read while all datagrams to an instance are lost.
 
-        A reader that comes after all others would wait for each of them in turn, longer than the
-        bound at which requests stop being sent by what it knows.
+        The last-ranked reader would wait for each of the others in turn, longer than the staleness
+        bound at which an instance stops sending requests by its state.
         """
         for bound_s in (1.6, 2.6):
             schedule = ReadSchedule(random=Random(1), bound_s=bound_s, count_instances=lambda: 14)
@@ -243,10 +244,10 @@
         self.assertTrue(self.schedule.is_due(age_s=0.0, rank=9, news=True, now=latest + 0.01))
 
     def test_news_that_was_told_meanwhile_is_not_fetched(self) -> None:
-        """A change costs the store one read and not one of each instance.
+        """Guards against one store read by each instance for a single change.
 
-        An instance hears that another has a newer table, and the table itself comes a moment
-        later. The next news starts a wait of its own.
+        An instance learns that another has a newer table, and receives the table itself a moment
+        later. The next update starts a new wait.
         """
         self.assertFalse(self.schedule.is_due(age_s=0.0, rank=9, news=True, now=5.0))
         self.assertFalse(self.schedule.is_due(age_s=0.0, rank=9, news=False, now=5.05))
@@ -259,7 +260,7 @@
         self.assertTrue(self.schedule.is_due(age_s=9.0, rank=0, news=False, now=0.5))
 
 
-def make_record(name: str, domain: str = "a", region: str = "r") -> InstanceRecord:
+def build_record(name: str, domain: str = "a", region: str = "r") -> InstanceRecord:
     """Return an instance's record."""
     return InstanceRecord(
         name=name,
@@ -280,10 +281,12 @@
 )
 
 
-def make_beat(name: str, *, incarnation: int = 1, sequence: int = 1, **changes: object) -> Beat:
-    """Return a beat of a serving instance, with changes."""
+def build_heartbeat(
+    name: str, *, incarnation: int = 1, sequence: int = 1, **changes: object
+) -> Beat:
+    """Return a heartbeat of a serving instance, with changes."""
     values: dict[str, object] = {
-        "record": make_record(name),
+        "record": build_record(name),
         "incarnation": incarnation,
         "sequence": sequence,
         "state": InstanceState.SERVING,
@@ -302,14 +305,14 @@
 
 
 class PeersTest(unittest.TestCase):
-    """Instances are there while their beats come, and only their newest word counts."""
+    """Instances are live while their heartbeats arrive, and only the newest heartbeat counts."""
 
     def setUp(self) -> None:
         self.peers = Peers(own_name="me")
 
     def test_beats_survive_the_wire(self) -> None:
-        beat = make_beat("x")
-        self.assertEqual(decode_beat(encode_beat(beat)), beat)
+        heartbeat = build_heartbeat("x")
+        self.assertEqual(decode_beat(encode_beat(heartbeat)), heartbeat)
 
     @given(data=st.binary(max_size=200))
     def test_any_other_datagram_is_refused(self, data: bytes) -> None:
@@ -317,34 +320,34 @@
             decode_beat(data)
 
     def test_a_late_beat_of_a_former_process_changes_nothing(self) -> None:
-        self.assertTrue(self.peers.take(make_beat("x", incarnation=2), now=0.0))
-        late = make_beat("x", incarnation=1, sequence=99, state=InstanceState.LEAVING)
+        self.assertTrue(self.peers.take(build_heartbeat("x", incarnation=2), now=0.0))
+        late = build_heartbeat("x", incarnation=1, sequence=99, state=InstanceState.LEAVING)
         self.assertFalse(self.peers.take(late, now=0.1))
         self.assertEqual([r.name for r in self.peers.list_serving(now=0.2)], ["x"])
 
     def test_a_last_beat_that_relays_still_tell_is_no_sign_of_life(self) -> None:
-        """No caller is sent to an instance that ended.
+        """Guards against callers that are sent to an instance that has ended.
 
-        A relay still has its last beat and passes it on to an instance that has just taken it for
-        gone. The same beat from the instance itself would be one.
+        An aggregator still has the instance's last heartbeat and forwards it to one that has just
+        declared the instance gone. The same heartbeat from the instance itself would count.
         """
-        beat = make_beat("x", sequence=7)
-        self.peers.take(beat, now=0.0)
+        heartbeat = build_heartbeat("x", sequence=7)
+        self.peers.take(heartbeat, now=0.0)
         later = MISSED_BEATS * compute_beat_interval(2) + 0.1
-        self.assertFalse(self.peers.take_sign(beat.make_sign(), beat.record, now=later))
+        self.assertFalse(self.peers.take_sign(heartbeat.make_sign(), heartbeat.record, now=later))
         self.assertEqual(self.peers.list_live(now=later), [])
-        newer = make_beat("x", sequence=8)
+        newer = build_heartbeat("x", sequence=8)
         self.assertTrue(self.peers.take_sign(newer.make_sign(), newer.record, now=later))
 
     def test_an_instance_whose_time_of_day_went_back_is_heard_again(self) -> None:
-        """Callers are sent to an instance that started again after its clock had jumped back.
+        """Guards against ignoring an instance that restarted after its clock went back.
 
-        Its first process started while the time of day was three seconds ahead. The clock is set
-        right, the process is killed, and the next one has a start that lies before the first's. It
-        is taken for a late word of the first only as long as the first may still be there.
+        Its first process started while the clock was three seconds ahead. The clock is corrected,
+        the process is killed, and the next one has an earlier start time. Its heartbeats count as
+        late ones of the first process only as long as the first may still be live.
         """
-        self.peers.take(make_beat("x", incarnation=13_000, sequence=50), now=0.0)
-        again = make_beat("x", incarnation=12_500, sequence=1)
+        self.peers.take(build_heartbeat("x", incarnation=13_000, sequence=50), now=0.0)
+        again = build_heartbeat("x", incarnation=12_500, sequence=1)
         self.assertFalse(self.peers.take(again, now=0.5))
         bound = MISSED_BEATS * compute_beat_interval(2)
         self.assertTrue(self.peers.take(again, now=bound + 0.01))
@@ -352,34 +355,34 @@
 
     def test_instances_that_are_gone_for_good_are_forgotten(self) -> None:
         for name in ("x", "y"):
-            self.peers.take(make_beat(name), now=0.0)
-        self.peers.take(make_beat("y", sequence=9), now=50.0)
+            self.peers.take(build_heartbeat(name), now=0.0)
+        self.peers.take(build_heartbeat("y", sequence=9), now=50.0)
         self.assertEqual(self.peers.forget_silent(now=FORGET_AFTER_S), [])
         self.assertEqual(self.peers.forget_silent(now=FORGET_AFTER_S + 1.0), ["x"])
         self.assertEqual([record.name for record in self.peers.list_targets()], ["y"])
 
     def test_silent_and_leaving_instances_get_no_callers(self) -> None:
-        self.peers.take(make_beat("x"), now=0.0)
-        self.peers.take(make_beat("y", state=InstanceState.LEAVING), now=0.0)
+        self.peers.take(build_heartbeat("x"), now=0.0)
+        self.peers.take(build_heartbeat("y", state=InstanceState.LEAVING), now=0.0)
         bound = MISSED_BEATS * compute_beat_interval(3)
         self.assertEqual([r.name for r in self.peers.list_serving(now=bound)], ["x"])
         self.assertEqual(self.peers.list_serving(now=bound + 0.01), [])
 
     def test_an_instance_that_the_store_turns_away_is_no_reader(self) -> None:
         for name in "abcdefgh":
-            self.peers.take(make_beat(name, store_answers=False), now=0.0)
+            self.peers.take(build_heartbeat(name, store_answers=False), now=0.0)
         self.assertEqual(self.peers.rank_as_reader(now=0.1), 0)
         for name in "abcdefgh":
-            self.peers.take(make_beat(name, sequence=2), now=0.1)
+            self.peers.take(build_heartbeat(name, sequence=2), now=0.1)
         readers = rank(READER_KEY, [*"abcdefgh", "me"])
         self.assertEqual(self.peers.rank_as_reader(now=0.2), readers.index("me"))
 
 
 class CallerAddressesTest(unittest.TestCase):
-    """Callers get instances near them, and always some."""
+    """Callers get the addresses of near instances, and always at least one."""
 
     def test_near_instances_first_and_never_none(self) -> None:
-        records = [make_record("1", "a"), make_record("2", "a"), make_record("3", "b")]
+        records = [build_record("1", "a"), build_record("2", "a"), build_record("3", "b")]
         near = CallerPlace(region="r", failure_domain="a")
         alone = CallerPlace(region="r", failure_domain="b")
         self.assertEqual(choose_addresses(near, records, []), ["1:80", "2:80"])
@@ -388,7 +391,7 @@
 
 
 class EventFramingTest(unittest.TestCase):
-    """Events are passed on whole, however the bytes arrive."""
+    """Events are forwarded whole, however the bytes are split."""
 
     @given(
         events=st.lists(st.binary(max_size=20).filter(lambda data: b"\n" not in data), max_size=8),
--- a/tests/test_relay_endpoint_load_properties.py
+++ b/tests/test_relay_endpoint_load_properties.py
@@ -1,4 +1,4 @@
-"""Property tests of the work at endpoints: sums that are kept agree with sums made anew."""
+"""Property tests of endpoint loads: incremental sums equal sums computed from scratch."""
 
 from __future__ import annotations
 
@@ -24,7 +24,7 @@
         delicate=st.integers(0, 3),
     ),
 )
-words = st.lists(
+updates = st.lists(
     st.one_of(
         st.tuples(st.just("beat"), st.sampled_from(INSTANCES), loads),
         st.tuples(st.just("notice"), st.sampled_from(INSTANCES), loads),
@@ -35,28 +35,28 @@
 
 
 class ToldLoadsTest(unittest.TestCase):
-    """What other instances tell, in any order, is summed up by endpoint."""
+    """Loads from other instances, in any order, are summed by endpoint."""
 
     @settings(max_examples=EXAMPLES, deadline=None)
-    @given(words)
+    @given(updates)
     @example([("notice", "i0", {"e0": Load()}), ("notice", "i0", {"e0": Load(requests=1)})])
     @example([("beat", "i0", {"e0": Load()}), ("beat", "i0", {})])
-    def test_sums_agree_with_the_newest_words(self, said: list) -> None:
+    def test_sums_agree_with_the_newest_words(self, received: list) -> None:
         kept = EndpointLoads()
-        newest: dict[str, dict[str, Load]] = {}
-        for kind, who, told in said:
+        latest: dict[str, dict[str, Load]] = {}
+        for kind, who, reported in received:
             if kind == "beat":
-                kept.take_peer(who, dict(told))
-                newest[who] = dict(told)
+                kept.take_peer(who, dict(reported))
+                latest[who] = dict(reported)
             elif kind == "notice":
-                kept.update_peer(who, dict(told))
-                newest.setdefault(who, {}).update(told)
+                kept.update_peer(who, dict(reported))
+                latest.setdefault(who, {}).update(reported)
             else:
                 kept.keep_peers(who)
-                newest = {name: known for name, known in newest.items() if name in who}
+                latest = {name: known for name, known in latest.items() if name in who}
         for endpoint_id in ENDPOINTS:
             expected = Load()
-            for known in newest.values():
+            for known in latest.values():
                 expected.add(known.get(endpoint_id, Load()))
             self.assertEqual(kept.sum_up(endpoint_id), expected)
 
--- a/tests/test_relay_engine_profile.py
+++ b/tests/test_relay_engine_profile.py
@@ -1,7 +1,7 @@
-"""Tests of what is learnt of engines, and that the same decisions fit engines of unlike speed.
+"""Tests of learnt engine profiles, and of decisions for engines of different speed.
 
-The stand-in engine here answers by arithmetic and without a network: it reads waiting prompts one
-after the other, then takes its time to the first event.
+The stand-in engine computes its times without a network: it prefills pending prompts one after the
+other, then takes a fixed time to the first event.
 """
 
 from __future__ import annotations
@@ -32,11 +32,11 @@
     """Longest pause of a stream while a long prompt is read."""
     slots: int
     objective_s: float
-    """Of the most urgent requests."""
+    """Objective of the most urgent requests."""
 
-    def answer(self, unread_tokens: int) -> float:
-        """Return the milliseconds to the first event behind so many tokens."""
-        return self.first_event_ms + unread_tokens / self.read_tokens_per_ms
+    def compute_first_event_ms(self, uncached_tokens: int) -> float:
+        """Return the milliseconds to the first event after this many prefill tokens."""
+        return self.first_event_ms + uncached_tokens / self.read_tokens_per_ms
 
 
 FAST = StandInEngine(
@@ -58,29 +58,31 @@
 """Four times slower, with a quarter of the slots and other objectives."""
 
 
-def watch(
+def record_answers(
     engine: StandInEngine, profiles: EngineProfiles, *, answers: int = 24, seed: int = 1
 ) -> None:
-    """Have an instance see some answers; one in six belies what was known of the load."""
+    """Record some answers of an engine; for one in six, the known load is wrong."""
     random = Random(seed)
     for number in range(answers):
         now = number * 0.4
-        unread = random.choice((100, 400, 3_000, 9_000, 16_000))
-        known = unread if random.random() < 5 / 6 else unread * 4
-        took_ms = engine.answer(unread) * random.uniform(0.9, 1.1)
+        uncached_tokens = random.choice((100, 400, 3_000, 9_000, 16_000))
+        known = uncached_tokens if random.random() < 5 / 6 else uncached_tokens * 4
+        took_ms = engine.compute_first_event_ms(uncached_tokens) * random.uniform(0.9, 1.1)
         profiles.record_first_event("pool", unread_tokens=known, took_ms=took_ms, now=now)
         tokens = random.randint(20, 400)
         profiles.record_run("pool", output_tokens=tokens, run_ms=tokens * engine.token_ms, now=now)
-        profiles.record_pause("pool", unread_tokens=unread, pause_ms=engine.pause_ms, now=now)
+        profiles.record_pause(
+            "pool", unread_tokens=uncached_tokens, pause_ms=engine.pause_ms, now=now
+        )
 
 
 class EngineProfilesTest(unittest.TestCase):
-    """A profile follows the engines, whatever the prior says."""
+    """A profile converges to the engines' performance, whatever the prior."""
 
     def test_engines_of_unlike_speed_are_told_apart(self) -> None:
         for engine in (FAST, SLOW):
             profiles = EngineProfiles()
-            watch(engine, profiles)
+            record_answers(engine, profiles)
             found = profiles.find("pool", now=10.0)
             for name in ("first_event_ms", "read_tokens_per_ms", "token_ms"):
                 true = getattr(engine, name)
@@ -92,13 +94,13 @@
         self.assertEqual(EngineProfiles().find("pool", now=0.0), PRIOR)
 
     def test_what_others_have_seen_counts_until_they_are_gone(self) -> None:
-        """An instance that has just started forecasts by what the others tell it."""
+        """An instance that has just started forecasts with the estimates of the others."""
         others = EngineProfiles()
-        watch(SLOW, others)
+        record_answers(SLOW, others)
         mine = EngineProfiles()
         mine.take_peer("other", others.list_own(now=10.0))
-        heard = mine.find("pool", now=10.0)
-        self.assertLess(heard.read_tokens_per_ms, 40.0)
+        learnt = mine.find("pool", now=10.0)
+        self.assertLess(learnt.read_tokens_per_ms, 40.0)
         mine.keep_peers(set())
         self.assertEqual(mine.find("pool", now=20.0), PRIOR)
 
@@ -106,7 +108,7 @@
         profiles = EngineProfiles()
         for number in range(9):
             others = EngineProfiles()
-            watch(SLOW, others, seed=number)
+            record_answers(SLOW, others, seed=number)
             profiles.take_peer(f"p{number}", others.list_own(now=10.0))
         before = profiles.find("pool", now=10.0).read_tokens_per_ms
         far = Estimate(value=3_000.0, samples=24)
@@ -127,26 +129,26 @@
 
     def test_samples_of_engines_that_were_replaced_are_forgotten(self) -> None:
         profiles = EngineProfiles()
-        watch(SLOW, profiles)
+        record_answers(SLOW, profiles)
         found = profiles.find("pool", now=60.0)
         self.assertAlmostEqual(found.read_tokens_per_ms, PRIOR.read_tokens_per_ms)
 
 
 class UnlikeEnginesTest(unittest.TestCase):
-    """The same code decides rightly for fast and for slow engines, once it has seen them.
+    """Decisions are right for fast and for slow engines, once their profiles are learnt.
 
-    The pattern: a fleet is moved to engines that are four times slower, with other objectives. A
-    model with one engine's figures would queue there four times longer than it believes.
+    The scenario: a fleet moves to engines that are four times slower, with other objectives. A
+    model with fixed engine figures would let queues grow four times longer than it forecasts.
     """
 
     def setUp(self) -> None:
         self.learnt: dict[str, EngineProfiles] = {}
         for name, engine in (("fast", FAST), ("slow", SLOW)):
             self.learnt[name] = EngineProfiles()
-            watch(engine, self.learnt[name])
+            record_answers(engine, self.learnt[name])
 
     def test_admission_lets_in_what_can_be_in_time(self) -> None:
-        """Queues are let grow to the objective's share on each, within a third."""
+        """Queues may grow to the allowed share of each objective, within a third."""
         for name, engine in (("fast", FAST), ("slow", SLOW)):
             profile = self.learnt[name].find("pool", now=10.0)
             queue = Load()
@@ -159,12 +161,12 @@
                     slots=engine.slots,
                     kv_capacity_tokens=0,
                 )
-                refusal = admit(
+                rejection = admit(
                     expected,
                     WaitTerms(objective_s=engine.objective_s, patient=False),
                     random=Random(1),
                 )
-                if refusal is not None:
+                if rejection is not None:
                     break
                 queue.prefill_tokens += 500
             waited_ms = queue.prefill_tokens / engine.read_tokens_per_ms
@@ -172,26 +174,26 @@
             self.assertAlmostEqual(waited_ms, allowed_ms, delta=allowed_ms / 3, msg=name)
 
     def test_lanes_follow_reading_times(self) -> None:
-        lanes = {}
+        buckets = {}
         for name, engine in (("fast", FAST), ("slow", SLOW)):
             profile = self.learnt[name].find("pool", now=10.0)
-            lanes[name] = find_lane(
+            buckets[name] = find_lane(
                 3_500, objective_s=5.0, shortest_s=engine.objective_s, profile=profile
             )
-        self.assertEqual(lanes["fast"], 1)
-        self.assertEqual(lanes["slow"], 1)
+        self.assertEqual(buckets["fast"], 1)
+        self.assertEqual(buckets["slow"], 1)
         for name, engine, tokens in (("fast", FAST, 1_500), ("slow", SLOW, 800)):
             profile = self.learnt[name].find("pool", now=10.0)
-            lane = find_lane(
+            bucket = find_lane(
                 tokens, objective_s=5.0, shortest_s=engine.objective_s, profile=profile
             )
-            self.assertEqual(lane, 0, name)
+            self.assertEqual(bucket, 0, name)
 
     def test_a_cached_prompt_is_worth_the_wait_that_reading_it_would_take(self) -> None:
-        """A part is in the memory of an engine at which others wait; a second one idles.
+        """A part is in the KV cache of an engine with a queue; a second engine is idle.
 
-        On engines that read it in 33 ms it is not worth a wait of 300 ms; where that takes 133 ms,
-        with its price six times as much, it is.
+        Where the part is prefilled in 33 ms, the cache isn't worth a wait of 300 ms; where that
+        takes 133 ms, or six times as much with its price, it is.
         """
         chosen = {}
         for name, engine in (("fast", FAST), ("slow", SLOW)):
--- a/tests/test_relay_placement.py
+++ b/tests/test_relay_placement.py
@@ -1,4 +1,4 @@
-"""Tests of where prompts go: choice, cache and lanes."""
+"""Tests of endpoint choice, the prompt cache model and length buckets."""
 
 from __future__ import annotations
 
@@ -29,7 +29,7 @@
 
 
 class EndpointChoiceTest(unittest.TestCase):
-    """Prompts go where they are cached, unless load or failures outweigh it."""
+    """Prompts are sent to engines that have them cached, unless load or failures outweigh it."""
 
     def setUp(self) -> None:
         self.loads = EndpointLoads()
@@ -56,18 +56,20 @@
         self.assertEqual(len({self.choose(seed=seed) for seed in range(20)}), 1)
 
     def test_a_session_goes_where_another_instance_has_sent_it(self) -> None:
-        home = self.choose()
-        lanes = assign_buckets(self.endpoints, SHARES)
-        other = next(name for name, lane in lanes.items() if lane == 2 and name != home)
+        affinity_endpoint = self.choose()
+        buckets = assign_buckets(self.endpoints, SHARES)
+        other = next(
+            name for name, bucket in buckets.items() if bucket == 2 and name != affinity_endpoint
+        )
         send = PromptSend(number=1, endpoint_id=other, part_id="session", tokens=6200)
         self.cache.take_peer("peer", 1, [send])
         self.assertEqual(self.choose(), other)
 
     def test_late_loads_do_not_send_all_to_the_engine_that_was_idle(self) -> None:
-        """First events come in time although nobody knows the present loads.
+        """Guards against a queue at an engine that all instances last saw idle.
 
-        Many instances have heard that one engine of twenty is idle, each at the same moment, and
-        each has a request before it hears of the others' choices.
+        Many instances learn at the same time that one engine of twenty is idle, and each has a
+        request before it learns of the others' choices.
         """
         self.endpoints = [make_endpoint(f"e{number}", slots=64) for number in range(20)]
         for number in range(1, 20):
@@ -81,47 +83,48 @@
         self.assertGreater(len(set(choices)), 8)
 
     def test_late_news_of_caches_sends_a_part_to_its_home_all_the_same(self) -> None:
-        """Long prompts with the same part come to a hundred instances within a second.
+        """Guards against repeated prefill of a part because cache updates are late.
 
-        None has heard of the others' sends yet. Their home is 100 ms behind; sent elsewhere, each
-        of them would have the part read again, 88 ms at each engine and paid for.
+        Long prompts with the same part arrive at a hundred instances within a second, before any
+        learns of the others' sends. Their affinity endpoint is 100 ms behind; sent elsewhere, each
+        of them would have the part prefilled again, 88 ms at each engine and paid for.
         """
         self.endpoints = [make_endpoint(f"e{number}", slots=64) for number in range(20)]
-        home = self.choose()
-        assert home is not None
-        self.loads.take_peer("peer", {home: Load(requests=4, prefill_tokens=6_000)})
+        affinity_endpoint = self.choose()
+        assert affinity_endpoint is not None
+        self.loads.take_peer("peer", {affinity_endpoint: Load(requests=4, prefill_tokens=6_000)})
         for loads_late in (False, True):
             self.placement = replace(self.placement, loads_late=loads_late)
             chosen = {self.choose(seed=seed) for seed in range(20)}
-            self.assertEqual(chosen == {home}, loads_late)
+            self.assertEqual(chosen == {affinity_endpoint}, loads_late)
 
     def test_late_loads_are_drawn_towards_the_mean_of_their_lane(self) -> None:
-        """One engine was told full a second ago and is not refused for it while its lane has room.
+        """Guards against rejections by one stale report while the bucket has room.
 
-        Eight engines of a lane have little to read; of the ninth 30,000 tokens were told, 500 ms of
-        reading. By the time that is known, a good part of it has been read.
+        Eight engines of a bucket have little to prefill; for the ninth 30,000 tokens were reported
+        a second ago, 500 ms of prefill. A good part of that is done when the report arrives.
         """
-        lanes = {f"e{number}": 0 for number in range(9)} | {"other": 1}
-        loads = {name: Load(requests=2, prefill_tokens=3_000, delicate=1) for name in lanes}
+        buckets = {f"e{number}": 0 for number in range(9)} | {"other": 1}
+        loads = {name: Load(requests=2, prefill_tokens=3_000, delicate=1) for name in buckets}
         loads["e0"] = Load(requests=10, prefill_tokens=30_000, memory_tokens=250_000, delicate=4)
         loads["other"] = Load(requests=9, prefill_tokens=9_000)
-        blended = blend_loads(loads, lanes)
-        # What lasts longer than news counts as told: memory and delicate streams.
+        blended = blend_loads(loads, buckets)
+        # KV cache use and pause-sensitive streams outlast an update's delay and count as reported.
         expected = Load(requests=6, prefill_tokens=18_000, memory_tokens=250_000, delicate=4)
         self.assertEqual(blended["e0"], expected)
         self.assertEqual(blended["e1"].prefill_tokens, 4_500)
         self.assertEqual(blended["other"], loads["other"])
 
     def test_late_loads_leave_prompts_in_their_lane(self) -> None:
-        """A short prompt is not sent among long ones because these were all that was looked at."""
+        """Guards against samples that hold no engine of a short prompt's own bucket."""
         self.endpoints = [make_endpoint(f"e{number}", slots=64) for number in range(20)]
         shares = (0.2, 0.8, 0.0)
-        lanes = assign_buckets(self.endpoints, shares)
+        buckets = assign_buckets(self.endpoints, shares)
         self.placement = replace(
             self.placement, prompt_parts=(), lane=0, lane_shares=shares, loads_late=True
         )
         chosen = [self.choose(seed=seed) for seed in range(60)]
-        self.assertEqual({lanes[str(name)] for name in chosen}, {0})
+        self.assertEqual({buckets[str(name)] for name in chosen}, {0})
         self.assertGreater(len(set(chosen)), 2)
 
     def test_late_loads_keep_sessions_where_they_are(self) -> None:
@@ -130,24 +133,27 @@
         self.assertEqual(len({self.choose(seed=seed) for seed in range(40)}), 1)
 
     def test_a_prompt_leaves_its_cached_part_where_it_would_come_late(self) -> None:
-        """Prompts come at twice the usual rate; the engine that has their part is 250 ms behind.
+        """Guards against late answers from an overloaded engine that has the prompt's part cached.
 
-        The idle engine beside it reads the part again and answers in time; the prompt goes there
-        although that is paid for. With nothing waiting it stays, and with a patient objective too.
+        Prompts arrive at twice the usual rate, and that engine is 250 ms behind. An idle engine
+        prefills the part again and answers in time; the prompt goes there although that is paid
+        for. Without a queue, or with a latency-tolerant objective, the prompt stays.
         """
-        home = self.choose()
-        assert home is not None
-        self.cache.record(home, "session", 6200, now=0.0)
+        affinity_endpoint = self.choose()
+        assert affinity_endpoint is not None
+        self.cache.record(affinity_endpoint, "session", 6200, now=0.0)
         for waiting, objective_s, stays in ((0, 0.3, True), (15_000, 0.3, False)):
-            self.loads.take_peer("peer", {home: Load(requests=3, prefill_tokens=waiting)})
+            self.loads.take_peer(
+                "peer", {affinity_endpoint: Load(requests=3, prefill_tokens=waiting)}
+            )
             self.placement = replace(self.placement, objective_s=objective_s)
-            self.assertEqual(self.choose() == home, stays, (waiting, objective_s))
-        self.loads.take_peer("peer", {home: Load(requests=3, prefill_tokens=12_000)})
+            self.assertEqual(self.choose() == affinity_endpoint, stays, (waiting, objective_s))
+        self.loads.take_peer("peer", {affinity_endpoint: Load(requests=3, prefill_tokens=12_000)})
         self.placement = replace(self.placement, objective_s=4.0)
-        self.assertEqual(self.choose(), home)
+        self.assertEqual(self.choose(), affinity_endpoint)
 
     def test_an_engine_that_would_send_it_back_comes_after_all_others(self) -> None:
-        """Guards against urgent requests sent back from one engine while another has room."""
+        """Guards against urgent requests rejected at one engine while another has room."""
         chooser = EndpointChooser(loads=self.loads, cache=self.cache, random=Random(0))
 
         def choose(full: set[float]) -> Choice:
@@ -170,15 +176,15 @@
         self.assertEqual(choose(set(waits)).forecast, usual)
 
     def test_a_failing_endpoint_loses_even_its_own_sessions(self) -> None:
-        home = self.choose()
-        assert home is not None
-        self.loads.record_failure(home, weight=1.0, now=10.0)
-        self.assertNotEqual(self.choose(), home)
+        affinity_endpoint = self.choose()
+        assert affinity_endpoint is not None
+        self.loads.record_failure(affinity_endpoint, weight=1.0, now=10.0)
+        self.assertNotEqual(self.choose(), affinity_endpoint)
 
     def test_an_endpoint_is_tried_once(self) -> None:
-        home = self.choose()
-        assert home is not None
-        self.assertNotEqual(self.choose(frozenset((home,))), home)
+        affinity_endpoint = self.choose()
+        assert affinity_endpoint is not None
+        self.assertNotEqual(self.choose(frozenset((affinity_endpoint,))), affinity_endpoint)
         everyone = frozenset(record.endpoint_id for record in self.endpoints)
         self.assertIsNone(self.choose(everyone))
 
@@ -197,7 +203,7 @@
 
 
 class PromptCacheTest(unittest.TestCase):
-    """An engine keeps a part until it has read as much as its memory holds."""
+    """A part counts as cached until the engine has prefilled as much as its KV cache retains."""
 
     def setUp(self) -> None:
         self.cache = PromptCache()
@@ -217,10 +223,10 @@
     def test_a_send_told_again_counts_once(self) -> None:
         self.cache.record("x", "session", 5300, now=0.0)
         self.cache.record("x", "session", 0, now=0.3)
-        told = self.cache.list_recent(now=0.5, interval_s=0.25)
+        sends = self.cache.list_recent(now=0.5, interval_s=0.25)
         other = PromptCache()
         for _ in range(3):
-            other.take_peer("peer", 1, told)
+            other.take_peer("peer", 1, sends)
         other.take_peer("peer", 1, [PromptSend(number=3, endpoint_id="x", part_id="p", tokens=60)])
         self.assertEqual(other.count_cached("x", self.parts, memory_tokens=100), 0)
         self.assertEqual(other.count_cached("x", self.parts, memory_tokens=101), 5300)
@@ -240,10 +246,10 @@
 
 
 class PromptLanesTest(unittest.TestCase):
-    """Prompts of unlike length keep engines of their own, by the share of their work.
+    """Prompts of different length use separate engines, by each bucket's share of the work.
 
-    The pattern: long prompts double for some seconds; each takes an engine 100 ms and more to read,
-    and the answers to short questions, due in 300 ms, wait behind several of them.
+    The scenario: long prompts double for some seconds; each takes 100 ms and more of prefill, and
+    the answers to short questions, due in 300 ms, wait behind several of them.
     """
 
     def setUp(self) -> None:
@@ -257,24 +263,24 @@
         demand = PromptDemand()
         demand.take_peer("x", Demand(work_ms=tuple(work)))
         endpoints = [make_endpoint(f"e{number}") for number in range(count)]
-        lanes = assign_buckets(endpoints, demand.compute_shares())
-        self.assertEqual(set(lanes), {record.endpoint_id for record in endpoints})
+        buckets = assign_buckets(endpoints, demand.compute_shares())
+        self.assertEqual(set(buckets), {record.endpoint_id for record in endpoints})
 
     def test_prompts_that_are_due_soon_stay_out_of_the_lane_of_patient_ones(self) -> None:
-        for tokens, objective_s, lane in ((800, 2.0, 0), (6_000, 2.0, 2), (6_000, 0.4, 1)):
+        for tokens, objective_s, bucket in ((800, 2.0, 0), (6_000, 2.0, 2), (6_000, 0.4, 1)):
             found = find_lane(tokens, objective_s=objective_s, shortest_s=0.3, profile=PROFILE)
-            self.assertEqual(found, lane)
+            self.assertEqual(found, bucket)
 
     def test_the_slower_an_engine_reads_the_shorter_a_long_prompt_is(self) -> None:
         slow = EngineProfile(read_tokens_per_ms=15.0)
-        for profile, lane in ((PROFILE, 0), (slow, 1)):
+        for profile, bucket in ((PROFILE, 0), (slow, 1)):
             found = find_lane(1_000, objective_s=0.3, shortest_s=0.3, profile=profile)
-            self.assertEqual(found, lane)
+            self.assertEqual(found, bucket)
 
     def test_like_shares_move_one_engine_at_a_border_at_most(self) -> None:
         before = assign_buckets(self.endpoints, (0.30, 0.2, 0.50))
         after = assign_buckets(self.endpoints, (0.35, 0.2, 0.45))
-        moved = [name for name, lane in before.items() if after[name] != lane]
+        moved = [name for name, bucket in before.items() if after[name] != bucket]
         self.assertLessEqual(len(moved), 2)
         self.assertTrue(all(abs(after[name] - before[name]) == 1 for name in moved))
 
@@ -287,17 +293,17 @@
         self.assertAlmostEqual(demand.read_own(now=DEMAND_HALF_LIFE_S).work_ms[2], 50.0)
 
     def send_long_prompts(self, count: int, *, running: int) -> dict[str, int]:
-        """Send long prompts at once; return how many each lane's engines got, by lane.
+        """Send long prompts at once; return how many the engines of shorter and long buckets got.
 
         Args:
             count: Prompts, 12,000 tokens each.
-            running: Requests that run at each engine of the shorter lanes.
+            running: Requests that run at each engine of the shorter buckets.
         """
         loads = EndpointLoads()
         chooser = EndpointChooser(loads=loads, cache=PromptCache(), random=Random(2))
         shares = (0.3, 0.1, 0.6)
-        lanes = assign_buckets(self.endpoints, shares)
-        busy = {name: Load(requests=running) for name, lane in lanes.items() if lane < 2}
+        buckets = assign_buckets(self.endpoints, shares)
+        busy = {name: Load(requests=running) for name, bucket in buckets.items() if bucket < 2}
         loads.take_peer("peer", busy)
         got = {"short": 0, "long": 0}
         for _ in range(count):
@@ -315,21 +321,22 @@
             assert choice is not None
             name = choice.record.endpoint_id
             loads.begin(name, prefill_tokens=12_000, memory_tokens=12_300)
-            got["long" if lanes[name] == 2 else "short"] += 1
+            got["long" if buckets[name] == 2 else "short"] += 1
         return got
 
     def test_a_burst_of_long_prompts_leaves_busy_engines_to_short_ones(self) -> None:
-        """Twenty-five long prompts come at once while forty short answers run at each engine.
+        """Guards against short prompts delayed by a burst of long ones.
 
-        No engine of the shorter lanes gets one. Each adds 200 ms to its engine; in the end each of
-        the five engines of their lane is a second behind, within the objective of long prompts.
+        Twenty-five long prompts arrive at once while forty short answers run at each engine of the
+        shorter buckets. Each adds 200 ms to its engine; in the end each of the five engines of
+        their bucket is a second behind, within the objective of long prompts.
         """
         self.assertEqual(self.send_long_prompts(25, running=40), {"short": 0, "long": 25})
 
     def test_long_prompts_use_idle_engines_of_shorter_lanes_rather_than_wait(self) -> None:
-        """The same burst while nothing runs elsewhere; four idle engines take a part of it.
+        """Guards against rejected long prompts while half of the engines are idle.
 
-        Otherwise the last of it would be sent back although half of the engines do nothing.
+        The same burst arrives while nothing runs elsewhere; four idle engines take a part of it.
         """
         got = self.send_long_prompts(25, running=0)
         self.assertGreaterEqual(got["short"], 4)
--- a/tests/test_relay_refusal_history.py
+++ b/tests/test_relay_refusal_history.py
@@ -1,4 +1,4 @@
-"""Tests of what is remembered of refusals and told to other instances."""
+"""Tests of the rejection counts that instances keep and publish."""
 
 from __future__ import annotations
 
@@ -10,59 +10,59 @@
 
 
 class RefusalHistoryTest(unittest.TestCase):
-    """Refusals press on less urgent requests while they are many and recent."""
+    """Many recent rejections put pressure on less urgent requests."""
 
     def setUp(self) -> None:
         self.history = RefusalHistory()
 
-    def record(self, urgency: int, *, asked: int, sent_back: int, now: float = 0.0) -> None:
-        for number in range(asked):
-            refused = number < sent_back
-            self.history.record(POOL, urgency, sent_back=refused, wait_ms=180.0, now=now)
+    def record(self, urgency: int, *, requests: int, rejected: int, now: float = 0.0) -> None:
+        for number in range(requests):
+            is_rejected = number < rejected
+            self.history.record(POOL, urgency, sent_back=is_rejected, wait_ms=180.0, now=now)
 
-    def weigh(self, urgency: int, *, now: float = 0.0) -> list[float]:
+    def list_weights(self, urgency: int, *, now: float = 0.0) -> list[float]:
         pressures = self.history.list_pressures(POOL, urgency, now=now)
         return [pressure.weight for pressure in pressures]
 
     def test_only_less_urgent_requests_of_the_service_are_pressed(self) -> None:
-        self.record(1, asked=40, sent_back=40)
-        self.assertEqual(self.weigh(2), [1.0])
-        self.assertEqual(self.weigh(1), [])
-        self.assertEqual(self.weigh(0), [])
+        self.record(1, requests=40, rejected=40)
+        self.assertEqual(self.list_weights(2), [1.0])
+        self.assertEqual(self.list_weights(1), [])
+        self.assertEqual(self.list_weights(0), [])
         self.assertEqual(self.history.list_pressures("other", 2, now=0.0), ())
 
     def test_few_refusals_change_nothing(self) -> None:
-        self.record(0, asked=40, sent_back=3)
-        self.assertEqual(self.weigh(1), [])
+        self.record(0, requests=40, rejected=3)
+        self.assertEqual(self.list_weights(1), [])
 
     def test_a_single_refusal_is_forgotten_sooner_than_many(self) -> None:
-        """Guards against holding a kind back for long for one request of another."""
-        self.record(0, asked=1, sent_back=1)
-        self.assertLess(self.weigh(1, now=0.5)[0], 1.0)
-        self.assertEqual(self.weigh(1, now=1.5), [])
-        self.record(0, asked=40, sent_back=40)
-        self.assertEqual(self.weigh(1, now=1.5), [1.0])
+        """Guards against restricting less urgent requests for long after one rejection."""
+        self.record(0, requests=1, rejected=1)
+        self.assertLess(self.list_weights(1, now=0.5)[0], 1.0)
+        self.assertEqual(self.list_weights(1, now=1.5), [])
+        self.record(0, requests=40, rejected=40)
+        self.assertEqual(self.list_weights(1, now=1.5), [1.0])
 
     def test_a_kind_that_nobody_asks_for_any_more_holds_nothing(self) -> None:
-        """Guards against room that is held for callers who have left."""
-        self.record(0, asked=40, sent_back=40)
-        self.assertEqual(self.weigh(1, now=7.0), [])
+        """Guards against capacity that is reserved for callers who have left."""
+        self.record(0, requests=40, rejected=40)
+        self.assertEqual(self.list_weights(1, now=7.0), [])
 
     def test_what_others_tell_adds_up_until_they_are_gone(self) -> None:
-        """Guards against refusals that are spread so thin that no instance sees many."""
+        """Guards against rejections that are spread over so many instances that none sees many."""
         for name in ("i1", "i2", "i3", "i4"):
             other = RefusalHistory()
             for number in range(3):
                 other.record(POOL, 0, sent_back=number == 0, wait_ms=180.0, now=0.0)
             self.history.take_peer(name, other.list_own(now=0.0), now=0.0)
-        self.assertEqual(self.weigh(1), [1.0])
+        self.assertEqual(self.list_weights(1), [1.0])
         self.history.keep_peers({"i1"})
-        self.assertLess(self.weigh(1)[0], 1.0)
+        self.assertLess(self.list_weights(1)[0], 1.0)
         self.history.keep_peers(set())
-        self.assertEqual(self.weigh(1), [])
+        self.assertEqual(self.list_weights(1), [])
 
     def test_counts_told_again_count_once(self) -> None:
-        self.record(0, asked=20, sent_back=3)
+        self.record(0, requests=20, rejected=3)
         counts = self.history.list_own(now=0.0)
         receiver = RefusalHistory()
         for _ in range(5):
--- a/tests/test_relay_urgency_order.py
+++ b/tests/test_relay_urgency_order.py
@@ -1,4 +1,4 @@
-"""Tests that a burst of less urgent requests leaves room for the more urgent ones."""
+"""Tests that a burst of less urgent requests leaves capacity for more urgent ones."""
 
 from __future__ import annotations
 
@@ -8,56 +8,56 @@
     DOSSIER,
     FEWER_DOSSIERS,
     QUESTION,
-    SHORT_OF_TIME,
     SUMMARY,
+    TIGHT_DEADLINE,
     BurstWorld,
     Kind,
 )
 
-LATEST_REFUSED_SHARE = 1 / 12
-"""Share of the more urgent requests that may get nothing while less urgent ones begin."""
+MAX_REJECTED_SHARE = 1 / 12
+"""Largest share of the most urgent requests that may be rejected while less urgent ones start."""
 
 
 class BurstTestCase(unittest.TestCase):
-    """Users of several kinds come at once at one and a half times what the engines can do."""
+    """Several kinds of requests arrive at one and a half times the engines' capacity."""
 
-    def check(self, kinds: list[Kind], *, own: bool) -> None:
-        """Check that most of the first kind begin, and some of the others."""
+    def check(self, kinds: list[Kind], *, local: bool) -> None:
+        """Check that most requests of the first kind start, and some of the others."""
         for seed in range(5):
-            outcomes = BurstWorld(kinds, seed=seed, own=own).play()
+            outcomes = BurstWorld(kinds, seed=seed, local=local).run()
             first, *others = (outcomes[kind.name] for kind in kinds)
             with self.subTest(seed=seed, **{name: str(one) for name, one in outcomes.items()}):
-                self.assertLessEqual(first.refused, LATEST_REFUSED_SHARE * first.asked)
+                self.assertLessEqual(first.rejected, MAX_REJECTED_SHARE * first.requests)
                 for other in others:
-                    self.assertGreater(other.begun, 0)
+                    self.assertGreater(other.started, 0)
 
 
 class BurstOfTwoKindsTest(BurstTestCase):
-    """One scheduler is asked by all instances."""
+    """One scheduler decides for all instances."""
 
     def test_urgent_requests_are_not_refused_while_larger_less_urgent_ones_begin(self) -> None:
-        """Guards against less urgent work that fills the queues up to what urgent work may wait."""
-        self.check([QUESTION, DOSSIER], own=False)
+        """Guards against less urgent work that fills queues beyond the wait of urgent requests."""
+        self.check([QUESTION, DOSSIER], local=False)
 
     def test_less_urgent_requests_that_are_due_sooner_make_way_too(self) -> None:
-        """Guards against an order by objectives in place of urgency."""
-        self.check([QUESTION, SHORT_OF_TIME], own=False)
+        """Guards against an order by objective instead of urgency."""
+        self.check([QUESTION, TIGHT_DEADLINE], local=False)
 
     def test_the_first_of_three_kinds_is_served(self) -> None:
-        """Guards against an order that tells the first kind from all others only."""
-        self.check([QUESTION, FEWER_DOSSIERS, SUMMARY], own=False)
+        """Guards against an order that only separates the first kind from all others."""
+        self.check([QUESTION, FEWER_DOSSIERS, SUMMARY], local=False)
 
 
 class OwnBurstTest(BurstTestCase):
-    """Each instance decides by what it knows, and hears of refusals a beat late."""
+    """Each instance decides locally and receives the others' rejections a heartbeat late."""
 
     def test_urgent_requests_are_not_refused_while_larger_less_urgent_ones_begin(self) -> None:
-        """Guards against refusals that no other instance relates to what it lets begin."""
-        self.check([QUESTION, DOSSIER], own=True)
+        """Guards against rejections that other instances ignore when they admit requests."""
+        self.check([QUESTION, DOSSIER], local=True)
 
     def test_the_first_of_three_kinds_is_served(self) -> None:
-        """Guards against an order that tells the first kind from all others only."""
-        self.check([QUESTION, FEWER_DOSSIERS, SUMMARY], own=True)
+        """Guards against an order that only separates the first kind from all others."""
+        self.check([QUESTION, FEWER_DOSSIERS, SUMMARY], local=True)
 
 
 if __name__ == "__main__":
