--- a/src/guavamast/relay/counters.py
+++ b/src/guavamast/relay/counters.py
@@ -1,6 +1,6 @@
-"""Counters and latency histograms, shown as text in the Prometheus exposition format.
+"""Counters, gauges and latency histograms in the Prometheus text exposition format.
 
-A client library was weighed: its import takes 2.8 MB in each process, as much as this instance's
+A client library is not used: importing it takes 2.8 MB in each process, as much as this instance's
 connections.
 """
 
@@ -10,7 +10,7 @@
 from typing import Final
 
 LATENCY_BOUNDS_S: Final = (0.005, 0.01, 0.025, 0.05, 0.1, 0.2, 0.3, 0.4, 0.8, 1.5, 3.0, 6.0, 15.0)
-"""Seconds up to which each bucket counts; they include the usual objectives."""
+"""Seconds at the upper bound of each bucket; they include the usual objectives."""
 
 
 class _Histogram:
@@ -39,13 +39,13 @@
         self._values[name] = value
 
     def observe(self, name: str, seconds: float) -> None:
-        """Count a duration in a histogram."""
+        """Add a duration to a histogram."""
         histogram = self._histograms.setdefault(name, _Histogram())
         histogram.buckets[bisect_left(LATENCY_BOUNDS_S, seconds)] += 1
         histogram.total += seconds
 
     def render(self) -> str:
-        """Return all metrics as text."""
+        """Return all metrics in the exposition format."""
         lines = [f"guavamast_{name} {value:g}" for name, value in sorted(self._values.items())]
         for name, histogram in sorted(self._histograms.items()):
             lines.extend(_render_histogram(f"guavamast_{name}", histogram))
--- a/src/guavamast/relay/decision_log.py
+++ b/src/guavamast/relay/decision_log.py
@@ -1,4 +1,4 @@
-"""One JSON object a line on standard output for each decision, bounded and never blocking."""
+"""One JSON line on standard output for each decision, rate-limited and never blocking."""
 
 from __future__ import annotations
 
@@ -8,23 +8,23 @@
 from typing import Final
 
 LINES_PER_S: Final = 80.0
-"""Lines a second on average: several times the requests of an instance at its usual load."""
+"""Lines per second on average: several times an instance's usual request rate."""
 BURST_LINES: Final = 400.0
-"""Lines at once, after a quiet time."""
+"""Lines in one burst after an idle period."""
 
 LogValue = str | int | float | bool | None
 
 
 class DecisionLog:
-    """Writes lines until the rate is used up; what is dropped is counted in the next line.
+    """Writes lines up to a rate limit; the next line written states how many were dropped.
 
-    Failure: the reader of the log stops reading, the pipe fills, and the process waits in a write
-    while its callers wait for answers. The descriptor does not block, and a line that finds no room
-    is dropped and counted.
+    Without this, when the reader of the log stops reading, the pipe fills and the process blocks in
+    a write while its callers wait for responses. The descriptor is non-blocking, and a line that
+    does not fit is dropped and counted.
 
     Args:
         instance: Name of this instance, on each line.
-        descriptor: Where lines go.
+        descriptor: File descriptor that lines are written to.
     """
 
     __slots__ = ("_allowance", "_descriptor", "_dropped", "_instance", "_unwritten", "_updated")
@@ -42,9 +42,9 @@
         """Write one line.
 
         Args:
-            event: What was decided or seen, in a few words joined by underscores.
-            now: The present time, for the rate.
-            fields: The inputs that decided and the outcome.
+            event: Name of the decision or event, in a few words joined by underscores.
+            now: The current time, for the rate limit.
+            fields: The inputs of the decision and its outcome.
         """
         if self._updated is not None:
             elapsed = max(0.0, now - self._updated)
@@ -68,7 +68,7 @@
             self._dropped += 1
 
     def _write_bytes(self, data: bytes) -> bool:
-        """Write a line after the rest of the one before it; False when there is no room."""
+        """Write a line after the rest of the previous one; return False if the pipe is full."""
         try:
             if self._unwritten:
                 written = os.write(self._descriptor, self._unwritten)
--- a/src/guavamast/relay/request_notes.py
+++ b/src/guavamast/relay/request_notes.py
@@ -22,13 +22,13 @@
 
 
 class RequestNotes:
-    """Notes each decision on a request with what decided it.
+    """Records each decision on a request together with its inputs.
 
     Args:
-        log: Where the lines go.
-        counters: Where the metrics go.
-        knowledge: For the versions that decisions rest on.
-        loop_delay: How late this process does what is due.
+        log: Receives the log lines.
+        counters: Receives the metrics.
+        knowledge: Versions and ages of the data behind decisions.
+        loop_delay: Delay of this process's event loop.
     """
 
     __slots__ = ("_counters", "_knowledge", "_log", "_loop_delay")
@@ -47,7 +47,7 @@
         self._loop_delay = loop_delay
 
     def record_connection(self, *, new: bool) -> None:
-        """Count a connection by whether it was kept from before."""
+        """Count a connection by whether it is new or reused."""
         self._counters.add(f'endpoint_connections_total{{new="{str(new).lower()}"}}')
 
     def record_send(
@@ -62,7 +62,7 @@
         admitted: Admitted,
         now: float,
     ) -> None:
-        """Note that a request goes to an endpoint."""
+        """Record that a request is sent to an endpoint."""
         ages = self._knowledge.show_ages(now=now)
         self._counters.add(f'sends_total{{repeat="{str(sends > 1).lower()}"}}')
         if sends == 1:
@@ -96,7 +96,7 @@
         )
 
     def record_first_event(self, request: CallerRequest, choice: Choice, *, now: float) -> None:
-        """Note the time to the first event, beside what was expected."""
+        """Record the time to the first event, together with the forecast."""
         took_s = now - request.arrived
         expected_s = choice.forecast.first_event_ms / 1000.0 if choice.forecast else None
         self._counters.observe("first_event_seconds", took_s)
@@ -111,7 +111,7 @@
         )
 
     def note_profile(self, service: str, profile: EngineProfile) -> None:
-        """Show what is known of the engines of a service."""
+        """Set the gauges of a service's engine profile."""
         self._counters.set(
             f'engine_read_tokens_per_ms{{service="{service}"}}', profile.read_tokens_per_ms
         )
@@ -128,7 +128,7 @@
         *,
         now: float,
     ) -> None:
-        """Note a failed attempt."""
+        """Record a failed attempt."""
         self._counters.add(f'attempt_failures_total{{kind="{failure.kind}"}}')
         self._log.write(
             "attempt_failed",
@@ -141,7 +141,7 @@
         )
 
     def record_rejection(self, request: CallerRequest, denied: Denied, *, now: float) -> None:
-        """Note a request that is answered without an attempt."""
+        """Record a request that is rejected without an attempt."""
         ages = self._knowledge.show_ages(now=now)
         self._counters.add(f'refusals_total{{status="{denied.status}"}}')
         self._log.write(
@@ -168,7 +168,7 @@
         admitted: Admitted,
         now: float,
     ) -> None:
-        """Note a request that is refused for want of room."""
+        """Record a request that is rejected for lack of capacity."""
         self._counters.add('refusals_total{status="503"}')
         self._counters.add(f'sent_back_total{{urgency="{admitted.urgency}"}}')
         expected = choice.forecast
@@ -198,7 +198,7 @@
         status: int,
         now: float,
     ) -> None:
-        """Note that an answer has been passed on whole, and whether it was late and why."""
+        """Record a response that was forwarded completely, and whether and why it was late."""
         timing = progress.timing
         took_s = now - request.arrived
         late = timing.classify_lateness(progress.admitted.route, took_s=took_s)
@@ -231,7 +231,7 @@
         status: int | None = None,
         reason: str | None = None,
     ) -> None:
-        """Note how a request ended."""
+        """Record how a request ended."""
         took_s = now - request.arrived
         self._count_end(outcome, took_s)
         self._log.write(
--- a/src/guavamast/relay/sent_stream.py
+++ b/src/guavamast/relay/sent_stream.py
@@ -1,4 +1,4 @@
-"""What one send of a stream tells of its engine, noted as the events come."""
+"""Samples an engine's speed from the events of one send of a stream."""
 
 from __future__ import annotations
 
@@ -10,15 +10,15 @@
 
 
 class StreamSampler:
-    """Teaches the profile of a service from the events of one send.
+    """Updates a service's engine profile from the events of one send.
 
     Args:
-        profiles: What is learnt.
+        profiles: The engine profiles.
         service: The engine's service.
-        output_tokens: Most tokens that the answer may have.
-        unread_tokens: Prompt tokens that the engine had to read at the send, by what was known.
-        sent: Local time of the send.
-        timing: Of the caller's stream, which may have begun at another endpoint.
+        output_tokens: Maximum tokens of the response.
+        uncached_tokens: Prompt tokens known to be waiting for prefill at the engine at the send.
+        sent_at: Local time of the send.
+        timing: Timing of the caller's stream, which may have begun at another endpoint.
     """
 
     __slots__ = (
@@ -51,11 +51,11 @@
         """Local time of the first event of this send."""
 
     def record_event(self, *, uncached_tokens: int, now: float) -> None:
-        """Note that an event has come.
+        """Record that an event was received.
 
         Args:
-            unread_tokens: Prompt tokens that the engine has to read now, by what is known.
-            now: The present time.
+            uncached_tokens: Prompt tokens known to be waiting for prefill at the engine now.
+            now: The current time.
         """
         self._timing.record_event(uncached_tokens=uncached_tokens, now=now)
         if self.first_event_at is not None:
@@ -69,7 +69,7 @@
         )
 
     def finish(self, *, now: float) -> None:
-        """Note that the stream has come whole."""
+        """Record that the stream is complete."""
         if self.first_event_at is None:
             return
         self._profiles.record_run(
--- a/src/guavamast/relay/stream_timing.py
+++ b/src/guavamast/relay/stream_timing.py
@@ -1,4 +1,4 @@
-"""When the events of one stream came, against what its route promises."""
+"""Timing of the events of one stream, compared with the limits of its route."""
 
 from __future__ import annotations
 
@@ -10,21 +10,21 @@
 
 
 class Lateness(StrEnum):
-    """Why an answer was late."""
+    """Why a response was late."""
 
     FIRST_EVENT = "first_event"
     """The first event came after the objective."""
     PAUSE = "pause"
-    """A pause between two events was longer than the route's longest."""
+    """A pause between two events was longer than the route allows."""
     ANSWER = "answer"
-    """An answer that is no stream came after the objective."""
+    """A response that is not a stream came after the objective."""
 
 
 class StreamTiming:
-    """Times of one stream's events as they are passed on.
+    """Times of one stream's events as they are forwarded.
 
     Args:
-        arrived: Local time at which the request had been read, in seconds.
+        received_at: Local time at which the request had been received, in seconds.
     """
 
     __slots__ = (
@@ -39,19 +39,19 @@
         self._received_at = received_at
         self._last_event_at: float | None = None
         self.first_event_s: float | None = None
-        """From the request to its first event."""
+        """Seconds from the request to its first event."""
         self.longest_pause_s = 0.0
-        """Between two events."""
+        """Longest pause between two events, in seconds."""
         self.uncached_tokens_at_longest_pause = 0
-        """Prompt tokens that the engine had to read, by what this instance knew, when the longest
-        pause ended."""
+        """Prompt tokens waiting for prefill at the engine, as known to this instance, when the
+        longest pause ended."""
 
     def record_event(self, *, uncached_tokens: int, now: float) -> float | None:
-        """Note that an event has come; returns the pause before it, None for the first.
+        """Record that an event was received; return the pause before it, None for the first.
 
         Args:
-            unread_tokens: Prompt tokens that the engine has to read, by what is known.
-            now: The present time.
+            uncached_tokens: Prompt tokens known to be waiting for prefill at the engine.
+            now: The current time.
         """
         previous_event_at = self._last_event_at
         self._last_event_at = now
@@ -65,11 +65,11 @@
         return pause_s
 
     def classify_lateness(self, route: Route, *, took_s: float) -> Lateness | None:
-        """Return why an answer was late by its route; None if it was in time.
+        """Return why a response was late for its route; None if it was in time.
 
         Args:
-            route: What is promised.
-            took_s: From the request to the end of its answer.
+            route: The route, with its objective and longest pause.
+            took_s: Seconds from the request to the end of its response.
         """
         if self.first_event_s is None:
             return Lateness.ANSWER if took_s > route.objective_s else None
