--- a/tests/test_http_connection.py
+++ b/tests/test_http_connection.py
@@ -1,4 +1,4 @@
-"""Tests of a kept connection: what ends an answer, and what ends the connection."""
+"""Tests of a persistent connection: what ends a response, and what ends the connection."""
 
 from __future__ import annotations
 
@@ -13,7 +13,7 @@
 
 
 class HttpConnectionTest(unittest.IsolatedAsyncioTestCase):
-    """A connection over a transport that the test plays."""
+    """A connection over a mocked transport."""
 
     async def asyncSetUp(self) -> None:
         self.transport = mock.create_autospec(asyncio.Transport, instance=True)
@@ -22,7 +22,7 @@
         await self.connection.send("GET", "/", [("Host", "h")], b"")
 
     async def read_body(self) -> bytes:
-        """Return the body of the answer."""
+        """Return the body of the response."""
         await self.connection.read_head()
         body = b""
         while (chunk := await self.connection.read_chunk()) is not None:
--- a/tests/test_relay_exchange.py
+++ b/tests/test_relay_exchange.py
@@ -1,4 +1,4 @@
-"""Tests of what is checked between the choice of an endpoint and the send to it."""
+"""Tests of the checks between the selection of an endpoint and the send to it."""
 
 from __future__ import annotations
 
@@ -39,26 +39,26 @@
 
 
 class SlowPool(ConnectionPool):
-    """A pool from which a connection takes long to get."""
+    """A pool whose connections take long to acquire."""
 
     def __init__(self, world: World) -> None:
         super().__init__()
         self._world = world
         self.delay_s = 0.0
-        self.on_take: list[Callable[[], None]] = []
-        """What happens while the first connection is made, which alone takes long then."""
+        self.on_acquire: list[Callable[[], None]] = []
+        """Called while the first connection is acquired; then only that one is slow."""
 
     def acquire(self, endpoint_id: str, *, now: float) -> HttpConnection | None:
         self._world.now += self.delay_s
-        if self.on_take:
+        if self.on_acquire:
             self.delay_s = 0.0
-        while self.on_take:
-            self.on_take.pop(0)()
+        while self.on_acquire:
+            self.on_acquire.pop(0)()
         return super().acquire(endpoint_id, now=now)
 
 
 class ExchangeTest(unittest.IsolatedAsyncioTestCase):
-    """A request leaves by what is in force at that moment, however long the way to the send."""
+    """A request is sent by the current configuration, however long the send is delayed."""
 
     async def asyncSetUp(self) -> None:
         self.world = World()
@@ -91,7 +91,7 @@
         )
 
     async def run_attempt(self) -> RequestProgress:
-        """Admit a request and make one attempt."""
+        """Admit a request and run one attempt."""
         admitted = await self.world.admit()
         assert isinstance(admitted, Admitted)
         headers = (("Host", "portal.example"), ("X-Attempt-Id", "r1"))
@@ -105,7 +105,7 @@
         return progress
 
     def make_placer(self) -> OwnPlacer:
-        """Return what places requests by what the instance knows."""
+        """Return a placer that uses this instance's own data."""
         return OwnPlacer(
             knowledge=self.world.knowledge,
             chooser=EndpointChooser(
@@ -121,7 +121,7 @@
         )
 
     async def relay(self) -> mock.Mock:
-        """Relay a request; returns where its answer went."""
+        """Relay a request; return the writer that received its response."""
         relayer = Relayer(
             knowledge=self.world.knowledge,
             admission=self.world.admission,
@@ -142,18 +142,18 @@
         return writer
 
     async def test_a_request_that_was_held_up_goes_by_the_new_route(self) -> None:
-        """A call that is not sent by old knowledge is answered all the same.
+        """Guards against a request failing because its data went stale before the send.
 
-        While its connection is made, the route moves to another service and the bound passes. The
-        request is decided anew, and runs at the service that has the route now.
+        While its connection is acquired, the route moves to another service and the staleness bound
+        passes. The request is admitted again and runs at the route's new service.
         """
         self.world.replace_routes(make_route(timeout_s=30.0))
         annex = EngineStandIn(engine_id="z")
         port = await annex.listen()
         self.addAsyncCleanup(annex.stop)
         moved = make_endpoint("z", service="annex", port=port)
-        self.pool.on_take.append(self.world.move_route)
-        self.pool.on_take.append(lambda: self.world.change_endpoints(self.record, moved))
+        self.pool.on_acquire.append(self.world.move_route)
+        self.pool.on_acquire.append(lambda: self.world.change_endpoints(self.record, moved))
         self.pool.delay_s = 1.7
         writer = await self.relay()
         self.assertEqual(writer.send.call_args.args[0], 200)
@@ -162,7 +162,7 @@
     async def test_a_request_whose_route_is_gone_by_then_is_refused_as_not_run(self) -> None:
         self.world.replace_routes(make_route(timeout_s=30.0))
         other = make_route(path_prefix="/other/")
-        self.pool.on_take.append(lambda: self.world.replace_routes(other))
+        self.pool.on_acquire.append(lambda: self.world.replace_routes(other))
         self.pool.delay_s = 1.7
         writer = await self.relay()
         self.assertEqual(writer.send.call_args.args[0], 404)
@@ -173,10 +173,10 @@
         self.assertEqual(len(self.engine.runs), 1)
 
     async def test_a_request_held_up_on_its_way_is_not_sent_by_old_knowledge(self) -> None:
-        """A call does not reach an endpoint by a choice that was made too long ago.
+        """Guards against a send to an endpoint that was selected too long ago.
 
-        It is chosen in time, then the connection takes longer than the bound, in which the
-        endpoint may have left. No byte is sent, and the request is decided anew.
+        Acquiring the connection takes longer than the staleness bound, in which the endpoint may
+        have left. No byte is sent, and the failure allows another admission.
         """
         for delay_s in (1.7, 3.0):
             self.pool.delay_s = delay_s
--- a/tests/test_relay_stream_timing.py
+++ b/tests/test_relay_stream_timing.py
@@ -1,4 +1,4 @@
-"""Tests of what is noted of a stream's events: when they came and whether that was late."""
+"""Tests of a stream's recorded event times and of its lateness."""
 
 from __future__ import annotations
 
@@ -10,7 +10,7 @@
 
 
 class StreamTimingTest(unittest.TestCase):
-    """A stream is late by its first event or by its longest pause, whichever endpoint sent it."""
+    """A stream is late by its first event or its longest pause, from whichever endpoint."""
 
     def setUp(self) -> None:
         self.route = make_route(kind=RouteKind.STREAM, objective_s=0.25, longest_pause_s=0.12)
