--- a/src/guavamast/relay/counters.py
+++ b/src/guavamast/relay/counters.py
@@ -1,6 +1,6 @@
-"""Counters and latency histograms, shown as text in the Prometheus exposition format.
+"""Counters, gauges and latency histograms in the Prometheus text exposition format.
 
-A client library was weighed: its import takes 2.8 MB in each process, as much as this instance's
+A client library is not used: importing it takes 2.8 MB in each process, as much as this instance's
 connections.
 """
 
@@ -10,7 +10,7 @@
 from typing import Final
 
 LATENCY_BOUNDS_S: Final = (0.005, 0.01, 0.025, 0.05, 0.1, 0.2, 0.3, 0.4, 0.8, 1.5, 3.0, 6.0, 15.0)
-"""Seconds up to which each bucket counts; they include the usual objectives."""
+"""Seconds at the upper bound of each bucket; they include the usual objectives."""
 
 
 class _Histogram:
@@ -24,29 +24,29 @@
 class Counters:
     """All metrics of a process by name and labels."""
 
-    __slots__ = ("_counts", "_histograms")
+    __slots__ = ("_values", "_histograms")
 
     def __init__(self) -> None:
-        self._counts: dict[str, float] = {}
+        self._values: dict[str, float] = {}
         self._histograms: dict[str, _Histogram] = {}
 
     def add(self, name: str, amount: float = 1.0) -> None:
         """Add to a counter; labels are part of the name, as in ``sends_total{kind="x"}``."""
-        self._counts[name] = self._counts.get(name, 0.0) + amount
+        self._values[name] = self._values.get(name, 0.0) + amount
 
     def set(self, name: str, value: float) -> None:
         """Set a gauge."""
-        self._counts[name] = value
+        self._values[name] = value
 
     def observe(self, name: str, seconds: float) -> None:
-        """Count a duration in a histogram."""
+        """Add a duration to a histogram."""
         histogram = self._histograms.setdefault(name, _Histogram())
         histogram.buckets[bisect_left(LATENCY_BOUNDS_S, seconds)] += 1
         histogram.total += seconds
 
     def render(self) -> str:
-        """Return all metrics as text."""
-        lines = [f"guavamast_{name} {value:g}" for name, value in sorted(self._counts.items())]
+        """Return all metrics in the exposition format."""
+        lines = [f"guavamast_{name} {value:g}" for name, value in sorted(self._values.items())]
         for name, histogram in sorted(self._histograms.items()):
             lines.extend(_render_histogram(f"guavamast_{name}", histogram))
         return "\n".join(lines) + "\n"
--- a/src/guavamast/relay/event_framing.py
+++ b/src/guavamast/relay/event_framing.py
@@ -1,4 +1,4 @@
-"""Cuts a stream of server-sent events into whole events, so that none is passed on in part."""
+"""Splits a stream of server-sent events into whole events, so that none is forwarded in part."""
 
 from __future__ import annotations
 
@@ -7,22 +7,22 @@
 from typing import Final
 
 MAX_EVENT_BYTES: Final = 1_048_576
-"""Bytes beyond which an event is none."""
+"""Bytes of an incomplete event beyond which the stream is invalid."""
 
-_END: Final = re.compile(rb"\r?\n\r?\n")
-_ID: Final = re.compile(rb"^id: ?([^\r\n]*)", re.MULTILINE)
+_EVENT_END: Final = re.compile(rb"\r?\n\r?\n")
+_EVENT_ID: Final = re.compile(rb"^id: ?([^\r\n]*)", re.MULTILINE)
 
 
 @dataclass(frozen=True, slots=True, kw_only=True)
 class StreamEvent:
-    """One whole event with the blank line that ends it."""
+    """One complete event, including the blank line that ends it."""
 
     data: bytes
     event_id: str | None
 
 
 class EventFraming:
-    """Collects bytes and returns the events that are whole."""
+    """Buffers bytes and returns complete events."""
 
     __slots__ = ("_pending",)
 
@@ -30,8 +30,8 @@
         self._pending = bytearray()
 
     @property
-    def partial(self) -> bool:
-        """Whether an event has begun that is not whole yet."""
+    def has_partial_event(self) -> bool:
+        """Whether the buffer holds an incomplete event."""
         return bool(self._pending)
 
     def feed(self, chunk: bytes) -> list[StreamEvent]:
@@ -39,19 +39,19 @@
         self._pending += chunk
         events = []
         start = 0
-        for match in _END.finditer(self._pending):
+        for match in _EVENT_END.finditer(self._pending):
             data = bytes(self._pending[start : match.end()])
-            found = _ID.search(data)
-            event_id = found.group(1).decode("latin-1") if found else None
+            id_match = _EVENT_ID.search(data)
+            event_id = id_match.group(1).decode("latin-1") if id_match else None
             events.append(StreamEvent(data=data, event_id=event_id))
             start = match.end()
         del self._pending[:start]
         if len(self._pending) > MAX_EVENT_BYTES:
-            raise ValueError("event too large")
+            raise ValueError("event exceeds the size limit")
         return events
 
     def take_rest(self) -> bytes:
-        """Return and forget the bytes after the last whole event."""
+        """Return and clear the bytes after the last complete event."""
         rest = bytes(self._pending)
         self._pending.clear()
         return rest
