--- a/src/guavamast/relay/caller_admission.py
+++ b/src/guavamast/relay/caller_admission.py
@@ -1,4 +1,4 @@
-"""Whether what is known is recent enough for a request, when it comes and when it is sent."""
+"""Checks that the tables are fresh enough for a request, on arrival and before each send."""
 
 from __future__ import annotations
 
@@ -19,22 +19,23 @@
     from guavamast.relay.store_reader import SharedRead, StoreReader
 
 MAX_READ_WAIT_S: Final = 1.0
-"""Seconds for which a request waits for reads of the store: another instance may answer sooner."""
+"""Longest time in seconds that a request waits for reads of the store: another instance may answer
+sooner."""
 
 
 class CallerAdmission:
-    """Admits requests by recent knowledge, and checks it again as each is sent.
+    """Admits requests by fresh tables, and checks their age again before each send.
 
-    Failure: news is lost on the way or taken late by a slow instance, which sends requests by a
-    route that was moved or to an endpoint that left seconds ago. Ages are bounded at the moment of
-    use, not by how often news is expected: what is too old is read first, and the caller is sent
-    back if that takes too long. Only while the store gives no answers is old knowledge used, as the
-    store's outage must not end the service; keys have a bound that holds even then.
+    If updates are lost or applied late, a slow instance would use a route that was moved or an
+    endpoint that left seconds ago. Ages are therefore checked at the moment of use, independent of
+    the update interval: a table that is too old is read first, and the request is rejected with a
+    retry delay if that takes too long. Old tables are used only while the store does not answer, as
+    a store outage must not end the service; the bound on keys holds even then.
 
     Args:
         gate: Decides on routes and keys.
-        bounds: The greatest ages.
-        knowledge: Configuration and endpoints.
+        bounds: Maximum ages of the tables.
+        knowledge: Configuration and endpoint table.
         reader: Reads the store.
         read_time: The local clock.
     """
@@ -57,7 +58,7 @@
         self._read_time = read_time
 
     async def admit(self, request: CallerRequest, *, until: float) -> Admitted | Denied:
-        """Return where a request may go, or its answer.
+        """Return the admission of a request, or its rejection.
 
         Args:
             request: The request.
@@ -69,15 +70,15 @@
         return self._gate.decide(request, self._knowledge.catalog, age_s=age_s)
 
     def check_send(self, admitted: Admitted, record: EndpointRecord, *, now: float) -> None:
-        """Raise if a request must not be sent as it was decided.
+        """Raise if a request must no longer be sent as it was admitted.
 
-        Time passes between the decision and the send: a connection is made, or the process stands
-        still. What the request was decided by may have changed or grown too old meanwhile.
+        Time passes between admission and send: a connection is opened, or the process is paused.
+        The tables by which the request was admitted may have changed or become too old meanwhile.
 
         Args:
-            admitted: How the request was admitted.
-            record: The endpoint that was chosen.
-            now: The present time.
+            admitted: The admission of the request.
+            record: The chosen endpoint.
+            now: The current time.
 
         Raises:
             AttemptFailed: With ``OUTDATED``.
@@ -94,10 +95,10 @@
             raise AttemptFailed(FailureKind.OUTDATED, "old keys")
 
     async def _refresh(self, *, until: float) -> bool:
-        """Read what is too old; returns whether requests may be sent by what is known then.
+        """Read the tables that are too old; return whether requests may be sent afterwards.
 
-        Knowledge of any age will do once the store gives no answers. An instance that has just
-        started and knows nothing waits likewise; the gate tells its callers.
+        Tables of any age are accepted while the store does not answer. An instance that has just
+        started and has no tables waits in the same way; the gate rejects its requests.
         """
         until = min(until, self._read_time() + MAX_READ_WAIT_S)
         while True:
@@ -111,7 +112,7 @@
             await asyncio.wait(reads, timeout=until - now)
 
     def _list_stale_reads(self, now: float) -> list[SharedRead]:
-        """Return the reads of the tables that are known too long ago."""
+        """Return the reads of the tables that are too old."""
         stale = []
         if self._knowledge.compute_catalog_age(now=now) > self._bounds.catalog_s:
             stale.append(self._reader.catalog)
--- a/src/guavamast/relay/caller_gate.py
+++ b/src/guavamast/relay/caller_gate.py
@@ -1,4 +1,4 @@
-"""Whether a request may be relayed: its route, its key, and how fresh the configuration is."""
+"""Decides whether to relay a request, by its route, its key and the configuration's age."""
 
 from __future__ import annotations
 
@@ -11,7 +11,7 @@
     from guavamast.relay.staleness import StalenessBounds
 
 STALE_RETRY_S: Final = 0.3
-"""Seconds until a caller comes back to an instance that waits for the store."""
+"""Seconds after which a caller retries at an instance that waits for the store."""
 
 
 @dataclass(frozen=True, slots=True, kw_only=True)
@@ -19,16 +19,16 @@
     """A request that may go to an endpoint of its route."""
 
     catalog: Catalog
-    """The configuration by which it was admitted."""
+    """The configuration that it was admitted by."""
     route: Route
     organisation: CallerOrganisation | None
     urgency: int
-    """What engines are told, 0 for what they should serve first."""
+    """Urgency sent to engines; 0 is the most urgent."""
 
 
 @dataclass(frozen=True, slots=True, kw_only=True)
 class Denied:
-    """A request that is answered here."""
+    """A request that this instance rejects."""
 
     status: int
     reason: str
@@ -38,15 +38,15 @@
 class CallerGate:
     """Decides on each request by the configuration and its age.
 
-    Failure: an instance is cut off from the store, an operator takes a key away, and the instance
-    goes on accepting it. Each request with a key is checked against the age of the last proof that
-    the configuration is the newest, by a clock that counts suspended time too.
+    Without an age check, an instance that is partitioned from the store would keep accepting a
+    revoked key. Each request with a key is checked against the age of the configuration's newest
+    freshness stamp, by a clock that counts suspended time too.
 
-    A request is called unknown or unauthorised only by a configuration that is within its bound, as
-    a caller does not ask again after such an answer.
+    A request gets 404 or 401 only by a configuration that is within its bound, as a caller does not
+    retry after such a response.
 
     Args:
-        bounds: The greatest ages of what is known.
+        bounds: Maximum ages of the tables.
     """
 
     __slots__ = ("_bounds",)
@@ -57,12 +57,12 @@
     def decide(
         self, request: CallerRequest, catalog: Catalog | None, *, age_s: float
     ) -> Admitted | Denied:
-        """Return where the request may go, or its answer.
+        """Return the admission of a request, or its rejection.
 
         Args:
             request: The request.
-            catalog: The configuration; None before the first.
-            age_s: Seconds since the configuration was proved to be the newest.
+            catalog: The configuration; None before the first read.
+            age_s: Seconds since the configuration was known to be the newest.
         """
         if catalog is None:
             return reject_for_retry("no configuration yet")
@@ -90,5 +90,5 @@
 
 
 def reject_for_retry(reason: str) -> Denied:
-    """Return the answer to a request that is to come back, as nothing sure is known here now."""
+    """Return a 503 rejection with a retry delay, as this instance has no fresh tables."""
     return Denied(status=503, reason=reason, retry_after_s=STALE_RETRY_S)
--- a/src/guavamast/relay/catalog.py
+++ b/src/guavamast/relay/catalog.py
@@ -1,4 +1,4 @@
-"""What operators configure for relaying: routes, organisations with their keys, and limits."""
+"""The operators' configuration for relaying: routes, organisations with their keys, limits."""
 
 from __future__ import annotations
 
@@ -11,16 +11,16 @@
     from collections.abc import Callable
 
 URGENCY_DEFAULT: Final = 5
-"""Rank of work whose route and organisation state none; in the middle of what engines know."""
+"""Urgency of requests whose route and organisation set none; the middle of the engines' range."""
 LEAST_URGENT: Final = 9
-"""Rank of the least urgent work that engines know."""
+"""Lowest urgency that engines support."""
 IDLE_MARGIN_S: Final = 1.0
-"""Seconds added to the idle time that callers may use: far above a message's way and a pause of
-either side."""
+"""Seconds added to the idle timeout of callers: far longer than a message's transit time plus a
+pause of either process."""
 
 
 class RouteKind(StrEnum):
-    """Whether the work behind a route may be repeated, and the form of its answers."""
+    """Whether requests of a route may be retried, and whether the response is a stream."""
 
     IDEMPOTENT = "idempotent"
     NON_IDEMPOTENT = "non_idempotent"
@@ -37,7 +37,7 @@
 
 @dataclass(frozen=True, slots=True, kw_only=True)
 class Route:
-    """Where requests of one host and path prefix go, and what is promised for them."""
+    """The services and service objectives for requests of one host and path prefix."""
 
     name: str
     host: str
@@ -45,25 +45,25 @@
     kind: RouteKind
     services: tuple[WeightedService, ...]
     timeout_s: float
-    """Longest time that a caller is kept waiting."""
+    """Longest time that a caller waits."""
     objective_s: float
-    """Time to the answer, for streams to the first event, that earns full credit."""
+    """Latency objective in seconds: time to the response, for streams to the first event."""
     longest_pause_s: float | None
-    """Longest pause between the events of a stream that is still on time."""
+    """Longest pause between two events with which a stream is still on time."""
     max_endpoints: int
     """Endpoints to which one request may be sent, 1 or more."""
     urgency: int
-    """0 is served first."""
+    """0 is the most urgent."""
     needs_key: bool
     resumable: bool
 
     @property
     def repeatable(self) -> bool:
-        """Whether a request that may have run may be sent again from its start."""
+        """Whether a request that may have run may be retried from its start."""
         return self.kind is RouteKind.IDEMPOTENT or self.resumable
 
     def pick_service(self, request_id: str) -> str:
-        """Return the service of a request; the same for the same id on every instance."""
+        """Return the service of a request; every instance returns the same for the same id."""
         if len(self.services) == 1:
             return self.services[0].service
         total = sum(entry.weight for entry in self.services)
@@ -78,28 +78,28 @@
 
 @dataclass(frozen=True, slots=True, kw_only=True)
 class CallerOrganisation:
-    """An organisation whose callers are known by their keys."""
+    """An organisation whose callers authenticate with API keys."""
 
     name: str
     urgency: int | None
-    """Goes before the route's urgency when given."""
+    """Overrides the route's urgency if set."""
 
 
 @dataclass(frozen=True, slots=True, kw_only=True)
 class ServiceRule:
-    """What holds for all endpoints of one service."""
+    """Settings of all endpoints of one service."""
 
     name: str
     health_path: str
     max_connections: int
     """Connections that one endpoint accepts from all callers together."""
     prompt_cache_tokens: int | None
-    """Tokens that fit into the memory of one model engine; None for plain services."""
+    """KV cache capacity of one engine; None for services that run no model."""
 
 
 @dataclass(frozen=True, slots=True, kw_only=True)
 class CallerLimits:
-    """Bounds on what a caller may send and how long it may take."""
+    """Size limits and timeouts for callers' requests."""
 
     header_bytes: int
     body_bytes: int
@@ -110,9 +110,9 @@
     def close_idle_after_s(self) -> float:
         """Idle time after which an instance closes a caller's connection.
 
-        Failure: a caller sends its next request just as the limit is reached, the request crosses
-        the close on its way, and the caller sees a reset instead of an answer. The margin lets
-        whatever was sent within the limit arrive before the close.
+        Without the margin, a request that is sent just before the timeout crosses the close and
+        the caller gets a reset instead of a response. The margin lets everything that was sent
+        within the timeout arrive before the close.
         """
         return self.idle_timeout_s + IDLE_MARGIN_S
 
@@ -121,12 +121,12 @@
     """One version of the operators' configuration, indexed for look-up.
 
     Args:
-        version: The operators' number of this version.
-        row_version: The store's number of the row; grows with each change.
+        version: Version number set by the operators.
+        row_version: Version of the row in the store; increases with each change.
         routes: All routes.
         services: All services.
         organisations: Organisations by their keys; None when callers need no keys.
-        limits: Bounds on what callers send.
+        limits: Limits on callers' requests.
     """
 
     __slots__ = (
@@ -170,7 +170,7 @@
         )
 
     def find_route(self, host: str, path: str) -> Route | None:
-        """Return the route of the host whose prefix is the longest that begins the path.
+        """Return the route of the host with the longest prefix of the path.
 
         Args:
             host: The request's host, with or without a port.
@@ -188,24 +188,24 @@
         return None
 
     def find_urgency(self, route: Route, organisation: CallerOrganisation | None) -> int:
-        """Return the urgency that engines are told, 0 for what they should serve first.
+        """Return the urgency to send to engines; 0 is the most urgent.
 
-        The organisation's urgency decides where it has one; among equals the route's does, so that
-        an engine that is short of memory stops a long summary rather than a short answer.
+        The organisation's urgency takes precedence if set; the route's urgency breaks ties, so that
+        an engine that is short of KV cache preempts a long summary rather than a short response.
         """
         urgency = _resolve_urgency(route, organisation)
         return self._urgencies.get((urgency, route.urgency), min(LEAST_URGENT, urgency))
 
     def find_shortest_objective(self, service: str) -> float:
-        """Return the seconds in which the most urgent streams of a service are due."""
+        """Return the shortest latency objective, in seconds, of the streams of a service."""
         return self._shortest_objectives.get(service, float("inf"))
 
     def is_first(self, route: Route, service: str) -> bool:
-        """Return whether no stream of a service goes before those of a route."""
+        """Return whether no stream of a service is more urgent than those of a route."""
         return route.urgency <= self._least_urgencies.get(service, float("inf"))
 
     def find_shortest_pause(self, service: str) -> float:
-        """Return the shortest of the longest pauses that the streams of a service may have."""
+        """Return the smallest pause limit, in seconds, among the streams of a service."""
         return self._shortest_pauses.get(service, float("inf"))
 
     def find_organisation(self, key: str | None) -> CallerOrganisation | None:
@@ -218,7 +218,7 @@
 def _find_minimum_by_service(
     routes: list[Route], read_value: Callable[[Route], float | None]
 ) -> dict[str, float]:
-    """Return the least of the values that streams have, by service."""
+    """Return the minimum of a value over the stream routes of each service."""
     least: dict[str, float] = {}
     for route in routes:
         value = read_value(route)
@@ -238,9 +238,9 @@
 def _rank_urgencies(
     routes: list[Route], organisations: dict[str, CallerOrganisation] | None
 ) -> dict[tuple[int, int], int]:
-    """Return the rank of each pair of a request's and its route's urgency.
+    """Return the rank of each pair of effective urgency and route urgency.
 
-    Empty if there are more pairs than engines know urgencies.
+    Empty if there are more pairs than urgencies that engines support.
     """
     holders: list[CallerOrganisation | None] = [None, *(organisations or {}).values()]
     pairs = {
--- a/src/guavamast/relay/endpoint_table.py
+++ b/src/guavamast/relay/endpoint_table.py
@@ -1,4 +1,4 @@
-"""The endpoints that the store lists, and which of them may get requests."""
+"""The endpoints that the store lists, and which of them may receive requests."""
 
 from __future__ import annotations
 
@@ -12,25 +12,25 @@
 
 @dataclass(frozen=True, slots=True, kw_only=True)
 class EndpointRecord:
-    """What one endpoint says of itself in the store."""
+    """The record that an endpoint keeps of itself in the store."""
 
     endpoint_id: str
     row_version: int
-    """The store's number of the row; grows with each change."""
+    """Version of the row in the store; increases with each change."""
     service: str
     host: str
     port: int
     failure_domain: str
     slots: int
-    """Requests that run at the same time."""
+    """Requests that may run concurrently."""
     ready: bool
-    """Whether the state is known and is not that of leaving."""
+    """Whether the state is known and is not leaving."""
     born_ms: int | None
-    """Start of this incarnation, Unix milliseconds, if stated."""
+    """Start time of this incarnation in Unix milliseconds, if stated."""
 
 
 def compute_digest(versions: Iterable[tuple[str, int]]) -> str:
-    """Return a short name of a table's content from the keys and versions of its rows."""
+    """Return a digest of a table's content, computed from the keys and versions of its rows."""
     digest = blake2b(digest_size=8)
     for key, version in sorted(versions):
         digest.update(f"{key}\x00{version}\x00".encode())
@@ -38,14 +38,14 @@
 
 
 class EndpointTable:
-    """The endpoints as the store last listed them.
+    """The endpoints of the latest snapshot of the store's table.
 
-    A listing replaces the one before it. Endpoints missing from it are gone at once, unless the
-    store has just come back from an outage.
+    Each snapshot replaces the previous one. Endpoints missing from it are dropped at once, unless
+    the store has just recovered from an outage.
 
-    Failure: the store is away, the entries of healthy endpoints lapse, and the first listing after
-    its return names none; all requests would be refused. Missing endpoints that were ready stay in
-    use until the time within which they write themselves again is over.
+    During a store outage the entries of healthy endpoints expire, and the first snapshot after it
+    lists none, so all requests would be rejected. Missing endpoints that were ready therefore stay
+    in use until the time in which they register again is over.
     """
 
     __slots__ = ("_lapsed", "_records", "digest", "revision")
@@ -54,17 +54,17 @@
         self._records: dict[str, EndpointRecord] = {}
         self._lapsed: set[str] = set()
         self.digest = ""
-        """Name of the listing in force; empty before the first."""
+        """Digest of the current snapshot; empty before the first."""
         self.revision = 0
-        """Counts up with each listing that is taken."""
+        """Number of snapshots applied so far."""
 
     def apply(self, records: list[EndpointRecord], *, digest: str, returning: bool) -> None:
-        """Take a listing.
+        """Apply a snapshot.
 
         Args:
-            records: All rows that could be read.
-            digest: Name of the listing, unreadable rows included.
-            returning: Whether missing entries may be on their way back after an outage.
+            records: All rows that could be parsed.
+            digest: Digest of the snapshot, including rows that could not be parsed.
+            returning: Whether missing endpoints may still register again after an outage.
         """
         listed = {record.endpoint_id: record for record in records}
         self._lapsed = set()
@@ -79,7 +79,7 @@
 
     @property
     def has_lapsed(self) -> bool:
-        """Whether endpoints are in use that the last listing does not name."""
+        """Whether endpoints are in use that the latest snapshot does not list."""
         return bool(self._lapsed)
 
     def find(self, endpoint_id: str) -> EndpointRecord | None:
@@ -87,7 +87,7 @@
         return self._records.get(endpoint_id)
 
     def list_ready(self, service: str) -> list[EndpointRecord]:
-        """Return the endpoints of a service that may get new requests."""
+        """Return the endpoints of a service that may receive new requests."""
         return [
             record
             for record in self._records.values()
--- a/src/guavamast/relay/fleet_knowledge.py
+++ b/src/guavamast/relay/fleet_knowledge.py
@@ -1,4 +1,4 @@
-"""All that an instance knows of the fleet, and how fresh it is."""
+"""An instance's view of the fleet, and how fresh it is."""
 
 from __future__ import annotations
 
@@ -17,19 +17,19 @@
 
 @dataclass(frozen=True, slots=True, kw_only=True)
 class RoundedAges:
-    """How old what is known is, as logs and metrics show it."""
+    """Ages of the configuration and the endpoint table, rounded for logs and metrics."""
 
     config_s: float
     endpoints_s: float
 
 
 class FleetKnowledge:
-    """Configuration, endpoints and other instances, each with the proof of its age.
+    """Configuration, endpoints and other instances, with the freshness stamps of the tables.
 
     Args:
-        failure_domain: Where this instance runs.
+        failure_domain: Failure domain of this instance.
         peers: The other instances.
-        clock: Places the store's clock on the local one.
+        clock: Maps store time to local time.
     """
 
     __slots__ = (
@@ -49,12 +49,12 @@
         self.failure_domain = failure_domain
         self.peers = peers
         self.catalog: Catalog | None = None
-        """The configuration in force here."""
+        """The configuration that this instance applies."""
         self.endpoints = EndpointTable()
         self.newer_catalog_known = False
         """Whether another instance has a newer configuration."""
         self.newer_endpoints_known = False
-        """Whether another instance has read a later table of endpoints that differs."""
+        """Whether another instance has a later endpoint table that differs."""
         self._catalog_freshness = Freshness(clock=clock)
         self._endpoint_freshness = Freshness(clock=clock)
         self._received_catalog_stamp: Proof | None = None
@@ -62,44 +62,44 @@
 
     @property
     def catalog_version(self) -> int | None:
-        """The operators' number of the configuration in force here."""
+        """The operators' version number of the current configuration."""
         return self.catalog.version if self.catalog else None
 
     @property
     def catalog_stamp(self) -> Proof | None:
-        """The newest proof that the configuration is in force."""
+        """The newest freshness stamp of the current configuration."""
         return self._catalog_freshness.stamp
 
     @property
     def endpoint_stamp(self) -> Proof | None:
-        """The newest proof that the table of endpoints is the store's."""
+        """The newest freshness stamp of the current endpoint table."""
         return self._endpoint_freshness.stamp
 
     @property
     def heard_catalog_proof(self) -> Proof | None:
-        """The newest proof of a configuration, the one in force here or another's."""
+        """The newest freshness stamp of any configuration, current here or at another instance."""
         return _pick_newer(self._received_catalog_stamp, self.catalog_stamp)
 
     @property
     def heard_endpoint_proof(self) -> Proof | None:
-        """The newest proof of a table of endpoints, the one in force here or another's."""
+        """The newest freshness stamp of any endpoint table, current here or at another instance."""
         return _pick_newer(self._received_endpoint_stamp, self.endpoint_stamp)
 
     @property
     def must_relist(self) -> bool:
-        """Whether endpoints are still used for which the time to come back is over."""
+        """Whether unlisted endpoints are still in use after the time to register again is over."""
         return self.endpoints.has_lapsed and not self._endpoint_freshness.is_recovering()
 
     def compute_catalog_age(self, *, now: float) -> float:
-        """Return an upper bound of the seconds since the configuration was the newest."""
+        """Return an upper bound on the seconds since the configuration was the store's newest."""
         return self._catalog_freshness.compute_age(now=now)
 
     def compute_endpoints_age(self, *, now: float) -> float:
-        """Return an upper bound of the seconds since the table of endpoints was the store's."""
+        """Return an upper bound on the seconds since the endpoint table was the store's newest."""
         return self._endpoint_freshness.compute_age(now=now)
 
     def show_ages(self, *, now: float) -> RoundedAges:
-        """Return both ages as logs and metrics show them."""
+        """Return both ages, rounded for logs and metrics."""
         return RoundedAges(
             config_s=round_age(self.compute_catalog_age(now=now)),
             endpoints_s=round_age(self.compute_endpoints_age(now=now)),
@@ -110,28 +110,28 @@
         return self.peers.count_known()
 
     def find_service(self, name: str) -> ServiceRule | None:
-        """Return the rule of a service."""
+        """Return the settings of a service."""
         return self.catalog.services.get(name) if self.catalog else None
 
     def find_memory(self, service_name: str) -> int:
-        """Return the tokens that fit into an engine of a service; 0 for plain services."""
+        """Return the KV cache capacity of a service's engines in tokens; 0 if it runs no model."""
         service = self.find_service(service_name)
         return (service.prompt_cache_tokens or 0) if service is not None else 0
 
     def find_shortest_objective(self, service_name: str) -> float:
-        """Return the seconds in which the most urgent streams of a service are due."""
+        """Return the shortest latency objective, in seconds, of the streams of a service."""
         return self.catalog.find_shortest_objective(service_name) if self.catalog else float("inf")
 
     def is_first(self, route: Route, service_name: str) -> bool:
-        """Return whether no stream of a service goes before those of a route."""
+        """Return whether no stream of a service is more urgent than those of a route."""
         return self.catalog is not None and self.catalog.is_first(route, service_name)
 
     def find_shortest_pause(self, service_name: str) -> float:
-        """Return the shortest of the longest pauses that the streams of a service may have."""
+        """Return the smallest pause limit, in seconds, among the streams of a service."""
         return self.catalog.find_shortest_pause(service_name) if self.catalog else float("inf")
 
     def take_catalog(self, snapshot: CatalogReading) -> bool:
-        """Take a reading of the configuration; returns whether it brought a new version."""
+        """Apply a snapshot of the configuration; return whether it has a new version."""
         catalog = snapshot.catalog
         if catalog is None:
             return False
@@ -147,7 +147,7 @@
         return changed
 
     def take_endpoints(self, snapshot: EndpointReading) -> bool:
-        """Take a reading of the table of endpoints; returns whether it differs."""
+        """Apply a snapshot of the endpoint table; return whether it differs."""
         stamp = self._endpoint_freshness.stamp
         if stamp is not None and snapshot.reading < stamp.reading:
             return False
@@ -160,15 +160,15 @@
         return changed
 
     def record_failed_endpoint_read(self) -> None:
-        """Note that a read of the table of endpoints failed."""
+        """Record that a read of the endpoint table failed."""
         self._endpoint_freshness.record_failure()
 
     def take_proofs(self, *, catalog: Proof | None, endpoints: Proof | None) -> None:
-        """Extend proofs by another instance's word, or note that it knows something newer.
+        """Apply another instance's freshness stamps, or record that it has a newer table.
 
         Args:
-            catalog: Its proof of the configuration.
-            endpoints: Its proof of the table of endpoints.
+            catalog: Its freshness stamp of the configuration.
+            endpoints: Its freshness stamp of the endpoint table.
         """
         self._received_catalog_stamp = _pick_newer(self._received_catalog_stamp, catalog)
         self._received_endpoint_stamp = _pick_newer(self._received_endpoint_stamp, endpoints)
--- a/src/guavamast/relay/housekeeper.py
+++ b/src/guavamast/relay/housekeeper.py
@@ -1,4 +1,4 @@
-"""Drops what is over: old connections, endpoints and instances that are gone, stale records."""
+"""Periodic cleanup: idle connections, state of gone endpoints and instances, stale records."""
 
 from __future__ import annotations
 
@@ -16,20 +16,20 @@
     from guavamast.relay.work_knowledge import WorkKnowledge
 
 CLEANUP_INTERVAL_S: Final = 1.0
-"""Seconds between two rounds of housekeeping."""
+"""Seconds between two cleanup rounds."""
 
 
 class Housekeeper:
-    """Keeps what an instance remembers in bounds.
+    """Bounds the state that an instance keeps.
 
     Args:
         knowledge: Endpoints and other instances.
-        work: What is known of the work at them.
-        pool: Kept connections.
-        reader: Whether the store answers.
-        notes: Shows what has been learnt.
-        scheduling: What this instance schedules.
-        unregister: Drops an instance's record in the store.
+        work: State of the requests at them.
+        pool: Connection pool.
+        reader: Tells whether the store answers.
+        notes: Records the engine profiles.
+        scheduling: Scheduling state of this instance.
+        unregister: Removes an instance's record from the store.
         read_time: The local clock.
     """
 
@@ -66,7 +66,7 @@
         self._read_time = read_time
 
     async def run(self) -> None:
-        """Keep house until cancelled."""
+        """Clean up periodically until cancelled."""
         while True:
             await asyncio.sleep(CLEANUP_INTERVAL_S)
             now = self._read_time()
@@ -75,11 +75,12 @@
             self._record_profiles(now=now)
 
     async def _unregister_gone(self, *, now: float) -> None:
-        """Drop the records of instances that are gone for good.
+        """Remove the records of instances that are gone for good.
 
-        Failure: instances that are replaced without a word leave their records, and each new one
-        tells all of them of itself for a while. One instance, the first reader of the store, drops
-        them; an instance that was only cut off is told to all again by its next start.
+        An instance that ends without unregistering leaves its record, and each new instance sends
+        heartbeats to all recorded ones for a while. One instance, the first-ranked reader of the
+        store, removes these records; an instance that was only unreachable registers again at its
+        next start.
         """
         peers = self._knowledge.peers
         silent = peers.forget_silent(now=now)
--- a/src/guavamast/relay/node.py
+++ b/src/guavamast/relay/node.py
@@ -1,4 +1,4 @@
-"""One instance of the relay: entry, knowledge and beats in one process on one loop."""
+"""One instance of the relay: listeners, fleet state and heartbeats in one process and loop."""
 
 from __future__ import annotations
 
@@ -49,24 +49,25 @@
     from guavamast.relay.store import CatalogReading, EndpointReading, Store
 
 STANDARD_OUTPUT: Final = 1
-"""Descriptor of the log unless another is given."""
+"""Default file descriptor of the log."""
 ADDRESS_CACHE_FACTOR: Final = 3.0
-"""Factor on the validity of an answer with addresses: some callers keep it so long."""
+"""Longest caching of an address response by some callers, as a multiple of its validity."""
 LEAVE_MARGIN_S: Final = 0.5
-"""Seconds added to the time for which callers may still come: a beat and a caller's way."""
+"""Seconds added to the time in which callers may still connect: a heartbeat plus the transit of a
+request."""
 STOP_MARGIN_S: Final = 0.8
-"""Seconds before the platform would kill it in which the process ends."""
+"""The process ends this many seconds before the platform would kill it."""
 
 
 class Node:
     """Runs one instance.
 
     Args:
-        settings: Place, addresses and bounds.
+        settings: Location, addresses and time bounds.
         store: The platform's store.
-        codec: Names of the headers.
-        clock: Learns from the store's answers.
-        log_descriptor: Where log lines go.
+        codec: Header names.
+        clock: Updated from the store's answers.
+        log_descriptor: File descriptor of the log.
     """
 
     def __init__(
@@ -184,7 +185,7 @@
             log=self.log,
             counters=self.counters,
             read_time=read_boot_time,
-            announce=self._exchange.announce,
+            send_heartbeat=self._exchange.announce,
             publish_catalog=self._publish_catalog,
             publish_endpoints=self._publish_endpoints,
         )
@@ -206,7 +207,7 @@
             record=self.record,
             log=self.log,
             read_time=read_boot_time,
-            announce_to_all=self._exchange.announce_to_all,
+            broadcast_heartbeat=self._exchange.announce_to_all,
         )
 
     def _build_cleanup_loop(self) -> Housekeeper:
@@ -239,7 +240,7 @@
 
     @property
     def state(self) -> InstanceState:
-        """Whether callers may be sent here."""
+        """State of this instance; only a serving one is listed for callers."""
         if self._leaving:
             return InstanceState.LEAVING
         if self.knowledge.catalog is None or not self.knowledge.endpoints.digest:
@@ -248,12 +249,12 @@
         return InstanceState.STALE if age_s > self._bounds.keys_s else InstanceState.SERVING
 
     def list_serving(self) -> list[InstanceRecord]:
-        """Return the instances to which callers may be sent, this one included."""
+        """Return the instances that callers may connect to, including this one."""
         own = [self.record] if self.state is InstanceState.SERVING else []
         return own + self.peers.list_serving(now=read_boot_time())
 
     def list_fallback(self) -> list[InstanceRecord]:
-        """Return the instances to name when none is known to serve."""
+        """Return the instances to list if none is known to be serving."""
         live = self.peers.list_live(now=read_boot_time())
         return [self.record, *(peer.record for peer in live)]
 
@@ -264,7 +265,7 @@
         readiness: Question,
         metrics: Question,
     ) -> None:
-        """Serve until asked to stop."""
+        """Serve until SIGTERM."""
         settings = self.settings
         self._listener.listen(settings.callers.ip, settings.callers.port)
         listeners = self._open_listeners(directory, readiness, metrics)
@@ -311,7 +312,7 @@
         return listeners
 
     async def _leave(self) -> None:
-        """Serve on while callers may still come, then end when nothing is under way."""
+        """Keep serving while callers may still connect, then stop when no request is in flight."""
         requested_at = read_boot_time()
         self._leaving = True
         self._listener.close_after_answers()
@@ -328,19 +329,19 @@
         removing.cancel()
 
     async def _unregister(self, name: str) -> None:
-        """Drop an instance's record; one that stays is harmless."""
+        """Remove an instance's record; if that fails, the remaining record does no harm."""
         try:
             await self._store.remove_instance(name)
         except Exception as error:  # noqa: BLE001
             self.log.write("unregister_failed", now=read_boot_time(), who=name, reason=str(error))
 
     def _build_heartbeat(self) -> Beat:
-        """Return the next beat of this instance."""
+        """Return this instance's next heartbeat."""
         now = read_boot_time()
         self._apply_limits()
         self._sequence += 1
         interval_s = compute_beat_interval(self.peers.count_known())
-        # Where there are many, schedulers know all work, and nobody else needs to be told.
+        # In large fleets the schedulers track all requests; other instances need no such fields.
         scheduled = self.peers.relayed
         return Beat(
             record=self.record,
@@ -374,7 +375,7 @@
         self._scheduling.take(message, source)
 
     def _publish_catalog(self, snapshot: CatalogReading) -> None:
-        """Tell the others a configuration that this instance has read."""
+        """Send a configuration that this instance has read to the other instances."""
         assert snapshot.catalog is not None
         update = CatalogNews(
             domain=self.settings.failure_domain,
@@ -385,17 +386,17 @@
         self._exchange.tell_table(encode_catalog(update))
 
     def _publish_endpoints(self, snapshot: EndpointReading) -> None:
-        """Tell the others a table of endpoints that this instance has read."""
+        """Send an endpoint table that this instance has read to the other instances."""
         update = EndpointNews(domain=self.settings.failure_domain, reading=snapshot)
         self._exchange.tell_table(encode_endpoints(update))
 
     def _receive_catalog(self, update: CatalogNews, data: bytes) -> None:
-        """Take a configuration that another instance has read."""
+        """Apply and forward a configuration that another instance has read."""
         if self._reader.apply_catalog_update(update):
             self._exchange.forward_table(data, domain=update.domain)
 
     def _receive_endpoints(self, update: EndpointNews, data: bytes) -> None:
-        """Take a table of endpoints that another instance has read."""
+        """Apply and forward an endpoint table that another instance has read."""
         if self._reader.apply_endpoint_snapshot(update.reading, from_peer=True):
             self._exchange.forward_table(data, domain=update.domain)
 
@@ -410,7 +411,7 @@
         self._work.take_bundle(heartbeat)
 
     def _aggregate_profiles(self) -> dict[str, dict[str, ProfileEstimates]]:
-        """Return what the instances of each failure domain have seen of the engines."""
+        """Return the engine profiles, aggregated by failure domain."""
         own = self.settings.failure_domain
         now = read_boot_time()
         live = self.peers.list_live(now=now)
@@ -436,5 +437,5 @@
         )
 
     def _log_ignored_reload(self) -> None:
-        """Log that a changed settings file holds from the next start on."""
+        """Log that a changed settings file takes effect at the next start only."""
         self.log.write("reload_ignored", now=read_boot_time())
--- a/src/guavamast/relay/node_settings.py
+++ b/src/guavamast/relay/node_settings.py
@@ -1,4 +1,4 @@
-"""What one instance of the relay is told at its start."""
+"""Settings of one instance of the relay."""
 
 from __future__ import annotations
 
@@ -7,7 +7,7 @@
 
 @dataclass(frozen=True, slots=True, kw_only=True)
 class SocketAddress:
-    """Where a listener is bound or a server reached."""
+    """Address that a listener binds or a server listens on."""
 
     ip: str
     port: int
@@ -18,7 +18,7 @@
 
 @dataclass(frozen=True, slots=True, kw_only=True)
 class NodeSettings:
-    """Place, addresses and bounds of one instance."""
+    """Location, addresses and time bounds of one instance."""
 
     name: str
     ip: str
@@ -27,27 +27,27 @@
     callers: SocketAddress
     """Listener for callers' requests."""
     directory: SocketAddress | None
-    """Listener for callers that ask where to connect."""
+    """Listener for callers that look up instance addresses."""
     readiness: SocketAddress | None
-    """Listener for the platform's checks."""
+    """Listener for the platform's readiness checks."""
     metrics: SocketAddress
     peers: SocketAddress
-    """UDP socket for the beats of other instances."""
+    """UDP socket for heartbeats of other instances."""
     store: SocketAddress
     change_s: float
     """Time after which a changed configuration must be in force."""
     leaving_s: float
-    """Time after which an endpoint that leaves must get nothing more."""
+    """Time after which a leaving endpoint must receive nothing."""
     revocation_s: float
-    """Time after which a key that was taken away must not work."""
+    """Time after which a revoked key must not work."""
     grace_s: float
-    """Time from the request to stop until the process is killed."""
+    """Time from the stop signal until the platform kills the process."""
     repeat_ratio: float
-    """Repeats allowed for each request of a window."""
+    """Retries allowed per request in a window."""
     repeat_slack: float
-    """Repeats allowed in a window beyond the ratio, over all instances."""
+    """Retries allowed in a window beyond the ratio, over all instances."""
     repeat_window_s: float
     link_mbps: float = 0.0
-    """Width of the instance's link in Mbit/s; 0 if not stated."""
+    """Bandwidth of the instance's network link in Mbit/s; 0 if not stated."""
     processor_share: float = 0.0
-    """Cores that the process may use; 0 if not stated."""
+    """CPU cores that the process may use; 0 if not stated."""
--- a/src/guavamast/relay/read_schedule.py
+++ b/src/guavamast/relay/read_schedule.py
@@ -1,4 +1,4 @@
-"""When an instance reads the store: one instance reads, the others step in when it falls silent."""
+"""When an instance reads the store: one instance reads, and others take over if it stops."""
 
 from __future__ import annotations
 
@@ -9,52 +9,52 @@
     from random import Random
 
 READ_INTERVAL_S: Final = 0.6
-"""Seconds of age at which the first reader reads again; a change is in force everywhere after this,
-a beat and a read of the change."""
+"""Age in seconds at which the first-ranked reader reads again. A change is in force everywhere
+after this time plus a heartbeat and a read of the change."""
 OWN_READ_AGE_SHARE: Final = 0.65
-"""Share of the age at which requests are not sent any more: each instance reads for itself then, so
-that requests seldom wait for a read."""
+"""Share of the age bound for requests at which each instance reads for itself, so that requests
+seldom wait for a read."""
 TICK_S: Final = 0.05
-"""Seconds between two decisions whether to read, once a read may be due."""
+"""Seconds between two checks whether to read, once a read may be due."""
 STEP_IN_S: Final = 0.25
-"""Seconds by which each further reader steps in later; longer than a read takes and a beat
-travels."""
+"""Seconds by which each further rank reads later; longer than a read plus the transit time of a
+heartbeat."""
 NEWS_WAIT_S: Final = 0.06
-"""Seconds in which the news itself may come from the instance that has it, before it is read
-here."""
+"""Seconds to wait for an update from the instance that has it, before reading the store."""
 UPDATE_JITTER_PER_INSTANCE_S: Final = 0.004
-"""Seconds, for each instance, over which the reads of the same news are spread: whoever reads first
-tells the others within the next few."""
+"""Seconds of jitter per instance for reads of the same change: the first reader publishes it before
+most others read."""
 UPDATE_JITTER_MAX_SHARE: Final = 0.2
-"""Share of the age at which requests are not sent any more that this spread takes at most."""
+"""Upper limit of this jitter, as a share of the age bound for requests."""
 LAST_RANK: Final = 4
-"""Readers beyond this rank step in together, so that nobody waits long when many have gone."""
+"""Ranks from this one on read after the same delay, which bounds the wait when many readers have
+failed."""
 SPREAD_S: Final = 0.3
-"""Seconds over which the last ranks, and all instances that fetch the same news, are spread."""
+"""Seconds of jitter for the last ranks; a third of it is the minimum for reads of the same change."""
 BACKOFF_FIRST_S: Final = 0.3
-"""Seconds after the first read that fails until the next; doubled after each further."""
+"""Seconds until the retry after a first failed read; doubled after each further failure."""
 BACKOFF_MAX_S: Final = 1.2
-"""Seconds between reads that fail at most: several fit in before keys stop being accepted."""
+"""Longest delay in seconds between failed reads: several fit in before keys stop being accepted."""
 
 
 class ReadSchedule:
     """Decides when one table is read.
 
-    Failure: every instance asks the store all the time, and the store's calls grow with instances
-    times time. Proofs ride on the beats, so that one reader is enough; a reader that dies or is cut
-    off is replaced by the next rank within `STEP_IN_S`.
+    If every instance polled the store, its load would grow with the number of instances.
+    Heartbeats carry the freshness stamps, so one reader is enough; a reader that fails or is
+    partitioned is replaced by the next rank within `STEP_IN_S`.
 
-    Failure: all datagrams to an instance are lost, it waits for the ranks before it, and what it
-    knows gets too old. It reads for itself at a share of the bound, which no rank delays.
+    An instance that loses all datagrams would wait for the ranks before it while its tables get too
+    old. It therefore reads for itself at a share of the bound, whatever its rank.
 
-    Failure: a table changes every tenth of a second while all engines start, each of two hundred
-    instances reads each change, and the store gets a thousand calls a second. Reads of the same
-    news are spread the wider the more instances there are; the first tells the others.
+    While all engines start, a table changes every tenth of a second; if each of two hundred
+    instances read each change, the store would get a thousand calls a second. The jitter for reads
+    of the same change grows with the number of instances, and the first reader publishes it.
 
     Args:
-        random: Spreads the reads of instances.
-        bound_s: Age of the proof at which requests are not sent by it any more.
-        count_instances: Returns how many instances there are.
+        random: Source of jitter.
+        bound_s: Age of the table above which it must not be used for requests.
+        count_instances: Returns the number of instances.
     """
 
     __slots__ = (
@@ -82,9 +82,9 @@
         """Return whether to read now.
 
         Args:
-            age_s: Age of the newest proof.
-            rank: Instances that come before this one in reading.
-            news: Whether another instance is known to have something newer.
+            age_s: Age of the newest freshness stamp.
+            rank: Number of instances that read before this one.
+            news: Whether another instance is known to have a newer version.
             now: The present time.
         """
         if now < self._retry_at:
@@ -102,29 +102,29 @@
         return age_s >= due_s
 
     def compute_pause(self, *, age_s: float, has_update: bool) -> float:
-        """Return the seconds for which no read can become due unless news comes.
+        """Return the seconds in which no read can become due unless an update becomes known.
 
         Args:
-            age_s: Age of the newest proof.
-            news: Whether another instance is known to have something newer.
+            age_s: Age of the newest freshness stamp.
+            has_update: Whether another instance is known to have a newer version.
         """
         if has_update:
             return TICK_S
         return max(TICK_S, READ_INTERVAL_S - age_s)
 
     def _compute_update_jitter(self) -> float:
-        """Return the seconds over which the reads of the same news are spread."""
-        spread_s = max(SPREAD_S / 3, UPDATE_JITTER_PER_INSTANCE_S * self._count_instances())
-        return min(spread_s, UPDATE_JITTER_MAX_SHARE * self._bound_s)
+        """Return the largest jitter, in seconds, for reads of the same change."""
+        jitter_s = max(SPREAD_S / 3, UPDATE_JITTER_PER_INSTANCE_S * self._count_instances())
+        return min(jitter_s, UPDATE_JITTER_MAX_SHARE * self._bound_s)
 
     def record_success(self) -> None:
-        """Read at the usual times again."""
+        """Reset the backoff."""
         self._failures = 0
         self._retry_at = 0.0
         self._update_read_at = None
 
     def record_failure(self, *, now: float) -> None:
-        """Pause before the next read, longer after each failure."""
+        """Delay the next read, longer after each failure."""
         self._failures += 1
         pause = min(BACKOFF_MAX_S, BACKOFF_FIRST_S * 2 ** (self._failures - 1))
         self._retry_at = now + pause * (0.75 + 0.5 * self._random.random())
--- a/src/guavamast/relay/staleness.py
+++ b/src/guavamast/relay/staleness.py
@@ -1,26 +1,26 @@
-"""How old knowledge may be when a request is sent by it."""
+"""Bounds on the age of the tables that requests are sent by."""
 
 from __future__ import annotations
 
 from typing import Final
 
 SEND_MARGIN_S: Final = 0.4
-"""Seconds kept free of each bound for the way to the endpoint and a pause of the process."""
+"""Seconds subtracted from each bound for the transit to the endpoint and a pause of the process."""
 REVOCATION_MARGIN_S: Final = 0.7
-"""Seconds kept free of the bound on revoked keys; longer, as it holds for slow instances too."""
+"""Seconds subtracted from the bound on revoked keys; more, as it covers slow instances too."""
 MARGIN_SHARE: Final = 0.5
-"""Share of a short bound that a margin may take at most."""
+"""Largest share of a bound that a margin may take, so that short bounds keep some time."""
 
 
 class StalenessBounds:
-    """The greatest ages of configuration and endpoints at which requests are sent by them.
+    """The maximum ages of configuration and endpoint table for sending requests.
 
-    An age counts from the moment at which the store had no newer version, so a request that is sent
-    within these bounds is never handled by a version that should not be in force any more.
+    An age counts from the last moment at which the store is known to have had no newer version. A
+    request that is sent within these bounds never uses a version that must no longer be in force.
 
     Args:
         change_s: Time after which a changed configuration must be in force.
-        leaving_s: Time after which an endpoint that leaves must get nothing.
+        leaving_s: Time after which a leaving endpoint must receive nothing.
         revocation_s: Time after which a revoked key must not work.
     """
 
@@ -28,11 +28,11 @@
 
     def __init__(self, *, change_s: float, leaving_s: float, revocation_s: float) -> None:
         self.catalog_s = _subtract_margin(change_s, SEND_MARGIN_S)
-        """Age of the configuration, in seconds."""
+        """Maximum age of the configuration, in seconds."""
         self.endpoints_s = _subtract_margin(leaving_s, SEND_MARGIN_S)
-        """Age of the table of endpoints, in seconds."""
+        """Maximum age of the endpoint table, in seconds."""
         self.keys_s = _subtract_margin(revocation_s, REVOCATION_MARGIN_S)
-        """Age of the configuration at which its keys are accepted, even while the store is away."""
+        """Maximum age of the configuration for accepting its keys, also during a store outage."""
 
 
 def _subtract_margin(bound_s: float, margin_s: float) -> float:
--- a/src/guavamast/relay/store.py
+++ b/src/guavamast/relay/store.py
@@ -1,4 +1,4 @@
-"""What the relay needs of the platform's store, in its own words."""
+"""The interface through which the relay uses the platform's store."""
 
 from __future__ import annotations
 
@@ -12,7 +12,7 @@
 
 
 class StoreError(Exception):
-    """A call to the store had no usable answer.
+    """A call to the store that returned no usable answer.
 
     Args:
         reason: What happened.
@@ -25,19 +25,19 @@
 
 @dataclass(frozen=True, slots=True, kw_only=True)
 class CatalogReading:
-    """The operators' configuration at one reading of the store's clock."""
+    """The operators' configuration at one store time."""
 
     catalog: Catalog | None
-    """None when none has been written yet."""
+    """None if no configuration has been written yet."""
     reading: float
-    """Seconds on the store's clock."""
+    """Store time in seconds."""
     text: bytes = b""
-    """As the store holds it, where it was read anew."""
+    """The stored text, if this read returned a new version."""
 
 
 @dataclass(frozen=True, slots=True, kw_only=True)
 class EndpointReading:
-    """The table of endpoints at one reading of the store's clock."""
+    """The endpoint table at one store time."""
 
     records: list[EndpointRecord]
     digest: str
@@ -46,7 +46,7 @@
 
 @dataclass(frozen=True, slots=True, kw_only=True)
 class InstanceRecord:
-    """One instance of the relay as it registers itself."""
+    """The record with which an instance of the relay registers."""
 
     name: str
     ip: str
@@ -55,31 +55,31 @@
     callers_address: str
     """``IP:PORT`` to which callers connect."""
     peer_port: int
-    """UDP port for the beats of other instances."""
+    """UDP port for heartbeats of other instances."""
     link_mbps: float = 0.0
-    """Width of its link in Mbit/s; 0 if not stated."""
+    """Bandwidth of its network link in Mbit/s; 0 if not stated."""
     processor_share: float = 0.0
-    """Cores that its process may use; 0 if not stated."""
+    """CPU cores that its process may use; 0 if not stated."""
 
 
 class Store(ABC):
-    """The platform's store; each call raises `StoreError` when it has no usable answer."""
+    """The platform's store; each call raises `StoreError` if it gets no usable answer."""
 
     @abstractmethod
     async def read_catalog(self, *, known: Catalog | None) -> CatalogReading:
-        """Read the operators' configuration; returns ``known`` itself if it is still in force."""
+        """Read the operators' configuration; return ``known`` itself if it is still current."""
 
     @abstractmethod
     def decode_catalog(self, text: bytes, *, row_version: int) -> Catalog:
-        """Return the configuration of a row that another instance has read.
+        """Parse the configuration in a row that another instance has read.
 
         Raises:
-            StoreError: It is none.
+            StoreError: The text is no valid configuration.
         """
 
     @abstractmethod
     async def read_endpoints(self) -> EndpointReading:
-        """Read the table of endpoints."""
+        """Read the endpoint table."""
 
     @abstractmethod
     async def read_instances(self) -> list[InstanceRecord]:
@@ -87,8 +87,8 @@
 
     @abstractmethod
     async def register_instance(self, record: InstanceRecord) -> None:
-        """Write an instance's own record, replacing an older one."""
+        """Write this instance's record, replacing an older one."""
 
     @abstractmethod
     async def remove_instance(self, name: str) -> None:
-        """Drop an instance's record."""
+        """Remove an instance's record."""
--- a/src/guavamast/relay/store_reader.py
+++ b/src/guavamast/relay/store_reader.py
@@ -1,4 +1,4 @@
-"""Reads the store's tables, one read of each at a time, and takes what they hold."""
+"""Reads the store's tables, one read of each at a time, and applies the results."""
 
 from __future__ import annotations
 
@@ -19,13 +19,13 @@
 
 
 class SharedRead:
-    """One read at a time, for all who ask meanwhile.
+    """A read of a table that concurrent requesters share.
 
-    Failure: many requests find the same table too old at once, each reads it, and the store gets as
-    many calls as there are callers.
+    Without this, many requests that find the same table too old would each read it, and the store
+    would get as many calls as there are callers.
 
     Args:
-        read: Reads once; returns whether it succeeded.
+        read: Performs one read; returns whether it succeeded.
     """
 
     __slots__ = ("_read", "_task")
@@ -35,28 +35,28 @@
         self._task: asyncio.Task[bool] | None = None
 
     async def join(self) -> bool:
-        """Wait for the read that is under way, or begin one; returns whether it succeeded."""
+        """Wait for the read in progress, or start one; return whether it succeeded."""
         if self._task is None or self._task.done():
             self._task = asyncio.ensure_future(self._read())
         return await asyncio.shield(self._task)
 
 
 class StoreReader:
-    """Takes what the store holds and tells the others by a beat at once.
+    """Reads the tables, applies them, and publishes them to the other instances at once.
 
     Args:
         store: The platform's store.
-        knowledge: What is kept fresh.
-        log: Decisions.
+        knowledge: Receives the tables.
+        log: Decision log.
         counters: Metrics.
         read_time: The local clock.
-        announce: Sends a beat with news.
-        tell_catalog: Tells the others a configuration.
-        tell_endpoints: Tells the others a table of endpoints.
+        send_heartbeat: Sends a heartbeat with the new freshness stamps at once.
+        publish_catalog: Sends a configuration to the other instances.
+        publish_endpoints: Sends an endpoint table to the other instances.
     """
 
     __slots__ = (
-        "_announce",
+        "_send_heartbeat",
         "_counters",
         "_knowledge",
         "_log",
@@ -77,7 +77,7 @@
         log: DecisionLog,
         counters: Counters,
         read_time: Callable[[], float],
-        announce: Callable[[], None],
+        send_heartbeat: Callable[[], None],
         publish_catalog: Callable[[CatalogReading], None],
         publish_endpoints: Callable[[EndpointReading], None],
     ) -> None:
@@ -86,22 +86,22 @@
         self._log = log
         self._counters = counters
         self._read_time = read_time
-        self._announce = announce
+        self._send_heartbeat = send_heartbeat
         self._publish_catalog = publish_catalog
         self._publish_endpoints = publish_endpoints
         self.catalog = SharedRead(read=self._read_catalog)
         """Reads the configuration."""
         self.endpoints = SharedRead(read=self._read_endpoints)
-        """Reads the table of endpoints."""
+        """Reads the endpoint table."""
         self.answers = True
         """Whether the last call to the store had a usable answer."""
 
     def apply_endpoint_snapshot(self, snapshot: EndpointReading, *, from_peer: bool) -> bool:
-        """Take a table of endpoints; returns whether it differs from the one in force.
+        """Apply an endpoint table; return whether it differs from the current one.
 
         Args:
-            reading: The table.
-            told: Whether another instance has read it.
+            snapshot: The table.
+            from_peer: Whether another instance has read it.
         """
         now = self._read_time()
         age_s = self._knowledge.compute_endpoints_age(now=now)
@@ -121,9 +121,9 @@
         return True
 
     def apply_catalog_update(self, update: CatalogNews) -> bool:
-        """Take a configuration that another instance has read; returns whether it was news.
+        """Apply a configuration that another instance has read; return whether it is new.
 
-        What can't be decoded is left to the next read by this instance itself.
+        One that can't be parsed is ignored; this instance's next read of the store replaces it.
         """
         former_age_s = self._knowledge.compute_catalog_age(now=self._read_time())
         known = self._knowledge.catalog
@@ -138,7 +138,7 @@
         return self._apply_catalog(snapshot, former_age_s=former_age_s, from_peer=True)
 
     def record_failure(self, call: str, error: StoreError) -> None:
-        """Note a call that had no usable answer."""
+        """Record a call that returned no usable answer."""
         self._counters.add(f'store_failures_total{{call="{call}"}}')
         if self.answers:
             now = self._read_time()
@@ -165,7 +165,7 @@
             and snapshot.text
         ):
             self._publish_catalog(snapshot)
-        self._announce()
+        self._send_heartbeat()
         return True
 
     def _apply_catalog(
@@ -195,7 +195,7 @@
         self._record_success(started_at=started_at)
         if self.apply_endpoint_snapshot(snapshot, from_peer=False):
             self._publish_endpoints(snapshot)
-        self._announce()
+        self._send_heartbeat()
         return True
 
     def _record_success(self, *, started_at: float) -> None:
--- a/src/guavamast/relay/store_watch.py
+++ b/src/guavamast/relay/store_watch.py
@@ -1,4 +1,4 @@
-"""Registers an instance and keeps its knowledge fresh by reading the store in time."""
+"""Registers an instance and keeps its tables fresh by reading the store in time."""
 
 from __future__ import annotations
 
@@ -17,7 +17,7 @@
     from guavamast.relay.table_watch import TableWatch
 
 REGISTER_RETRY_S: Final = 1.0
-"""Seconds between two attempts to register: short beside the start of an instance."""
+"""Seconds between two attempts to register: short compared to the start of an instance."""
 
 
 class StoreWatch:
@@ -27,15 +27,15 @@
         store: The platform's store.
         reader: Reads its tables.
         watches: Keep the tables fresh.
-        knowledge: Told of the other instances.
-        record: This instance, to be registered.
-        log: Decisions.
+        knowledge: Receives the list of other instances.
+        record: Record of this instance to register.
+        log: Decision log.
         read_time: The local clock.
-        announce_to_all: Sends a beat to each instance directly.
+        broadcast_heartbeat: Sends a heartbeat to each instance directly.
     """
 
     __slots__ = (
-        "_announce_to_all",
+        "_broadcast_heartbeat",
         "_knowledge",
         "_log",
         "_read_time",
@@ -55,7 +55,7 @@
         record: InstanceRecord,
         log: DecisionLog,
         read_time: Callable[[], float],
-        announce_to_all: Callable[[], None],
+        broadcast_heartbeat: Callable[[], None],
     ) -> None:
         self._store = store
         self._reader = reader
@@ -64,17 +64,17 @@
         self._record = record
         self._log = log
         self._read_time = read_time
-        self._announce_to_all = announce_to_all
+        self._broadcast_heartbeat = broadcast_heartbeat
 
     async def run(self) -> None:
-        """Register, and read until cancelled."""
+        """Register, and read the tables until cancelled."""
         async with asyncio.TaskGroup() as tasks:
             tasks.create_task(self._register())
             for watch in self._watches:
                 tasks.create_task(watch.run())
 
     async def _register(self) -> None:
-        """Make this instance known and learn of the others."""
+        """Register this instance and list the others; retry until it succeeds."""
         while True:
             try:
                 await self._store.register_instance(self._record)
@@ -87,10 +87,10 @@
             for record in listed:
                 self._knowledge.peers.add_listed(record, now=now)
             self._log.write("registered", now=now, instances=len(listed))
-            self._announce_to_all()
+            self._broadcast_heartbeat()
             return
 
     def wake_for_update(self) -> None:
-        """Have it decided at once whether to read what another instance told of."""
+        """Check at once whether to read a newer table that another instance has."""
         for watch in self._watches:
             watch.wake_for_update()
--- a/src/guavamast/relay/table_watch.py
+++ b/src/guavamast/relay/table_watch.py
@@ -1,4 +1,4 @@
-"""Keeps one table of the store fresh: decides when to read it, and sleeps in between."""
+"""Keeps one table of the store fresh: checks when a read is due, and sleeps in between."""
 
 from __future__ import annotations
 
@@ -22,16 +22,16 @@
 class TableWatch(ABC):
     """Reads one table when it is due.
 
-    Most rounds of an instance that is no reader would decide nothing, and waking for them is most
-    of what an idle instance does. It sleeps until its knowledge may be old enough for any reader,
-    unless it is woken by news.
+    At an instance that is not the reader, most checks find nothing to do, and waking up for them
+    is most of the work of an idle instance. So the watch sleeps until the table may be old enough
+    for any reader, unless an update wakes it.
 
     Args:
         read: Reads the table.
-        schedule: Decides when.
-        knowledge: What is kept fresh.
+        schedule: Decides when to read.
+        knowledge: Holds the table.
         counters: Metrics.
-        loop_delay: Told how late each round is.
+        loop_delay: Records how late each round starts.
         read_time: The local clock.
     """
 
@@ -55,14 +55,14 @@
 
     @abstractmethod
     def compute_age(self, *, now: float) -> float:
-        """Return an upper bound of the seconds since the table was the store's."""
+        """Return an upper bound on the seconds since the table was the store's newest."""
 
     @abstractmethod
     def has_update(self) -> bool:
-        """Return whether the store is known to hold something newer."""
+        """Return whether the store is known to have a newer version."""
 
     def wake_for_update(self) -> None:
-        """Decide at once on what another instance has told, if it is news for this table."""
+        """Check at once whether a read is due, if an update for this table is known."""
         if self.has_update():
             self._woken.set()
 
@@ -81,9 +81,9 @@
             )
 
     def _rank(self, age_s: float, *, now: float) -> int:
-        """Return the place among the readers; 0 while the proof is too young for any to read.
+        """Return the rank among the readers; 0 while the table is too fresh for any to read.
 
-        Ranking goes over all instances, so it is done only when it may decide.
+        Ranking iterates over all instances, so it is done only when it can matter.
         """
         if age_s < READ_INTERVAL_S:
             return 0
@@ -96,7 +96,7 @@
             self._schedule.record_failure(now=self._read_time())
 
     async def _pause(self, pause_s: float) -> None:
-        """Sleep until the next round or news, and note how much later than due it begins."""
+        """Sleep until the next round or an update, and record how late the round starts."""
         due = self._read_time() + pause_s
         timer = asyncio.get_running_loop().call_later(pause_s, self._woken.set)
         try:
@@ -114,7 +114,7 @@
     """Keeps the configuration fresh."""
 
     def compute_age(self, *, now: float) -> float:
-        """Return an upper bound of the seconds since the configuration was the newest."""
+        """Return an upper bound on the seconds since the configuration was the store's newest."""
         return self._knowledge.compute_catalog_age(now=now)
 
     def has_update(self) -> bool:
@@ -123,14 +123,14 @@
 
 
 class EndpointWatch(TableWatch):
-    """Keeps the table of endpoints fresh."""
+    """Keeps the endpoint table fresh."""
 
     def compute_age(self, *, now: float) -> float:
-        """Return an upper bound of the seconds since the table was the store's."""
+        """Return an upper bound on the seconds since the table was the store's newest."""
         return self._knowledge.compute_endpoints_age(now=now)
 
     def has_update(self) -> bool:
-        """Return whether another instance has a later table, or this one has to be read again."""
+        """Return whether another instance has a later table, or this one must be read again."""
         return self._knowledge.newer_endpoints_known or self._knowledge.must_relist
 
 
@@ -148,11 +148,11 @@
 
     Args:
         reader: Reads the tables.
-        bounds: The ages at which requests are not sent any more.
-        knowledge: What is kept fresh.
+        bounds: Maximum ages of the tables for sending requests.
+        knowledge: Holds the tables.
         counters: Metrics.
-        loop_delay: Told how late each round is.
-        random: Spreads the reads of instances.
+        loop_delay: Records how late each round starts.
+        random: Source of jitter.
         read_time: The local clock.
     """
     kinds: list[tuple[type[TableWatch], SharedRead, float]] = [
--- a/tests/test_relay_caller_admission.py
+++ b/tests/test_relay_caller_admission.py
@@ -1,4 +1,4 @@
-"""Tests that requests are sent by recent knowledge alone, whatever becomes of news and reads."""
+"""Tests that requests are sent by fresh tables only, even if updates are lost or reads are slow."""
 
 from __future__ import annotations
 
@@ -35,13 +35,13 @@
 
 
 class World(Store):
-    """The store, the clock and one instance that hears of nothing but its own reads."""
+    """A simulated store and clock, with one instance that receives no updates from others."""
 
     def __init__(self) -> None:
         self.now = START_S
         self.unavailable = False
         self.read_s = 0.004
-        """Seconds that a read takes after the store has spoken."""
+        """Seconds from the store's clock reading until the answer arrives."""
         self.reads = 0
         self.catalog = make_catalog()
         self.records = [make_endpoint("x"), make_endpoint("y")]
@@ -55,7 +55,7 @@
             log=DecisionLog(instance="one", descriptor=os.open(os.devnull, os.O_WRONLY)),
             counters=counters,
             read_time=lambda: self.now,
-            announce=lambda: None,
+            send_heartbeat=lambda: None,
             publish_catalog=lambda _: None,
             publish_endpoints=lambda _: None,
         )
@@ -69,7 +69,7 @@
 
     def decode_catalog(self, text: bytes, *, row_version: int) -> Catalog:
         del text, row_version
-        raise StoreError("nothing is told")
+        raise StoreError("no updates in this test")
 
     async def read_catalog(self, *, known: Catalog | None) -> CatalogReading:
         catalog = self.catalog
@@ -117,23 +117,22 @@
 
 
 def list_services(decision: Admitted | Denied) -> Sequence[str]:
-    """Return the services to which a request may go."""
+    """Return the services that an admitted request may be sent to."""
     assert isinstance(decision, Admitted)
     return [entry.service for entry in decision.route.services]
 
 
 class AdmissionTest(unittest.IsolatedAsyncioTestCase):
-    """What a caller gets from an instance whose news is lost."""
+    """Admission at an instance that receives no updates."""
 
     async def asyncSetUp(self) -> None:
         self.world = World()
         await self.world.admit()
 
     async def test_old_knowledge_is_read_again_before_a_request_goes(self) -> None:
-        """A request goes to the service to which its route was moved, although no news came.
+        """A request follows a moved route although all updates are lost and the watch is delayed.
 
-        Every message of the others is lost and the watch is held up. The request finds the
-        configuration older than the bound, and waits for a read.
+        It finds the configuration older than the bound and waits for a read.
         """
         self.world.move_route()
         self.world.now += 1.7
@@ -167,10 +166,10 @@
         self.assertEqual((decision.status, decision.reason), (503, "old keys"))
 
     async def test_a_slow_instance_sends_its_callers_back(self) -> None:
-        """A caller is told to come back, truthfully, by an instance that can't keep up.
+        """An instance that can't keep up rejects its callers with a retry delay.
 
-        The store answers at once, but the instance takes each answer so late that what it says is
-        older than the bound again. No request is sent by it.
+        The store answers at once, but the instance processes each answer so late that the tables
+        are older than the bound again. No request may be sent by them.
         """
         self.world.read_s = 1.7
         self.world.move_route()
@@ -187,7 +186,7 @@
 
 
 class CheckSendTest(unittest.IsolatedAsyncioTestCase):
-    """What is checked after the connection is made, right before a request leaves."""
+    """Checks after the connection is open, right before a request is sent."""
 
     async def asyncSetUp(self) -> None:
         self.world = World()
@@ -196,7 +195,7 @@
         self.admitted = decision
 
     def check(self, name: str = "x") -> str:
-        """Return why the request must not be sent; empty when it may."""
+        """Return why the request must not be sent; empty if it may be."""
         record = make_endpoint(name)
         try:
             self.world.admission.check_send(self.admitted, record, now=self.world.now)
@@ -211,10 +210,10 @@
         self.assertEqual(self.check(), "")
 
     async def test_a_pause_between_choice_and_send_is_seen(self) -> None:
-        """A request is not sent by a choice that was made before the process stood still.
+        """A request is not sent after a pause that makes the tables too old.
 
-        It was admitted by recent knowledge, a connection took long or the process was paused, and
-        by the time of the send the bound has passed.
+        It was admitted by fresh tables, but opening a connection took long or the process was
+        paused, and the bound has passed by the time of the send.
         """
         self.world.now += 1.7
         self.assertEqual(self.check(), "old knowledge")
@@ -243,7 +242,7 @@
 
 
 class BoundTest(unittest.TestCase):
-    """Over any pauses and slow reads, a request that is sent is within the bounds."""
+    """With any pauses and slow reads, requests are sent within the bounds only."""
 
     @given(
         steps=st.lists(
--- a/tests/test_relay_freshness_properties.py
+++ b/tests/test_relay_freshness_properties.py
@@ -1,4 +1,4 @@
-"""Property tests of the age of what an instance knows, over generated clocks and faults."""
+"""Property tests of the age of tables, over generated clocks and faults."""
 
 from __future__ import annotations
 
@@ -13,7 +13,7 @@
 
 
 class StoreClockTest(unittest.TestCase):
-    """The age of a reading is never underestimated."""
+    """The age of a store time is never underestimated."""
 
     @given(
         offset=st.floats(min_value=-1e6, max_value=1e6),
@@ -32,7 +32,7 @@
             answered_at = sent + out
             now = answered_at + back
             clock.record(sent=sent, reading=answered_at - offset)
-        # A message with the last reading waits in a socket while the machine is suspended.
+        # A message with the last store time waits in a socket while the machine is suspended.
         now += suspended_s
         true_age = now - answered_at
         self.assertGreaterEqual(clock.compute_age(answered_at - offset, now=now), true_age - 1e-6)
@@ -42,7 +42,7 @@
 
 
 class FreshnessTest(unittest.TestCase):
-    """Proofs only ever move forward, and only for the version that is held."""
+    """Freshness stamps only move forward, and only for the version that the instance holds."""
 
     def setUp(self) -> None:
         self.clock = StoreClock()
@@ -50,10 +50,10 @@
         self.freshness = Freshness(clock=self.clock)
 
     def test_word_on_another_version_proves_nothing(self) -> None:
-        """A revoked key is refused although a peer's beats say that its configuration is fresh.
+        """A peer's stamp of a newer version must not extend the age of the older one held here.
 
-        The peer has read the change and tells of its own version; this instance still holds the
-        version before, which the word says nothing about.
+        Otherwise a revoked key stays accepted: the peer has read the revocation, and its heartbeats
+        confirm only the new version.
         """
         self.freshness.record(Proof(version="7", reading=1.0))
         self.assertFalse(self.freshness.confirm(Proof(version="8", reading=5.0)))
@@ -81,11 +81,10 @@
         self.assertFalse(self.freshness.is_recovering())
 
     def test_a_slow_instance_is_no_outage_of_the_store(self) -> None:
-        """A call reaches an endpoint seconds after its entry was removed.
+        """A gap between two stamps without a failed read is no outage.
 
-        The instance is held up for two seconds in which the endpoint leaves. It took the gap
-        between two proofs for an outage of the store, and so the missing entry for one that was on
-        its way back; no read had failed.
+        An instance that stalled for two seconds took the gap for a store outage and kept an
+        endpoint that had left meanwhile, so a call reached it seconds after its entry was removed.
         """
         self.freshness.record(Proof(version="a", reading=1.0))
         self.freshness.record(Proof(version="b", reading=1.0 + OUTAGE_GAP_S + 0.4))
--- a/tests/test_relay_table_news.py
+++ b/tests/test_relay_table_news.py
@@ -1,8 +1,8 @@
-"""Tests of how changes of the store's tables reach many instances with few reads of the store.
+"""Tests that changes of the store's tables reach many instances with few reads of the store.
 
-The pattern: hundreds of instances start together with their engines, which list themselves one by
-one over some seconds; later the operators change the configuration, and the store comes back after
-an outage. Each instance that reads every change costs the store thousands of calls.
+Hundreds of instances start together with their engines, which register one by one over some
+seconds; later the operators change the configuration, and the store recovers from an outage. If
+each instance read every change, the store would get thousands of calls.
 """
 
 from __future__ import annotations
@@ -26,11 +26,11 @@
 INSTANCES = 350
 BOUND_S = 3.6
 UPDATE_DELAY_S = 0.04
-"""After which all others know what one has read: two datagrams and turns of their loops."""
+"""Seconds until all others have a table that one has read: two datagrams and event loop turns."""
 BUSY_UPDATE_DELAY_S = 0.15
-"""Likewise while all processes start or take in news at once."""
+"""The same while all processes start or apply updates at once."""
 HEARTBEAT_DELAY_S = 0.02
-"""After which they know that it has read something newer."""
+"""Seconds until the others know from a heartbeat that a newer version exists."""
 
 
 class _SimulatedInstance:
@@ -42,7 +42,7 @@
         self.announced_version = 0
 
     def is_due(self, *, rank: int, now: float) -> bool:
-        """Return whether it reads now; its proof is as old as its rank lets it get."""
+        """Return whether a read is due; the fixed age makes none due without an update."""
         news = self.announced_version > self.version
         return self.schedule.is_due(age_s=0.1, rank=rank, news=news, now=now)
 
@@ -50,13 +50,13 @@
 def count_reads(
     changes: list[float], *, until: float, lost: float = 0.0, update_delay_s: float = UPDATE_DELAY_S
 ) -> tuple[int, float]:
-    """Return the reads of a fleet and the greatest delay of a change at any instance.
+    """Return the number of reads of a fleet and the longest delay of a change at any instance.
 
     Args:
         changes: When the table changes.
-        until: When the story ends.
-        lost: Share of the instances that are told nothing and hear beats only.
-        told_s: After which all others know what one has read.
+        until: When the simulation ends.
+        lost: Share of the instances that receive heartbeats but no tables.
+        update_delay_s: Seconds until all others have a table that one has read.
     """
     instances = [_SimulatedInstance(number) for number in range(INSTANCES)]
     reads = 0
@@ -90,7 +90,7 @@
 
 
 class TableNewsTest(unittest.TestCase):
-    """Reads of the store don't grow with the instances."""
+    """Reads of the store don't grow with the number of instances."""
 
     def test_a_change_costs_few_reads_at_350_instances(self) -> None:
         reads, latest = count_reads([1.0], until=4.0)
@@ -103,19 +103,19 @@
         self.assertLess(latest, BOUND_S / 2)
 
     def test_a_start_of_all_engines_costs_few_reads_a_change(self) -> None:
-        """Sixty engines list themselves within four seconds."""
+        """Sixty engines register within four seconds."""
         changes = [1.0 + number / 15 for number in range(60)]
         reads, _ = count_reads(changes, until=9.0)
         self.assertLess(reads, 5 * INSTANCES)
 
     def test_who_is_told_nothing_reads_in_time(self) -> None:
-        """No request goes by an old route at an instance that gets no datagram with tables."""
+        """An instance that receives no tables reads a change before its old route is too old."""
         _, latest = count_reads([1.0], until=5.0, lost=0.3)
         self.assertLess(latest, BOUND_S / 2)
 
 
 class CatalogNewsTest(unittest.TestCase):
-    """Configurations survive the wire, and anything else is refused."""
+    """Configurations are unchanged by encoding and decoding; anything else is rejected."""
 
     def test_a_configuration_survives_the_wire(self) -> None:
         news = CatalogNews(domain="a", row_version=7, reading=2.5, text='{"v": "é"}'.encode())
--- a/tests/test_relay_table_watch.py
+++ b/tests/test_relay_table_watch.py
@@ -14,11 +14,11 @@
 from tests.test_relay_caller_admission import World
 
 EVENT_TIMEOUT_S = 20.0
-"""Time for what is to happen at once, on a busy machine."""
+"""Timeout in seconds for an immediate event, generous for a busy machine."""
 
 
 class UpdateOnlySchedule(ReadSchedule):
-    """Reads on news alone, and sleeps for hours otherwise."""
+    """Reads on updates only, and pauses for an hour otherwise."""
 
     def __init__(self) -> None:
         super().__init__(random=Random(1), bound_s=60.0, count_instances=lambda: 14)
@@ -27,13 +27,13 @@
         del age_s, rank, now
         return news
 
-    def compute_pause(self, *, age_s: float, news: bool) -> float:
-        del age_s, news
+    def compute_pause(self, *, age_s: float, has_update: bool) -> float:
+        del age_s, has_update
         return 3600.0
 
 
 class TableWatchTest(unittest.IsolatedAsyncioTestCase):
-    """An instance sleeps while nothing can be due, and wakes for news."""
+    """The watch sleeps while no read can be due, and wakes for updates."""
 
     async def asyncSetUp(self) -> None:
         self.world = World()
@@ -58,7 +58,7 @@
         return True
 
     async def test_news_wakes_it(self) -> None:
-        """A change of the configuration is read although the next round is far away."""
+        """A changed configuration is read although the next round is far away."""
         self.world.knowledge.newer_catalog_known = True
         self.watch.wake_for_update()
         await asyncio.wait_for(self.was_read.wait(), EVENT_TIMEOUT_S)
@@ -70,7 +70,7 @@
 
 
 class PauseTest(unittest.TestCase):
-    """No round is missed in which a read may be due."""
+    """The pause ends as soon as a read may be due."""
 
     def test_it_sleeps_until_a_reader_may_be_due(self) -> None:
         schedule = ReadSchedule(random=Random(1), bound_s=1.6, count_instances=lambda: 14)
