--- a/src/guavamast/relay/caller_admission.py
+++ b/src/guavamast/relay/caller_admission.py
@@ -40,7 +40,7 @@
         read_time: The local clock.
     """
 
-    __slots__ = ("_bounds", "_gate", "_knowledge", "_read_time", "_reader")
+    __slots__ = ("_bounds", "_gate", "_fleet_state", "_read_time", "_reader")
 
     def __init__(
         self,
@@ -53,7 +53,7 @@
     ) -> None:
         self._gate = gate
         self._bounds = bounds
-        self._knowledge = knowledge
+        self._fleet_state = knowledge
         self._reader = reader
         self._read_time = read_time
 
@@ -66,8 +66,8 @@
         """
         if not await self._refresh(until=until):
             return reject_for_retry("old knowledge")
-        age_s = self._knowledge.compute_catalog_age(now=self._read_time())
-        return self._gate.decide(request, self._knowledge.catalog, age_s=age_s)
+        age_s = self._fleet_state.compute_catalog_age(now=self._read_time())
+        return self._gate.decide(request, self._fleet_state.catalog, age_s=age_s)
 
     def check_send(self, admitted: Admitted, record: EndpointRecord, *, now: float) -> None:
         """Raise if a request must no longer be sent as it was admitted.
@@ -83,14 +83,14 @@
         Raises:
             AttemptFailed: With ``OUTDATED``.
         """
-        if admitted.catalog is not self._knowledge.catalog:
+        if admitted.catalog is not self._fleet_state.catalog:
             raise AttemptFailed(FailureKind.OUTDATED, "the configuration has changed")
-        known = self._knowledge.endpoints.find(record.endpoint_id)
+        known = self._fleet_state.endpoints.find(record.endpoint_id)
         if known is None or not known.ready:
             raise AttemptFailed(FailureKind.OUTDATED, "the endpoint leaves")
         if self._reader.answers and self._list_stale_reads(now):
             raise AttemptFailed(FailureKind.OUTDATED, "old knowledge")
-        age_s = self._knowledge.compute_catalog_age(now=now)
+        age_s = self._fleet_state.compute_catalog_age(now=now)
         if admitted.organisation is not None and age_s > self._bounds.keys_s:
             raise AttemptFailed(FailureKind.OUTDATED, "old keys")
 
@@ -114,8 +114,8 @@
     def _list_stale_reads(self, now: float) -> list[SharedRead]:
         """Return the reads of the tables that are too old."""
         stale = []
-        if self._knowledge.compute_catalog_age(now=now) > self._bounds.catalog_s:
+        if self._fleet_state.compute_catalog_age(now=now) > self._bounds.catalog_s:
             stale.append(self._reader.catalog)
-        if self._knowledge.compute_endpoints_age(now=now) > self._bounds.endpoints_s:
+        if self._fleet_state.compute_endpoints_age(now=now) > self._bounds.endpoints_s:
             stale.append(self._reader.endpoints)
         return stale
--- a/src/guavamast/relay/endpoint_table.py
+++ b/src/guavamast/relay/endpoint_table.py
@@ -48,11 +48,11 @@
     in use until the time in which they register again is over.
     """
 
-    __slots__ = ("_lapsed", "_records", "digest", "revision")
+    __slots__ = ("_unlisted", "_records", "digest", "revision")
 
     def __init__(self) -> None:
         self._records: dict[str, EndpointRecord] = {}
-        self._lapsed: set[str] = set()
+        self._unlisted: set[str] = set()
         self.digest = ""
         """Digest of the current snapshot; empty before the first."""
         self.revision = 0
@@ -67,12 +67,12 @@
             returning: Whether missing endpoints may still register again after an outage.
         """
         listed = {record.endpoint_id: record for record in records}
-        self._lapsed = set()
+        self._unlisted = set()
         if returning:
             for endpoint_id, record in self._records.items():
                 if endpoint_id not in listed and record.ready:
                     listed[endpoint_id] = record
-                    self._lapsed.add(endpoint_id)
+                    self._unlisted.add(endpoint_id)
         self._records = listed
         self.digest = digest
         self.revision += 1
@@ -80,7 +80,7 @@
     @property
     def has_lapsed(self) -> bool:
         """Whether endpoints are in use that the latest snapshot does not list."""
-        return bool(self._lapsed)
+        return bool(self._unlisted)
 
     def find(self, endpoint_id: str) -> EndpointRecord | None:
         """Return the record of an endpoint."""
--- a/src/guavamast/relay/fleet_knowledge.py
+++ b/src/guavamast/relay/fleet_knowledge.py
@@ -124,7 +124,7 @@
 
     def is_first(self, route: Route, service_name: str) -> bool:
         """Return whether no stream of a service is more urgent than those of a route."""
-        return self.catalog is not None and self.catalog.is_first(route, service_name)
+        return self.catalog is not None and self.catalog.is_most_urgent(route, service_name)
 
     def find_shortest_pause(self, service_name: str) -> float:
         """Return the smallest pause limit, in seconds, among the streams of a service."""
--- a/src/guavamast/relay/housekeeper.py
+++ b/src/guavamast/relay/housekeeper.py
@@ -23,7 +23,7 @@
     """Bounds the state that an instance keeps.
 
     Args:
-        knowledge: Endpoints and other instances.
+        fleet_state: Endpoints and other instances.
         work: State of the requests at them.
         pool: Connection pool.
         reader: Tells whether the store answers.
@@ -34,7 +34,7 @@
     """
 
     __slots__ = (
-        "_knowledge",
+        "_fleet_state",
         "_notes",
         "_pool",
         "_read_time",
@@ -47,7 +47,7 @@
     def __init__(
         self,
         *,
-        knowledge: FleetKnowledge,
+        fleet_state: FleetKnowledge,
         work: WorkKnowledge,
         pool: ConnectionPool,
         reader: StoreReader,
@@ -56,7 +56,7 @@
         unregister: Callable[[str], Awaitable[None]],
         read_time: Callable[[], float],
     ) -> None:
-        self._knowledge = knowledge
+        self._fleet_state = fleet_state
         self._work = work
         self._pool = pool
         self._reader = reader
@@ -82,7 +82,7 @@
         store, removes these records; an instance that was only unreachable registers again at its
         next start.
         """
-        peers = self._knowledge.peers
+        peers = self._fleet_state.peers
         silent = peers.forget_silent(now=now)
         if peers.rank_as_reader(now=now) > 0 or not self._reader.answers:
             return
@@ -90,14 +90,14 @@
             await self._unregister(name)
 
     def _drop_gone(self, *, now: float) -> None:
-        known = {record.endpoint_id for record in self._knowledge.endpoints.list_all()}
-        live = {peer.record.name for peer in self._knowledge.peers.list_live(now=now)}
+        known = {record.endpoint_id for record in self._fleet_state.endpoints.list_all()}
+        live = {peer.record.name for peer in self._fleet_state.peers.list_live(now=now)}
         self._pool.keep_only(known, now=now)
         self._work.keep_only(endpoint_ids=known, instances=live)
         self._scheduling.keep_house(endpoint_ids=known, now=now)
 
     def _record_profiles(self, *, now: float) -> None:
-        catalog = self._knowledge.catalog
+        catalog = self._fleet_state.catalog
         for service in catalog.services.values() if catalog is not None else ():
             if service.prompt_cache_tokens is not None:
                 profile = self._work.profiles.find(service.name, now=now)
--- a/src/guavamast/relay/node.py
+++ b/src/guavamast/relay/node.py
@@ -51,7 +51,7 @@
 STANDARD_OUTPUT: Final = 1
 """Default file descriptor of the log."""
 ADDRESS_CACHE_FACTOR: Final = 3.0
-"""Longest caching of an address response by some callers, as a multiple of its validity."""
+"""Longest time that some callers cache an answer with addresses, as a multiple of its validity."""
 LEAVE_MARGIN_S: Final = 0.5
 """Seconds added to the time in which callers may still connect: a heartbeat plus the transit of a
 request."""
@@ -181,7 +181,7 @@
     def _build_reader(self) -> StoreReader:
         return StoreReader(
             store=self._store,
-            knowledge=self.knowledge,
+            fleet_state=self.knowledge,
             log=self.log,
             counters=self.counters,
             read_time=read_boot_time,
@@ -197,13 +197,13 @@
             watches=build_table_watches(
                 reader=self._reader,
                 bounds=self._bounds,
-                knowledge=self.knowledge,
+                fleet_state=self.knowledge,
                 counters=self.counters,
                 loop_delay=self._loop_delay,
                 random=self._random,
                 read_time=read_boot_time,
             ),
-            knowledge=self.knowledge,
+            fleet_state=self.knowledge,
             record=self.record,
             log=self.log,
             read_time=read_boot_time,
@@ -212,7 +212,7 @@
 
     def _build_cleanup_loop(self) -> Housekeeper:
         return Housekeeper(
-            knowledge=self.knowledge,
+            fleet_state=self.knowledge,
             work=self._work,
             pool=self._pool,
             reader=self._reader,
@@ -297,16 +297,16 @@
         self, directory: Question, readiness: Question, metrics: Question
     ) -> list[QuestionListener]:
         settings = self.settings
-        wanted: list[tuple[SocketAddress | None, Question]] = [
+        queries: list[tuple[SocketAddress | None, Question]] = [
             (settings.directory, directory),
             (settings.readiness, readiness),
             (settings.metrics, metrics),
         ]
         listeners = []
-        for address, question in wanted:
+        for address, query in queries:
             if address is None:
                 continue
-            listener = QuestionListener(questions=[question])
+            listener = QuestionListener(questions=[query])
             listener.listen(address.ip, address.port)
             listeners.append(listener)
         return listeners
--- a/src/guavamast/relay/read_schedule.py
+++ b/src/guavamast/relay/read_schedule.py
@@ -30,7 +30,7 @@
 """Ranks from this one on read after the same delay, which bounds the wait when many readers have
 failed."""
 SPREAD_S: Final = 0.3
-"""Seconds of jitter for the last ranks; a third of it is the minimum for reads of the same change."""
+"""Seconds of jitter for the last ranks; a third of it is the least for reads of the same change."""
 BACKOFF_FIRST_S: Final = 0.3
 """Seconds until the retry after a first failed read; doubled after each further failure."""
 BACKOFF_MAX_S: Final = 1.2
--- a/src/guavamast/relay/store_reader.py
+++ b/src/guavamast/relay/store_reader.py
@@ -46,7 +46,7 @@
 
     Args:
         store: The platform's store.
-        knowledge: Receives the tables.
+        fleet_state: Receives the tables.
         log: Decision log.
         counters: Metrics.
         read_time: The local clock.
@@ -58,7 +58,7 @@
     __slots__ = (
         "_send_heartbeat",
         "_counters",
-        "_knowledge",
+        "_fleet_state",
         "_log",
         "_read_time",
         "_store",
@@ -73,7 +73,7 @@
         self,
         *,
         store: Store,
-        knowledge: FleetKnowledge,
+        fleet_state: FleetKnowledge,
         log: DecisionLog,
         counters: Counters,
         read_time: Callable[[], float],
@@ -82,7 +82,7 @@
         publish_endpoints: Callable[[EndpointReading], None],
     ) -> None:
         self._store = store
-        self._knowledge = knowledge
+        self._fleet_state = fleet_state
         self._log = log
         self._counters = counters
         self._read_time = read_time
@@ -104,17 +104,17 @@
             from_peer: Whether another instance has read it.
         """
         now = self._read_time()
-        age_s = self._knowledge.compute_endpoints_age(now=now)
-        if not self._knowledge.take_endpoints(snapshot):
+        age_s = self._fleet_state.compute_endpoints_age(now=now)
+        if not self._fleet_state.take_endpoints(snapshot):
             return False
-        records = self._knowledge.endpoints.list_all()
+        records = self._fleet_state.endpoints.list_all()
         self._log.write(
             "endpoints_taken",
             now=now,
             endpoints_version=snapshot.digest,
             listed=len(snapshot.records),
             ready=sum(record.ready for record in records),
-            lapsed=self._knowledge.endpoints.has_lapsed,
+            lapsed=self._fleet_state.endpoints.has_lapsed,
             told=from_peer,
             former_age_s=round_age(age_s),
         )
@@ -125,8 +125,8 @@
 
         One that can't be parsed is ignored; this instance's next read of the store replaces it.
         """
-        former_age_s = self._knowledge.compute_catalog_age(now=self._read_time())
-        known = self._knowledge.catalog
+        former_age_s = self._fleet_state.compute_catalog_age(now=self._read_time())
+        known = self._fleet_state.catalog
         if known is not None and known.row_version >= update.row_version:
             return False
         try:
@@ -147,15 +147,15 @@
                 now=now,
                 call=call,
                 reason=error.reason,
-                config_age_s=round_age(self._knowledge.compute_catalog_age(now=now)),
+                config_age_s=round_age(self._fleet_state.compute_catalog_age(now=now)),
             )
         self.answers = False
 
     async def _read_catalog(self) -> bool:
         started_at = self._read_time()
-        former_age_s = self._knowledge.compute_catalog_age(now=started_at)
+        former_age_s = self._fleet_state.compute_catalog_age(now=started_at)
         try:
-            snapshot = await self._store.read_catalog(known=self._knowledge.catalog)
+            snapshot = await self._store.read_catalog(known=self._fleet_state.catalog)
         except StoreError as error:
             self.record_failure("read_configuration", error)
             return False
@@ -171,13 +171,13 @@
     def _apply_catalog(
         self, snapshot: CatalogReading, *, former_age_s: float, from_peer: bool
     ) -> bool:
-        if not self._knowledge.take_catalog(snapshot):
+        if not self._fleet_state.take_catalog(snapshot):
             return False
-        catalog = self._knowledge.catalog
+        catalog = self._fleet_state.catalog
         self._log.write(
             "configuration_taken",
             now=self._read_time(),
-            config_version=self._knowledge.catalog_version,
+            config_version=self._fleet_state.catalog_version,
             row_version=catalog.row_version if catalog else None,
             told=from_peer,
             former_age_s=round_age(former_age_s),
@@ -189,7 +189,7 @@
         try:
             snapshot = await self._store.read_endpoints()
         except StoreError as error:
-            self._knowledge.record_failed_endpoint_read()
+            self._fleet_state.record_failed_endpoint_read()
             self.record_failure("read_endpoints", error)
             return False
         self._record_success(started_at=started_at)
--- a/src/guavamast/relay/store_watch.py
+++ b/src/guavamast/relay/store_watch.py
@@ -27,7 +27,7 @@
         store: The platform's store.
         reader: Reads its tables.
         watches: Keep the tables fresh.
-        knowledge: Receives the list of other instances.
+        fleet_state: Receives the list of other instances.
         record: Record of this instance to register.
         log: Decision log.
         read_time: The local clock.
@@ -36,7 +36,7 @@
 
     __slots__ = (
         "_broadcast_heartbeat",
-        "_knowledge",
+        "_fleet_state",
         "_log",
         "_read_time",
         "_reader",
@@ -51,7 +51,7 @@
         store: Store,
         reader: StoreReader,
         watches: Sequence[TableWatch],
-        knowledge: FleetKnowledge,
+        fleet_state: FleetKnowledge,
         record: InstanceRecord,
         log: DecisionLog,
         read_time: Callable[[], float],
@@ -60,7 +60,7 @@
         self._store = store
         self._reader = reader
         self._watches = watches
-        self._knowledge = knowledge
+        self._fleet_state = fleet_state
         self._record = record
         self._log = log
         self._read_time = read_time
@@ -85,7 +85,7 @@
                 continue
             now = self._read_time()
             for record in listed:
-                self._knowledge.peers.add_listed(record, now=now)
+                self._fleet_state.peers.add_listed(record, now=now)
             self._log.write("registered", now=now, instances=len(listed))
             self._broadcast_heartbeat()
             return
--- a/src/guavamast/relay/table_watch.py
+++ b/src/guavamast/relay/table_watch.py
@@ -29,7 +29,7 @@
     Args:
         read: Reads the table.
         schedule: Decides when to read.
-        knowledge: Holds the table.
+        fleet_state: Holds the table.
         counters: Metrics.
         loop_delay: Records how late each round starts.
         read_time: The local clock.
@@ -40,14 +40,14 @@
         *,
         read: SharedRead,
         schedule: ReadSchedule,
-        knowledge: FleetKnowledge,
+        fleet_state: FleetKnowledge,
         counters: Counters,
         loop_delay: LoopDelay,
         read_time: Callable[[], float],
     ) -> None:
         self._read = read
         self._schedule = schedule
-        self._knowledge = knowledge
+        self._fleet_state = fleet_state
         self._counters = counters
         self._loop_delay = loop_delay
         self._read_time = read_time
@@ -87,7 +87,7 @@
         """
         if age_s < READ_INTERVAL_S:
             return 0
-        return self._knowledge.peers.rank_as_reader(now=now)
+        return self._fleet_state.peers.rank_as_reader(now=now)
 
     async def _read_now(self) -> None:
         if await self._read.join():
@@ -115,11 +115,11 @@
 
     def compute_age(self, *, now: float) -> float:
         """Return an upper bound on the seconds since the configuration was the store's newest."""
-        return self._knowledge.compute_catalog_age(now=now)
+        return self._fleet_state.compute_catalog_age(now=now)
 
     def has_update(self) -> bool:
         """Return whether another instance has a newer configuration."""
-        return self._knowledge.newer_catalog_known
+        return self._fleet_state.newer_catalog_known
 
 
 class EndpointWatch(TableWatch):
@@ -127,18 +127,18 @@
 
     def compute_age(self, *, now: float) -> float:
         """Return an upper bound on the seconds since the table was the store's newest."""
-        return self._knowledge.compute_endpoints_age(now=now)
+        return self._fleet_state.compute_endpoints_age(now=now)
 
     def has_update(self) -> bool:
         """Return whether another instance has a later table, or this one must be read again."""
-        return self._knowledge.newer_endpoints_known or self._knowledge.must_relist
+        return self._fleet_state.newer_endpoints_known or self._fleet_state.must_relist
 
 
 def build_table_watches(
     *,
     reader: StoreReader,
     bounds: StalenessBounds,
-    knowledge: FleetKnowledge,
+    fleet_state: FleetKnowledge,
     counters: Counters,
     loop_delay: LoopDelay,
     random: Random,
@@ -149,7 +149,7 @@
     Args:
         reader: Reads the tables.
         bounds: Maximum ages of the tables for sending requests.
-        knowledge: Holds the tables.
+        fleet_state: Holds the tables.
         counters: Metrics.
         loop_delay: Records how late each round starts.
         random: Source of jitter.
@@ -165,9 +165,9 @@
             schedule=ReadSchedule(
                 random=random,
                 bound_s=bound_s,
-                count_instances=knowledge.count_instances,
+                count_instances=fleet_state.count_instances,
             ),
-            knowledge=knowledge,
+            fleet_state=fleet_state,
             counters=counters,
             loop_delay=loop_delay,
             read_time=read_time,
--- a/tests/test_relay_caller_admission.py
+++ b/tests/test_relay_caller_admission.py
@@ -51,7 +51,7 @@
         counters = Counters()
         self.reader = StoreReader(
             store=self,
-            knowledge=self.knowledge,
+            fleet_state=self.knowledge,
             log=DecisionLog(instance="one", descriptor=os.open(os.devnull, os.O_WRONLY)),
             counters=counters,
             read_time=lambda: self.now,
@@ -126,42 +126,42 @@
     """Admission at an instance that receives no updates."""
 
     async def asyncSetUp(self) -> None:
-        self.world = World()
-        await self.world.admit()
+        self.simulation = World()
+        await self.simulation.admit()
 
     async def test_old_knowledge_is_read_again_before_a_request_goes(self) -> None:
         """A request follows a moved route although all updates are lost and the watch is delayed.
 
         It finds the configuration older than the bound and waits for a read.
         """
-        self.world.move_route()
-        self.world.now += 1.7
-        self.assertEqual(list_services(await self.world.admit()), ["annex"])
+        self.simulation.move_route()
+        self.simulation.now += 1.7
+        self.assertEqual(list_services(await self.simulation.admit()), ["annex"])
 
     async def test_recent_knowledge_is_used_without_a_read(self) -> None:
-        reads = self.world.reads
-        self.world.now += 1.5
-        await self.world.admit()
-        self.assertEqual(self.world.reads, reads)
+        reads = self.simulation.reads
+        self.simulation.now += 1.5
+        await self.simulation.admit()
+        self.assertEqual(self.simulation.reads, reads)
 
     async def test_many_requests_share_one_read_of_each_table(self) -> None:
-        reads = self.world.reads
-        self.world.now += 1.7
-        await asyncio.gather(*(self.world.admit() for _ in range(50)))
-        self.assertEqual(self.world.reads - reads, 2)
+        reads = self.simulation.reads
+        self.simulation.now += 1.7
+        await asyncio.gather(*(self.simulation.admit() for _ in range(50)))
+        self.assertEqual(self.simulation.reads - reads, 2)
 
     async def test_old_knowledge_serves_while_the_store_is_away(self) -> None:
-        self.world.unavailable = True
-        self.world.now += 3.0
-        self.assertEqual(list_services(await self.world.admit()), ["portal"])
-        reads = self.world.reads
-        await self.world.admit()
-        self.assertEqual(self.world.reads, reads)
+        self.simulation.unavailable = True
+        self.simulation.now += 3.0
+        self.assertEqual(list_services(await self.simulation.admit()), ["portal"])
+        reads = self.simulation.reads
+        await self.simulation.admit()
+        self.assertEqual(self.simulation.reads, reads)
 
     async def test_keys_are_refused_when_the_store_is_away_for_long(self) -> None:
-        self.world.unavailable = True
-        self.world.now += 4.4
-        decision = await self.world.admit()
+        self.simulation.unavailable = True
+        self.simulation.now += 4.4
+        decision = await self.simulation.admit()
         assert isinstance(decision, Denied)
         self.assertEqual((decision.status, decision.reason), (503, "old keys"))
 
@@ -171,17 +171,17 @@
         The store answers at once, but the instance processes each answer so late that the tables
         are older than the bound again. No request may be sent by them.
         """
-        self.world.read_s = 1.7
-        self.world.move_route()
-        self.world.now += 1.7
-        decision = await self.world.admit()
+        self.simulation.read_s = 1.7
+        self.simulation.move_route()
+        self.simulation.now += 1.7
+        decision = await self.simulation.admit()
         assert isinstance(decision, Denied)
         self.assertEqual((decision.status, decision.reason), (503, "old knowledge"))
         self.assertIsNotNone(decision.retry_after_s)
 
     async def test_a_silent_read_holds_a_request_no_longer_than_the_bound(self) -> None:
-        self.world.now += 1.7
-        decision = await asyncio.wait_for(self.world.admit(timeout_s=0.0), MAX_READ_WAIT_S)
+        self.simulation.now += 1.7
+        decision = await asyncio.wait_for(self.simulation.admit(timeout_s=0.0), MAX_READ_WAIT_S)
         self.assertIsInstance(decision, Denied)
 
 
@@ -189,8 +189,8 @@
     """Checks after the connection is open, right before a request is sent."""
 
     async def asyncSetUp(self) -> None:
-        self.world = World()
-        decision = await self.world.admit()
+        self.simulation = World()
+        decision = await self.simulation.admit()
         assert isinstance(decision, Admitted)
         self.admitted = decision
 
@@ -198,7 +198,7 @@
         """Return why the request must not be sent; empty if it may be."""
         record = make_endpoint(name)
         try:
-            self.world.admission.check_send(self.admitted, record, now=self.world.now)
+            self.simulation.admission.check_send(self.admitted, record, now=self.simulation.now)
         except AttemptFailed as failure:
             self.assertEqual(failure.kind, FailureKind.OUTDATED)
             self.assertTrue(failure.unrun)
@@ -206,7 +206,7 @@
         return ""
 
     async def test_nothing_has_changed(self) -> None:
-        self.world.now += 1.5
+        self.simulation.now += 1.5
         self.assertEqual(self.check(), "")
 
     async def test_a_pause_between_choice_and_send_is_seen(self) -> None:
@@ -215,29 +215,29 @@
         It was admitted by fresh tables, but opening a connection took long or the process was
         paused, and the bound has passed by the time of the send.
         """
-        self.world.now += 1.7
+        self.simulation.now += 1.7
         self.assertEqual(self.check(), "old knowledge")
 
     async def test_a_changed_route_is_seen(self) -> None:
-        self.world.move_route()
-        await self.world.reader.catalog.join()
+        self.simulation.move_route()
+        await self.simulation.reader.catalog.join()
         self.assertEqual(self.check(), "the configuration has changed")
 
     async def test_an_endpoint_that_leaves_is_seen(self) -> None:
         gone = [make_endpoint("y")]
         leaving = [make_endpoint("x", ready=False, row_version=9), make_endpoint("y")]
         for records in (gone, leaving):
-            self.world.change_endpoints(*records)
-            await self.world.reader.endpoints.join()
+            self.simulation.change_endpoints(*records)
+            await self.simulation.reader.endpoints.join()
             self.assertEqual(self.check("x"), "the endpoint leaves")
             self.assertEqual(self.check("y"), "")
 
     async def test_keys_are_checked_again_while_the_store_is_away(self) -> None:
-        self.world.unavailable = True
-        self.world.now += 4.2
-        await self.world.admit()
+        self.simulation.unavailable = True
+        self.simulation.now += 4.2
+        await self.simulation.admit()
         self.assertEqual(self.check(), "")
-        self.world.now += 0.2
+        self.simulation.now += 0.2
         self.assertEqual(self.check(), "old keys")
 
 
@@ -261,20 +261,20 @@
         asyncio.run(self.simulate(steps))
 
     async def simulate(self, steps: list[tuple[float, float, bool]]) -> None:
-        world = World()
+        simulation = World()
         ended: dict[int, float] = {}
         for pause_s, read_s, moves in steps:
             if moves:
-                ended[world.catalog.row_version] = world.now
-                world.move_route()
-            world.now += pause_s
-            world.read_s = read_s
-            asked = world.now
-            decision = await world.admit()
+                ended[simulation.catalog.row_version] = simulation.now
+                simulation.move_route()
+            simulation.now += pause_s
+            simulation.read_s = read_s
+            asked = simulation.now
+            decision = await simulation.admit()
             if isinstance(decision, Denied):
                 continue
             try:
-                world.admission.check_send(decision, make_endpoint("x"), now=world.now)
+                simulation.admission.check_send(decision, make_endpoint("x"), now=simulation.now)
             except AttemptFailed:
                 continue
             self.assertLess(asked - ended.get(decision.catalog.row_version, asked), 2.0)
--- a/tests/test_relay_freshness_properties.py
+++ b/tests/test_relay_freshness_properties.py
@@ -18,7 +18,7 @@
     @given(
         offset=st.floats(min_value=-1e6, max_value=1e6),
         calls=st.lists(st.tuples(SECONDS, SECONDS, SECONDS), min_size=1, max_size=10),
-        held=SECONDS,
+        suspended_s=SECONDS,
     )
     def test_age_is_never_below_the_true_one(
         self, offset: float, calls: list[tuple[float, float, float]], suspended_s: float
--- a/tests/test_relay_table_watch.py
+++ b/tests/test_relay_table_watch.py
@@ -36,16 +36,16 @@
     """The watch sleeps while no read can be due, and wakes for updates."""
 
     async def asyncSetUp(self) -> None:
-        self.world = World()
+        self.simulation = World()
         self.reads = 0
         self.was_read = asyncio.Event()
         self.watch = CatalogWatch(
             read=SharedRead(read=self.read),
             schedule=UpdateOnlySchedule(),
-            knowledge=self.world.knowledge,
+            fleet_state=self.simulation.knowledge,
             counters=Counters(),
             loop_delay=LoopDelay(),
-            read_time=lambda: self.world.now,
+            read_time=lambda: self.simulation.now,
         )
         task = asyncio.create_task(self.watch.run())
         self.addCleanup(task.cancel)
@@ -53,13 +53,13 @@
 
     async def read(self) -> bool:
         self.reads += 1
-        self.world.knowledge.newer_catalog_known = False
+        self.simulation.knowledge.newer_catalog_known = False
         self.was_read.set()
         return True
 
     async def test_news_wakes_it(self) -> None:
         """A changed configuration is read although the next round is far away."""
-        self.world.knowledge.newer_catalog_known = True
+        self.simulation.knowledge.newer_catalog_known = True
         self.watch.wake_for_update()
         await asyncio.wait_for(self.was_read.wait(), EVENT_TIMEOUT_S)
 
