--- a/src/guavamast/relay/catalog.py
+++ b/src/guavamast/relay/catalog.py
@@ -11,9 +11,9 @@
     from collections.abc import Callable
 
 URGENCY_DEFAULT: Final = 5
-"""Urgency of requests whose route and organisation set none; the middle of the engines' range."""
+"""Rank of requests whose route and organisation set none; the middle of the engines' range."""
 LEAST_URGENT: Final = 9
-"""Lowest urgency that engines support."""
+"""Rank of the least urgent requests that engines support; greater ranks are less urgent."""
 IDLE_MARGIN_S: Final = 1.0
 """Seconds added to the idle timeout of callers: far longer than a message's transit time plus a
 pause of either process."""
@@ -170,7 +170,7 @@
         )
 
     def find_route(self, host: str, path: str) -> Route | None:
-        """Return the route of the host with the longest prefix of the path.
+        """Return the host's route with the longest prefix that matches the path.
 
         Args:
             host: The request's host, with or without a port.
--- a/src/guavamast/relay/freshness.py
+++ b/src/guavamast/relay/freshness.py
@@ -9,7 +9,7 @@
 from typing import Final
 
 UNKNOWN_AGE_S: Final = 1e6
-"""Age in seconds that is reported for a table that was never read."""
+"""Seconds that are reported as the age of a table that was never read."""
 OUTAGE_RECOVERY_S: Final = 2.0
 """Seconds within which entries that expired during a store outage are written again."""
 OUTAGE_GAP_S: Final = 1.6
--- a/src/guavamast/relay/node.py
+++ b/src/guavamast/relay/node.py
@@ -49,14 +49,14 @@
     from guavamast.relay.store import CatalogReading, EndpointReading, Store
 
 STANDARD_OUTPUT: Final = 1
-"""Default file descriptor of the log."""
+"""Descriptor of the log by default."""
 ADDRESS_CACHE_FACTOR: Final = 3.0
-"""Longest time that some callers cache an answer with addresses, as a multiple of its validity."""
+"""Factor on the validity of an answer with addresses: some callers cache it that long."""
 LEAVE_MARGIN_S: Final = 0.5
 """Seconds added to the time in which callers may still connect: a heartbeat plus the transit of a
 request."""
 STOP_MARGIN_S: Final = 0.8
-"""The process ends this many seconds before the platform would kill it."""
+"""Seconds before the platform would kill the process at which it ends."""
 
 
 class Node:
--- a/src/guavamast/relay/read_schedule.py
+++ b/src/guavamast/relay/read_schedule.py
@@ -9,7 +9,7 @@
     from random import Random
 
 READ_INTERVAL_S: Final = 0.6
-"""Age in seconds at which the first-ranked reader reads again. A change is in force everywhere
+"""Seconds of age at which the first-ranked reader reads again; a change is in force everywhere
 after this time plus a heartbeat and a read of the change."""
 OWN_READ_AGE_SHARE: Final = 0.65
 """Share of the age bound for requests at which each instance reads for itself, so that requests
@@ -25,16 +25,16 @@
 """Seconds of jitter per instance for reads of the same change: the first reader publishes it before
 most others read."""
 UPDATE_JITTER_MAX_SHARE: Final = 0.2
-"""Upper limit of this jitter, as a share of the age bound for requests."""
+"""Share of the age bound for requests that this jitter takes at most."""
 LAST_RANK: Final = 4
-"""Ranks from this one on read after the same delay, which bounds the wait when many readers have
-failed."""
+"""Rank from which on readers take over after the same delay, so that the wait stays short when many
+have failed."""
 SPREAD_S: Final = 0.3
 """Seconds of jitter for the last ranks; a third of it is the least for reads of the same change."""
 BACKOFF_FIRST_S: Final = 0.3
 """Seconds until the retry after a first failed read; doubled after each further failure."""
 BACKOFF_MAX_S: Final = 1.2
-"""Longest delay in seconds between failed reads: several fit in before keys stop being accepted."""
+"""Seconds between failed reads at most: several fit in before keys stop being accepted."""
 
 
 class ReadSchedule:
--- a/src/guavamast/relay/staleness.py
+++ b/src/guavamast/relay/staleness.py
@@ -9,7 +9,7 @@
 REVOCATION_MARGIN_S: Final = 0.7
 """Seconds subtracted from the bound on revoked keys; more, as it covers slow instances too."""
 MARGIN_SHARE: Final = 0.5
-"""Largest share of a bound that a margin may take, so that short bounds keep some time."""
+"""Share of a short bound that a margin may take at most."""
 
 
 class StalenessBounds:
--- a/tests/test_relay_freshness_properties.py
+++ b/tests/test_relay_freshness_properties.py
@@ -50,7 +50,7 @@
         self.freshness = Freshness(clock=self.clock)
 
     def test_word_on_another_version_proves_nothing(self) -> None:
-        """A peer's stamp of a newer version must not extend the age of the older one held here.
+        """A peer's stamp of a newer version must not refresh the older version held here.
 
         Otherwise a revoked key stays accepted: the peer has read the revocation, and its heartbeats
         confirm only the new version.
