--- a/src/guavamast/relay/caller_admission.py
+++ b/src/guavamast/relay/caller_admission.py
@@ -19,7 +19,7 @@
     from guavamast.relay.store_reader import SharedRead, StoreReader
 
 MAX_READ_WAIT_S: Final = 1.0
-"""Seconds that a request waits at most for store reads: another instance may answer sooner."""
+"""Seconds that a request waits at most for store reads: another instance may serve it sooner."""
 
 
 class CallerAdmission:
--- a/src/guavamast/relay/caller_gate.py
+++ b/src/guavamast/relay/caller_gate.py
@@ -43,7 +43,7 @@
     freshness stamp, by a clock that counts suspended time too.
 
     A request gets 404 or 401 only by a configuration that is within its bound, as a caller does not
-    retry after such an answer.
+    retry after such a response.
 
     Args:
         bounds: Maximum ages of the tables.
--- a/src/guavamast/relay/catalog.py
+++ b/src/guavamast/relay/catalog.py
@@ -20,7 +20,7 @@
 
 
 class RouteKind(StrEnum):
-    """Whether requests of a route may be retried, and whether the answer is a stream."""
+    """Whether requests of a route may be retried, and whether the response is a stream."""
 
     IDEMPOTENT = "idempotent"
     NON_IDEMPOTENT = "non_idempotent"
@@ -47,7 +47,7 @@
     timeout_s: float
     """Longest time that a caller waits."""
     objective_s: float
-    """Latency objective in seconds: time to the answer, for streams to the first event."""
+    """Latency objective in seconds: time to the response, for streams to the first event."""
     longest_pause_s: float | None
     """Longest pause between two events with which a stream is still on time."""
     max_endpoints: int
@@ -111,7 +111,7 @@
         """Idle time after which an instance closes a caller's connection.
 
         Without the margin, a request that is sent just before the timeout crosses the close and
-        the caller gets a reset instead of an answer. The margin lets everything that was sent
+        the caller gets a reset instead of a response. The margin lets everything that was sent
         within the timeout arrive before the close.
         """
         return self.idle_timeout_s + IDLE_MARGIN_S
@@ -191,7 +191,7 @@
         """Return the urgency to send to engines; 0 is the most urgent.
 
         The organisation's urgency takes precedence if set; the route's urgency breaks ties, so that
-        an engine that is short of KV cache preempts a long summary rather than a short answer.
+        an engine that is short of KV cache preempts a long summary rather than a short response.
         """
         urgency = _resolve_urgency(route, organisation)
         return self._urgencies.get((urgency, route.urgency), min(LEAST_URGENT, urgency))
--- a/src/guavamast/relay/freshness.py
+++ b/src/guavamast/relay/freshness.py
@@ -39,18 +39,18 @@
         return self._clock_offset is not None
 
     def record(self, *, sent: float, reading: float) -> None:
-        """Update the clock offset from the answer to a call.
+        """Update the clock offset from the response to a call.
 
         Args:
             sent: Local time just before the call was sent.
-            reading: Store time in the answer.
+            reading: Store time in the response.
         """
         difference = sent - reading
         if self._clock_offset is None or difference > self._clock_offset:
             self._clock_offset = difference
 
     def compute_age(self, store_time: float, *, now: float) -> float:
-        """Return an upper bound on the seconds since a store time; infinite before any answer."""
+        """Return an upper bound on the seconds since a store time; infinite before any response."""
         if self._clock_offset is None:
             return float("inf")
         return now - (store_time + self._clock_offset)
--- a/src/guavamast/relay/node.py
+++ b/src/guavamast/relay/node.py
@@ -51,7 +51,7 @@
 STANDARD_OUTPUT: Final = 1
 """Descriptor of the log by default."""
 ADDRESS_CACHE_FACTOR: Final = 3.0
-"""Factor on the validity of an answer with addresses: some callers cache it that long."""
+"""Factor on the validity of a response with addresses: some callers cache it that long."""
 LEAVE_MARGIN_S: Final = 0.5
 """Seconds added to the time in which callers may still connect: a heartbeat plus the transit of a
 request."""
@@ -66,7 +66,7 @@
         settings: Location, addresses and time bounds.
         store: The platform's store.
         codec: Header names.
-        clock: Updated from the store's answers.
+        clock: Updated from the store's responses.
         log_descriptor: File descriptor of the log.
     """
 
--- a/src/guavamast/relay/store.py
+++ b/src/guavamast/relay/store.py
@@ -12,7 +12,7 @@
 
 
 class StoreError(Exception):
-    """A call to the store that returned no usable answer.
+    """A call to the store that returned no usable response.
 
     Args:
         reason: What happened.
@@ -63,7 +63,7 @@
 
 
 class Store(ABC):
-    """The platform's store; each call raises `StoreError` if it gets no usable answer."""
+    """The platform's store; each call raises `StoreError` if it gets no usable response."""
 
     @abstractmethod
     async def read_catalog(self, *, known: Catalog | None) -> CatalogReading:
--- a/src/guavamast/relay/store_reader.py
+++ b/src/guavamast/relay/store_reader.py
@@ -94,7 +94,7 @@
         self.endpoints = SharedRead(read=self._read_endpoints)
         """Reads the endpoint table."""
         self.answers = True
-        """Whether the last call to the store had a usable answer."""
+        """Whether the last call to the store had a usable response."""
 
     def apply_endpoint_snapshot(self, snapshot: EndpointReading, *, from_peer: bool) -> bool:
         """Apply an endpoint table; return whether it differs from the current one.
@@ -138,7 +138,7 @@
         return self._apply_catalog(snapshot, former_age_s=former_age_s, from_peer=True)
 
     def record_failure(self, call: str, error: StoreError) -> None:
-        """Record a call that returned no usable answer."""
+        """Record a call that returned no usable response."""
         self._counters.add(f'store_failures_total{{call="{call}"}}')
         if self.answers:
             now = self._read_time()
--- a/tests/test_relay_caller_admission.py
+++ b/tests/test_relay_caller_admission.py
@@ -41,7 +41,7 @@
         self.now = START_S
         self.unavailable = False
         self.read_s = 0.004
-        """Seconds from the store's clock reading until the answer arrives."""
+        """Seconds from the store's clock reading until the response arrives."""
         self.reads = 0
         self.catalog = make_catalog()
         self.records = [make_endpoint("x"), make_endpoint("y")]
@@ -168,7 +168,7 @@
     async def test_a_slow_instance_sends_its_callers_back(self) -> None:
         """An instance that can't keep up rejects its callers with a retry delay.
 
-        The store answers at once, but the instance processes each answer so late that the tables
+        The store answers at once, but the instance processes each response so late that the tables
         are older than the bound again. No request may be sent by them.
         """
         self.simulation.read_s = 1.7
