--- a/src/guavamast/relay/read_schedule.py
+++ b/src/guavamast/relay/read_schedule.py
@@ -1,4 +1,4 @@
-"""When an instance reads the store: one instance reads, the others step in when it falls silent."""
+"""When an instance reads the store: one instance reads, and others take over if it stops."""
 
 from __future__ import annotations
 
@@ -9,61 +9,61 @@
     from random import Random
 
 READ_INTERVAL_S: Final = 0.6
-"""Seconds of age at which the first reader reads again; a change is in force everywhere after this,
-a beat and a read of the change."""
-OWN_READ_SHARE: Final = 0.65
-"""Share of the age at which requests are not sent any more: each instance reads for itself then, so
-that requests seldom wait for a read."""
+"""Seconds of age at which the first-ranked reader reads again; a change is in force everywhere
+after this time plus a heartbeat and a read of the change."""
+OWN_READ_AGE_SHARE: Final = 0.65
+"""Share of the age bound for requests at which each instance reads for itself, so that requests
+seldom wait for a read."""
 TICK_S: Final = 0.05
-"""Seconds between two decisions whether to read, once a read may be due."""
+"""Seconds between two checks whether to read, once a read may be due."""
 STEP_IN_S: Final = 0.25
-"""Seconds by which each further reader steps in later; longer than a read takes and a beat
-travels."""
+"""Seconds by which each further rank reads later; longer than a read plus the transit time of a
+heartbeat."""
 NEWS_WAIT_S: Final = 0.06
-"""Seconds in which the news itself may come from the instance that has it, before it is read
-here."""
-NEWS_SPREAD_EACH_S: Final = 0.004
-"""Seconds, for each instance, over which the reads of the same news are spread: whoever reads first
-tells the others within the next few."""
-NEWS_SPREAD_SHARE: Final = 0.2
-"""Share of the age at which requests are not sent any more that this spread takes at most."""
+"""Seconds to wait for an update from the instance that has it, before reading the store."""
+UPDATE_JITTER_PER_INSTANCE_S: Final = 0.004
+"""Seconds of jitter per instance for reads of the same change: the first reader publishes it before
+most others read."""
+UPDATE_JITTER_MAX_SHARE: Final = 0.2
+"""Share of the age bound for requests that this jitter takes at most."""
 LAST_RANK: Final = 4
-"""Readers beyond this rank step in together, so that nobody waits long when many have gone."""
+"""Rank from which on readers take over after the same delay, so that the wait stays short when many
+have failed."""
 SPREAD_S: Final = 0.3
-"""Seconds over which the last ranks, and all instances that fetch the same news, are spread."""
+"""Seconds of jitter for the last ranks; a third of it is the least for reads of the same change."""
 BACKOFF_FIRST_S: Final = 0.3
-"""Seconds after the first read that fails until the next; doubled after each further."""
-BACKOFF_LONGEST_S: Final = 1.2
-"""Seconds between reads that fail at most: several fit in before keys stop being accepted."""
+"""Seconds until the retry after a first failed read; doubled after each further failure."""
+BACKOFF_MAX_S: Final = 1.2
+"""Seconds between failed reads at most: several fit in before keys stop being accepted."""
 
 
 class ReadSchedule:
     """Decides when one table is read.
 
-    Failure: every instance asks the store all the time, and the store's calls grow with instances
-    times time. Proofs ride on the beats, so that one reader is enough; a reader that dies or is cut
-    off is replaced by the next rank within `STEP_IN_S`.
+    If every instance polled the store, its load would grow with the number of instances.
+    Heartbeats carry the freshness stamps, so one reader is enough; a reader that fails or is
+    partitioned is replaced by the next rank within `STEP_IN_S`.
 
-    Failure: all datagrams to an instance are lost, it waits for the ranks before it, and what it
-    knows gets too old. It reads for itself at a share of the bound, which no rank delays.
+    An instance that loses all datagrams would wait for the ranks before it while its tables get too
+    old. It therefore reads for itself at a share of the bound, whatever its rank.
 
-    Failure: a table changes every tenth of a second while all engines start, each of two hundred
-    instances reads each change, and the store gets a thousand calls a second. Reads of the same
-    news are spread the wider the more instances there are; the first tells the others.
+    While all engines start, a table changes every tenth of a second; if each of two hundred
+    instances read each change, the store would get a thousand calls a second. The jitter for reads
+    of the same change grows with the number of instances, and the first reader publishes it.
 
     Args:
-        random: Spreads the reads of instances.
-        bound_s: Age of the proof at which requests are not sent by it any more.
-        count_instances: Returns how many instances there are.
+        random: Source of jitter.
+        bound_s: Age of the table above which it must not be used for requests.
+        count_instances: Returns the number of instances.
     """
 
     __slots__ = (
         "_bound_s",
         "_count_instances",
         "_failures",
-        "_latest_s",
-        "_news_at",
-        "_not_before",
+        "_own_read_age_s",
+        "_update_read_at",
+        "_retry_at",
         "_random",
     )
 
@@ -73,57 +73,59 @@
         self._random = random
         self._bound_s = bound_s
         self._count_instances = count_instances
-        self._latest_s = OWN_READ_SHARE * bound_s
+        self._own_read_age_s = OWN_READ_AGE_SHARE * bound_s
         self._failures = 0
-        self._not_before = 0.0
-        self._news_at: float | None = None
+        self._retry_at = 0.0
+        self._update_read_at: float | None = None
 
     def is_due(self, *, age_s: float, rank: int, news: bool, now: float) -> bool:
         """Return whether to read now.
 
         Args:
-            age_s: Age of the newest proof.
-            rank: Instances that come before this one in reading.
-            news: Whether another instance is known to have something newer.
+            age_s: Age of the newest freshness stamp.
+            rank: Number of instances that read before this one.
+            news: Whether another instance is known to have a newer version.
             now: The present time.
         """
-        if now < self._not_before:
+        if now < self._retry_at:
             return False
         if news:
-            if self._news_at is None:
-                self._news_at = now + NEWS_WAIT_S + self._random.random() * self._find_news_spread()
-            return now >= self._news_at
-        self._news_at = None
-        due_s = min(READ_INTERVAL_S + STEP_IN_S * min(rank, LAST_RANK), self._latest_s)
+            if self._update_read_at is None:
+                self._update_read_at = (
+                    now + NEWS_WAIT_S + self._random.random() * self._compute_update_jitter()
+                )
+            return now >= self._update_read_at
+        self._update_read_at = None
+        due_s = min(READ_INTERVAL_S + STEP_IN_S * min(rank, LAST_RANK), self._own_read_age_s)
         if rank >= LAST_RANK:
             due_s += SPREAD_S * (rank % 7) / 7
         return age_s >= due_s
 
-    def find_pause(self, *, age_s: float, news: bool) -> float:
-        """Return the seconds for which no read can become due unless news comes.
+    def compute_pause(self, *, age_s: float, has_update: bool) -> float:
+        """Return the seconds in which no read can become due unless an update becomes known.
 
         Args:
-            age_s: Age of the newest proof.
-            news: Whether another instance is known to have something newer.
+            age_s: Age of the newest freshness stamp.
+            has_update: Whether another instance is known to have a newer version.
         """
-        if news:
+        if has_update:
             return TICK_S
         return max(TICK_S, READ_INTERVAL_S - age_s)
 
-    def _find_news_spread(self) -> float:
-        """Return the seconds over which the reads of the same news are spread."""
-        spread_s = max(SPREAD_S / 3, NEWS_SPREAD_EACH_S * self._count_instances())
-        return min(spread_s, NEWS_SPREAD_SHARE * self._bound_s)
+    def _compute_update_jitter(self) -> float:
+        """Return the largest jitter, in seconds, for reads of the same change."""
+        jitter_s = max(SPREAD_S / 3, UPDATE_JITTER_PER_INSTANCE_S * self._count_instances())
+        return min(jitter_s, UPDATE_JITTER_MAX_SHARE * self._bound_s)
 
     def record_success(self) -> None:
-        """Read at the usual times again."""
+        """Reset the backoff."""
         self._failures = 0
-        self._not_before = 0.0
-        self._news_at = None
+        self._retry_at = 0.0
+        self._update_read_at = None
 
     def record_failure(self, *, now: float) -> None:
-        """Pause before the next read, longer after each failure."""
+        """Delay the next read, longer after each failure."""
         self._failures += 1
-        pause = min(BACKOFF_LONGEST_S, BACKOFF_FIRST_S * 2 ** (self._failures - 1))
-        self._not_before = now + pause * (0.75 + 0.5 * self._random.random())
-        self._news_at = None
+        pause = min(BACKOFF_MAX_S, BACKOFF_FIRST_S * 2 ** (self._failures - 1))
+        self._retry_at = now + pause * (0.75 + 0.5 * self._random.random())
+        self._update_read_at = None
--- a/tests/test_relay_caller_admission.py
+++ b/tests/test_relay_caller_admission.py
@@ -1,4 +1,4 @@
-"""Tests that requests are sent by recent knowledge alone, whatever becomes of news and reads."""
+"""Tests that requests are sent by fresh tables only, even if updates are lost or reads are slow."""
 
 from __future__ import annotations
 
@@ -11,7 +11,7 @@
 from hypothesis import strategies as st
 
 from guavamast.relay.attempt import AttemptFailed, FailureKind
-from guavamast.relay.caller_admission import MOST_WAIT_S, CallerAdmission
+from guavamast.relay.caller_admission import MAX_READ_WAIT_S, CallerAdmission
 from guavamast.relay.caller_gate import Admitted, CallerGate, Denied
 from guavamast.relay.catalog import WeightedService
 from guavamast.relay.counters import Counters
@@ -35,13 +35,13 @@
 
 
 class World(Store):
-    """The store, the clock and one instance that hears of nothing but its own reads."""
+    """A simulated store and clock, with one instance that receives no updates from others."""
 
     def __init__(self) -> None:
         self.now = START_S
-        self.away = False
+        self.unavailable = False
         self.read_s = 0.004
-        """Seconds that a read takes after the store has spoken."""
+        """Seconds from the store's clock reading until the response arrives."""
         self.reads = 0
         self.catalog = make_catalog()
         self.records = [make_endpoint("x"), make_endpoint("y")]
@@ -51,13 +51,13 @@
         counters = Counters()
         self.reader = StoreReader(
             store=self,
-            knowledge=self.knowledge,
+            fleet_state=self.knowledge,
             log=DecisionLog(instance="one", descriptor=os.open(os.devnull, os.O_WRONLY)),
             counters=counters,
             read_time=lambda: self.now,
-            announce=lambda: None,
-            tell_catalog=lambda _: None,
-            tell_endpoints=lambda _: None,
+            send_heartbeat=lambda: None,
+            publish_catalog=lambda _: None,
+            publish_endpoints=lambda _: None,
         )
         self.admission = CallerAdmission(
             gate=CallerGate(bounds=BOUNDS),
@@ -69,7 +69,7 @@
 
     def decode_catalog(self, text: bytes, *, row_version: int) -> Catalog:
         del text, row_version
-        raise StoreError("nothing is told")
+        raise StoreError("no updates in this test")
 
     async def read_catalog(self, *, known: Catalog | None) -> CatalogReading:
         catalog = self.catalog
@@ -101,105 +101,104 @@
     def change_endpoints(self, *records: EndpointRecord) -> None:
         self.records = list(records)
 
-    async def admit(self, patience_s: float = 1.5) -> Admitted | Denied:
-        request = make_request(arrived=self.now, patience_s=patience_s)
-        return await self.admission.admit(request, until=self.now + patience_s)
+    async def admit(self, timeout_s: float = 1.5) -> Admitted | Denied:
+        request = make_request(arrived=self.now, patience_s=timeout_s)
+        return await self.admission.admit(request, until=self.now + timeout_s)
 
     async def _answer(self) -> float:
         self.reads += 1
         await asyncio.sleep(0)
-        if self.away:
+        if self.unavailable:
             raise StoreError("silent")
-        reading = self.now
-        self._clock.record(sent=self.now, reading=reading)
+        store_time = self.now
+        self._clock.record(sent=self.now, reading=store_time)
         self.now += self.read_s
-        return reading
+        return store_time
 
 
 def list_services(decision: Admitted | Denied) -> Sequence[str]:
-    """Return the services to which a request may go."""
+    """Return the services that an admitted request may be sent to."""
     assert isinstance(decision, Admitted)
     return [entry.service for entry in decision.route.services]
 
 
 class AdmissionTest(unittest.IsolatedAsyncioTestCase):
-    """What a caller gets from an instance whose news is lost."""
+    """Admission at an instance that receives no updates."""
 
     async def asyncSetUp(self) -> None:
-        self.world = World()
-        await self.world.admit()
+        self.simulation = World()
+        await self.simulation.admit()
 
     async def test_old_knowledge_is_read_again_before_a_request_goes(self) -> None:
-        """A request goes to the service to which its route was moved, although no news came.
+        """A request follows a moved route although all updates are lost and the watch is delayed.
 
-        Every message of the others is lost and the watch is held up. The request finds the
-        configuration older than the bound, and waits for a read.
+        It finds the configuration older than the bound and waits for a read.
         """
-        self.world.move_route()
-        self.world.now += 1.7
-        self.assertEqual(list_services(await self.world.admit()), ["annex"])
+        self.simulation.move_route()
+        self.simulation.now += 1.7
+        self.assertEqual(list_services(await self.simulation.admit()), ["annex"])
 
     async def test_recent_knowledge_is_used_without_a_read(self) -> None:
-        reads = self.world.reads
-        self.world.now += 1.5
-        await self.world.admit()
-        self.assertEqual(self.world.reads, reads)
+        reads = self.simulation.reads
+        self.simulation.now += 1.5
+        await self.simulation.admit()
+        self.assertEqual(self.simulation.reads, reads)
 
     async def test_many_requests_share_one_read_of_each_table(self) -> None:
-        reads = self.world.reads
-        self.world.now += 1.7
-        await asyncio.gather(*(self.world.admit() for _ in range(50)))
-        self.assertEqual(self.world.reads - reads, 2)
+        reads = self.simulation.reads
+        self.simulation.now += 1.7
+        await asyncio.gather(*(self.simulation.admit() for _ in range(50)))
+        self.assertEqual(self.simulation.reads - reads, 2)
 
     async def test_old_knowledge_serves_while_the_store_is_away(self) -> None:
-        self.world.away = True
-        self.world.now += 3.0
-        self.assertEqual(list_services(await self.world.admit()), ["portal"])
-        reads = self.world.reads
-        await self.world.admit()
-        self.assertEqual(self.world.reads, reads)
+        self.simulation.unavailable = True
+        self.simulation.now += 3.0
+        self.assertEqual(list_services(await self.simulation.admit()), ["portal"])
+        reads = self.simulation.reads
+        await self.simulation.admit()
+        self.assertEqual(self.simulation.reads, reads)
 
     async def test_keys_are_refused_when_the_store_is_away_for_long(self) -> None:
-        self.world.away = True
-        self.world.now += 4.4
-        decision = await self.world.admit()
+        self.simulation.unavailable = True
+        self.simulation.now += 4.4
+        decision = await self.simulation.admit()
         assert isinstance(decision, Denied)
         self.assertEqual((decision.status, decision.reason), (503, "old keys"))
 
     async def test_a_slow_instance_sends_its_callers_back(self) -> None:
-        """A caller is told to come back, truthfully, by an instance that can't keep up.
+        """An instance that can't keep up rejects its callers with a retry delay.
 
-        The store answers at once, but the instance takes each answer so late that what it says is
-        older than the bound again. No request is sent by it.
+        The store answers at once, but the instance processes each response so late that the tables
+        are older than the bound again. No request may be sent by them.
         """
-        self.world.read_s = 1.7
-        self.world.move_route()
-        self.world.now += 1.7
-        decision = await self.world.admit()
+        self.simulation.read_s = 1.7
+        self.simulation.move_route()
+        self.simulation.now += 1.7
+        decision = await self.simulation.admit()
         assert isinstance(decision, Denied)
         self.assertEqual((decision.status, decision.reason), (503, "old knowledge"))
         self.assertIsNotNone(decision.retry_after_s)
 
     async def test_a_silent_read_holds_a_request_no_longer_than_the_bound(self) -> None:
-        self.world.now += 1.7
-        decision = await asyncio.wait_for(self.world.admit(patience_s=0.0), MOST_WAIT_S)
+        self.simulation.now += 1.7
+        decision = await asyncio.wait_for(self.simulation.admit(timeout_s=0.0), MAX_READ_WAIT_S)
         self.assertIsInstance(decision, Denied)
 
 
 class CheckSendTest(unittest.IsolatedAsyncioTestCase):
-    """What is checked after the connection is made, right before a request leaves."""
+    """Checks after the connection is open, right before a request is sent."""
 
     async def asyncSetUp(self) -> None:
-        self.world = World()
-        decision = await self.world.admit()
+        self.simulation = World()
+        decision = await self.simulation.admit()
         assert isinstance(decision, Admitted)
         self.admitted = decision
 
     def check(self, name: str = "x") -> str:
-        """Return why the request must not be sent; empty when it may."""
+        """Return why the request must not be sent; empty if it may be."""
         record = make_endpoint(name)
         try:
-            self.world.admission.check_send(self.admitted, record, now=self.world.now)
+            self.simulation.admission.check_send(self.admitted, record, now=self.simulation.now)
         except AttemptFailed as failure:
             self.assertEqual(failure.kind, FailureKind.OUTDATED)
             self.assertTrue(failure.unrun)
@@ -207,43 +206,43 @@
         return ""
 
     async def test_nothing_has_changed(self) -> None:
-        self.world.now += 1.5
+        self.simulation.now += 1.5
         self.assertEqual(self.check(), "")
 
     async def test_a_pause_between_choice_and_send_is_seen(self) -> None:
-        """A request is not sent by a choice that was made before the process stood still.
+        """A request is not sent after a pause that makes the tables too old.
 
-        It was admitted by recent knowledge, a connection took long or the process was paused, and
-        by the time of the send the bound has passed.
+        It was admitted by fresh tables, but opening a connection took long or the process was
+        paused, and the bound has passed by the time of the send.
         """
-        self.world.now += 1.7
+        self.simulation.now += 1.7
         self.assertEqual(self.check(), "old knowledge")
 
     async def test_a_changed_route_is_seen(self) -> None:
-        self.world.move_route()
-        await self.world.reader.catalog.join()
+        self.simulation.move_route()
+        await self.simulation.reader.catalog.join()
         self.assertEqual(self.check(), "the configuration has changed")
 
     async def test_an_endpoint_that_leaves_is_seen(self) -> None:
         gone = [make_endpoint("y")]
         leaving = [make_endpoint("x", ready=False, row_version=9), make_endpoint("y")]
         for records in (gone, leaving):
-            self.world.change_endpoints(*records)
-            await self.world.reader.endpoints.join()
+            self.simulation.change_endpoints(*records)
+            await self.simulation.reader.endpoints.join()
             self.assertEqual(self.check("x"), "the endpoint leaves")
             self.assertEqual(self.check("y"), "")
 
     async def test_keys_are_checked_again_while_the_store_is_away(self) -> None:
-        self.world.away = True
-        self.world.now += 4.2
-        await self.world.admit()
+        self.simulation.unavailable = True
+        self.simulation.now += 4.2
+        await self.simulation.admit()
         self.assertEqual(self.check(), "")
-        self.world.now += 0.2
+        self.simulation.now += 0.2
         self.assertEqual(self.check(), "old keys")
 
 
 class BoundTest(unittest.TestCase):
-    """Over any pauses and slow reads, a request that is sent is within the bounds."""
+    """With any pauses and slow reads, requests are sent within the bounds only."""
 
     @given(
         steps=st.lists(
@@ -259,23 +258,23 @@
     def test_nothing_is_sent_by_a_version_that_ended_too_long_ago(
         self, steps: list[tuple[float, float, bool]]
     ) -> None:
-        asyncio.run(self.play(steps))
+        asyncio.run(self.simulate(steps))
 
-    async def play(self, steps: list[tuple[float, float, bool]]) -> None:
-        world = World()
+    async def simulate(self, steps: list[tuple[float, float, bool]]) -> None:
+        simulation = World()
         ended: dict[int, float] = {}
         for pause_s, read_s, moves in steps:
             if moves:
-                ended[world.catalog.row_version] = world.now
-                world.move_route()
-            world.now += pause_s
-            world.read_s = read_s
-            asked = world.now
-            decision = await world.admit()
+                ended[simulation.catalog.row_version] = simulation.now
+                simulation.move_route()
+            simulation.now += pause_s
+            simulation.read_s = read_s
+            asked = simulation.now
+            decision = await simulation.admit()
             if isinstance(decision, Denied):
                 continue
             try:
-                world.admission.check_send(decision, make_endpoint("x"), now=world.now)
+                simulation.admission.check_send(decision, make_endpoint("x"), now=simulation.now)
             except AttemptFailed:
                 continue
             self.assertLess(asked - ended.get(decision.catalog.row_version, asked), 2.0)
--- a/tests/test_relay_table_watch.py
+++ b/tests/test_relay_table_watch.py
@@ -13,12 +13,12 @@
 from guavamast.relay.table_watch import CatalogWatch
 from tests.test_relay_caller_admission import World
 
-READY_S = 20.0
-"""Time for what is to happen at once, on a busy machine."""
+EVENT_TIMEOUT_S = 20.0
+"""Timeout in seconds for an immediate event, generous for a busy machine."""
 
 
-class SleepySchedule(ReadSchedule):
-    """Reads on news alone, and sleeps for hours otherwise."""
+class UpdateOnlySchedule(ReadSchedule):
+    """Reads on updates only, and pauses for an hour otherwise."""
 
     def __init__(self) -> None:
         super().__init__(random=Random(1), bound_s=60.0, count_instances=lambda: 14)
@@ -27,25 +27,25 @@
         del age_s, rank, now
         return news
 
-    def find_pause(self, *, age_s: float, news: bool) -> float:
-        del age_s, news
+    def compute_pause(self, *, age_s: float, has_update: bool) -> float:
+        del age_s, has_update
         return 3600.0
 
 
 class TableWatchTest(unittest.IsolatedAsyncioTestCase):
-    """An instance sleeps while nothing can be due, and wakes for news."""
+    """The watch sleeps while no read can be due, and wakes for updates."""
 
     async def asyncSetUp(self) -> None:
-        self.world = World()
+        self.simulation = World()
         self.reads = 0
         self.was_read = asyncio.Event()
         self.watch = CatalogWatch(
             read=SharedRead(read=self.read),
-            schedule=SleepySchedule(),
-            knowledge=self.world.knowledge,
+            schedule=UpdateOnlySchedule(),
+            fleet_state=self.simulation.knowledge,
             counters=Counters(),
             loop_delay=LoopDelay(),
-            read_time=lambda: self.world.now,
+            read_time=lambda: self.simulation.now,
         )
         task = asyncio.create_task(self.watch.run())
         self.addCleanup(task.cancel)
@@ -53,30 +53,30 @@
 
     async def read(self) -> bool:
         self.reads += 1
-        self.world.knowledge.newer_catalog_heard = False
+        self.simulation.knowledge.newer_catalog_known = False
         self.was_read.set()
         return True
 
     async def test_news_wakes_it(self) -> None:
-        """A change of the configuration is read although the next round is far away."""
-        self.world.knowledge.newer_catalog_heard = True
-        self.watch.wake_for_news()
-        await asyncio.wait_for(self.was_read.wait(), READY_S)
+        """A changed configuration is read although the next round is far away."""
+        self.simulation.knowledge.newer_catalog_known = True
+        self.watch.wake_for_update()
+        await asyncio.wait_for(self.was_read.wait(), EVENT_TIMEOUT_S)
 
     async def test_a_beat_without_news_does_not(self) -> None:
-        self.watch.wake_for_news()
+        self.watch.wake_for_update()
         await asyncio.sleep(0.05)
         self.assertEqual(self.reads, 0)
 
 
 class PauseTest(unittest.TestCase):
-    """No round is missed in which a read may be due."""
+    """The pause ends as soon as a read may be due."""
 
     def test_it_sleeps_until_a_reader_may_be_due(self) -> None:
         schedule = ReadSchedule(random=Random(1), bound_s=1.6, count_instances=lambda: 14)
-        self.assertEqual(schedule.find_pause(age_s=0.2, news=False), READ_INTERVAL_S - 0.2)
+        self.assertEqual(schedule.compute_pause(age_s=0.2, has_update=False), READ_INTERVAL_S - 0.2)
         for age_s, news in ((0.2, True), (READ_INTERVAL_S, False), (float("inf"), False)):
-            self.assertEqual(schedule.find_pause(age_s=age_s, news=news), TICK_S)
+            self.assertEqual(schedule.compute_pause(age_s=age_s, has_update=news), TICK_S)
 
 
 if __name__ == "__main__":
