--- a/bench/pretended_fleet.py
+++ b/bench/pretended_fleet.py
@@ -16,8 +16,8 @@
 from guavamast.relay.endpoint_load import Load
 from guavamast.relay.endpoint_table import compute_digest
 from guavamast.relay.engine_profile import Estimate, ProfileEstimates
-from guavamast.relay.fleet_knowledge import FleetKnowledge
-from guavamast.relay.freshness import Proof, StoreClock
+from guavamast.relay.fleet_state import FleetState
+from guavamast.relay.freshness import FreshnessStamp, StoreClock
 from guavamast.relay.peers import FULL_MESH_INSTANCES, Peers, compute_beat_interval
 from guavamast.relay.prompt_cache import PromptSend
 from guavamast.relay.prompt_lanes import Demand
@@ -78,7 +78,7 @@
         self._socket.setblocking(False)
         self._random = Random(instances)
         self._sequence = 0
-        self.knowledge = FleetKnowledge(
+        self.knowledge = FleetState(
             failure_domain="a", peers=Peers(own_name="-"), clock=StoreClock()
         )
         """What the relays have heard of the store's tables."""
@@ -125,10 +125,10 @@
             sequence=self._sequence,
             state=InstanceState.SERVING,
             store_answers=True,
-            catalog=Proof(
-                version=str(self._site.store.find_version("op", "config")), reading=reading
+            catalog=FreshnessStamp(
+                version=str(self._site.store.find_version("op", "config")), store_time=reading
             ),
-            endpoints=Proof(version=self._compute_digest(), reading=reading),
+            endpoints=FreshnessStamp(version=self._compute_digest(), store_time=reading),
             loads={
                 name: Load(requests=2, prefill_tokens=9_500, memory_tokens=14_000)
                 for name in engines
@@ -168,7 +168,7 @@
             for relay in self._relays:
                 relay.peers.take(self._make_measured_beat(), now=now)
                 beat = self.make_beat(relay.record)
-                self.knowledge.take_proofs(catalog=beat.catalog, endpoints=beat.endpoints)
+                self.knowledge.apply_stamps(catalog=beat.catalog, endpoints=beat.endpoints)
                 for record in self._records:
                     relay.peers.take(self.make_beat(record), now=now)
             await asyncio.sleep(compute_beat_interval(len(self._records)))
--- a/bench/relay_policies.py
+++ b/bench/relay_policies.py
@@ -283,7 +283,7 @@
         failure_domain="a",
         slots=engine.slots,
         ready=True,
-        born_ms=1,
+        started_ms=1,
     )
 
 
--- a/src/guavamast/platform/questions.py
+++ b/src/guavamast/platform/questions.py
@@ -68,7 +68,7 @@
             return None
         now = read_boot_time()
         counters = self._node.counters
-        ages = self._node.knowledge.show_ages(now=now)
+        ages = self._node.fleet_state.round_ages(now=now)
         counters.set("config_age_seconds", ages.config_s)
         counters.set("endpoints_age_seconds", ages.endpoints_s)
         counters.set("instances_live", 1 + len(self._node.peers.list_live(now=now)))
--- a/src/guavamast/platform/store_client.py
+++ b/src/guavamast/platform/store_client.py
@@ -13,8 +13,8 @@
 from guavamast.relay.http_connection import ConnectionLost, HttpConnection, MalformedAnswer
 from guavamast.relay.loop_timeout import wait_turns
 from guavamast.relay.store import (
-    CatalogReading,
-    EndpointReading,
+    CatalogSnapshot,
+    EndpointSnapshot,
     InstanceRecord,
     Store,
     StoreError,
@@ -64,23 +64,23 @@
         self._read_time = read_time
         self._idle: list[HttpConnection] = []
 
-    async def read_catalog(self, *, known: Catalog | None) -> CatalogReading:
+    async def read_catalog(self, *, known: Catalog | None) -> CatalogSnapshot:
         """Read the operators' configuration."""
         query = {"table": _OPERATOR_TABLE, "part": "", "from": _CONFIGURATION_KEY, "limit": 1}
         answer = await self._get("/v1/rows-get", query)
         reading = _read_clock(answer)
         rows = [row for row in answer["rows"] if row.get("key") == _CONFIGURATION_KEY]
         if not rows:
-            return CatalogReading(catalog=None, reading=reading)
+            return CatalogSnapshot(catalog=None, store_time=reading)
         version = int(rows[0]["ver"])
         if known is not None and known.row_version == version:
-            return CatalogReading(catalog=known, reading=reading)
+            return CatalogSnapshot(catalog=known, store_time=reading)
         try:
             text = _decode_text(rows[0])
         except ValueError as error:
             raise StoreError(f"configuration: {error}") from error
         catalog = self.decode_catalog(text, row_version=version)
-        return CatalogReading(catalog=catalog, reading=reading, text=text)
+        return CatalogSnapshot(catalog=catalog, store_time=reading, text=text)
 
     def decode_catalog(self, text: bytes, *, row_version: int) -> Catalog:
         """Return the configuration of a row."""
@@ -90,7 +90,7 @@
             reason = f"configuration: {type(error).__name__}: {error}"
             raise StoreError(reason) from error
 
-    async def read_endpoints(self) -> EndpointReading:
+    async def read_endpoints(self) -> EndpointSnapshot:
         """Read the table of endpoints; rows that can't be read name none."""
         rows, reading = await self._get_all(_ENDPOINT_TABLE)
         records = []
@@ -103,7 +103,7 @@
             if record is not None:
                 records.append(record)
         digest = compute_digest((str(row["key"]), int(row["ver"])) for row in rows)
-        return EndpointReading(records=records, digest=digest, reading=reading)
+        return EndpointSnapshot(records=records, digest=digest, store_time=reading)
 
     async def read_instances(self) -> list[InstanceRecord]:
         """Read all registered instances."""
@@ -207,7 +207,7 @@
         except ValueError as error:
             raise StoreError(f"answer: {error}") from error
         if "now_ms" in answer:
-            self._clock.record(sent=sent, reading=_read_clock(answer))
+            self._clock.record(sent=sent, store_time=_read_clock(answer))
         return answer
 
     def _take_kept(self) -> HttpConnection | None:
--- a/src/guavamast/relay/beat_exchange.py
+++ b/src/guavamast/relay/beat_exchange.py
@@ -15,7 +15,7 @@
     from guavamast.relay.beat_relays import BeatRelays
     from guavamast.relay.beats import Beat
     from guavamast.relay.bundle_content import BundleContent
-    from guavamast.relay.freshness import Proof
+    from guavamast.relay.freshness import FreshnessStamp
     from guavamast.relay.peers import Peers
     from guavamast.relay.store import InstanceRecord
 
@@ -262,5 +262,5 @@
             await asyncio.sleep(max(0.0, started + DOMAIN_AGGREGATE_INTERVAL_S - self._read_time()))
 
 
-def _get_store_time(stamp: Proof | None) -> float:
-    return stamp.reading if stamp is not None else 0.0
+def _get_store_time(stamp: FreshnessStamp | None) -> float:
+    return stamp.store_time if stamp is not None else 0.0
--- a/src/guavamast/relay/beats.py
+++ b/src/guavamast/relay/beats.py
@@ -13,7 +13,7 @@
 
 from guavamast.relay.endpoint_load import Load
 from guavamast.relay.engine_profile import PROFILE_QUANTITIES, Estimate, ProfileEstimates
-from guavamast.relay.freshness import Proof
+from guavamast.relay.freshness import FreshnessStamp
 from guavamast.relay.packing import pack, unpack
 from guavamast.relay.prompt_cache import PromptSend
 from guavamast.relay.prompt_lanes import LANES, Demand
@@ -64,8 +64,8 @@
     state: InstanceState
     store_answers: bool
     """Whether the instance's last read of the store succeeded."""
-    catalog: Proof | None
-    endpoints: Proof | None
+    catalog: FreshnessStamp | None
+    endpoints: FreshnessStamp | None
     loads: dict[str, Load]
     """Load that the instance places on each endpoint."""
     demand: Demand
@@ -114,9 +114,9 @@
     liveness: list[LivenessRecord]
     records: list[InstanceRecord]
     """Records of listed instances that are new or have changed, and of some others in rotation."""
-    catalog: Proof | None
+    catalog: FreshnessStamp | None
     """The newest stamp that the aggregator knows."""
-    endpoints: Proof | None
+    endpoints: FreshnessStamp | None
     profiles: dict[str, dict[str, ProfileEstimates]]
     """Combined estimates of each failure domain for the engines of each service."""
 
@@ -393,12 +393,12 @@
     return profiles
 
 
-def _encode_stamp(stamp: Proof | None) -> list[str | float] | None:
-    return None if stamp is None else [stamp.version, round(stamp.reading, 4)]
+def _encode_stamp(stamp: FreshnessStamp | None) -> list[str | float] | None:
+    return None if stamp is None else [stamp.version, round(stamp.store_time, 4)]
 
 
-def _decode_stamp(value: object) -> Proof | None:
+def _decode_stamp(value: object) -> FreshnessStamp | None:
     if value is None:
         return None
     version, store_time = value  # type: ignore[misc]
-    return Proof(version=str(version), reading=float(store_time))
+    return FreshnessStamp(version=str(version), store_time=float(store_time))
--- a/src/guavamast/relay/bundle_content.py
+++ b/src/guavamast/relay/bundle_content.py
@@ -11,7 +11,7 @@
 
     from guavamast.relay.beats import Beat
     from guavamast.relay.engine_profile import ProfileEstimates
-    from guavamast.relay.fleet_knowledge import FleetKnowledge
+    from guavamast.relay.fleet_state import FleetState
     from guavamast.relay.peers import Peer
     from guavamast.relay.store import InstanceRecord
 
@@ -43,7 +43,7 @@
         self,
         *,
         record: InstanceRecord,
-        knowledge: FleetKnowledge,
+        knowledge: FleetState,
         read_profiles: Callable[[], dict[str, dict[str, ProfileEstimates]]],
     ) -> None:
         self._record = record
@@ -93,8 +93,8 @@
                 aggregator=self._record.name,
                 liveness=liveness[first : first + INSTANCES_PER_DATAGRAM],
                 records=records,
-                catalog=self._knowledge.heard_catalog_proof,
-                endpoints=self._knowledge.heard_endpoint_proof,
+                catalog=self._knowledge.newest_catalog_stamp,
+                endpoints=self._knowledge.newest_endpoint_stamp,
                 profiles=profiles,
             )
             for first in range(0, len(liveness), INSTANCES_PER_DATAGRAM)
--- a/src/guavamast/relay/caller_admission.py
+++ b/src/guavamast/relay/caller_admission.py
@@ -13,7 +13,7 @@
 
     from guavamast.relay.caller_gate import CallerGate
     from guavamast.relay.endpoint_table import EndpointRecord
-    from guavamast.relay.fleet_knowledge import FleetKnowledge
+    from guavamast.relay.fleet_state import FleetState
     from guavamast.relay.messages import CallerRequest
     from guavamast.relay.staleness import StalenessBounds
     from guavamast.relay.store_reader import SharedRead, StoreReader
@@ -34,7 +34,7 @@
     Args:
         gate: Decides on routes and keys.
         bounds: Maximum ages of the tables.
-        knowledge: Configuration and endpoint table.
+        fleet_state: Configuration and endpoint table.
         reader: Reads the store.
         read_time: The local clock.
     """
@@ -46,13 +46,13 @@
         *,
         gate: CallerGate,
         bounds: StalenessBounds,
-        knowledge: FleetKnowledge,
+        fleet_state: FleetState,
         reader: StoreReader,
         read_time: Callable[[], float],
     ) -> None:
         self._gate = gate
         self._bounds = bounds
-        self._fleet_state = knowledge
+        self._fleet_state = fleet_state
         self._reader = reader
         self._read_time = read_time
 
--- a/src/guavamast/relay/catalog.py
+++ b/src/guavamast/relay/catalog.py
@@ -86,14 +86,14 @@
 
 
 @dataclass(frozen=True, slots=True, kw_only=True)
-class ServiceRule:
+class ServiceSettings:
     """Settings of all endpoints of one service."""
 
     name: str
     health_path: str
     max_connections: int
     """Connections that one endpoint accepts from all callers together."""
-    prompt_cache_tokens: int | None
+    kv_capacity_tokens: int | None
     """KV cache capacity of one engine; None for services that run no model."""
 
 
@@ -148,7 +148,7 @@
         version: int,
         row_version: int,
         routes: list[Route],
-        services: list[ServiceRule],
+        services: list[ServiceSettings],
         organisations: dict[str, CallerOrganisation] | None,
         limits: CallerLimits,
     ) -> None:
--- a/src/guavamast/relay/housekeeper.py
+++ b/src/guavamast/relay/cleanup_loop.py
@@ -9,7 +9,7 @@
     from collections.abc import Awaitable, Callable
 
     from guavamast.relay.connection_pool import ConnectionPool
-    from guavamast.relay.fleet_knowledge import FleetKnowledge
+    from guavamast.relay.fleet_state import FleetState
     from guavamast.relay.request_notes import RequestNotes
     from guavamast.relay.scheduling import Scheduling
     from guavamast.relay.store_reader import StoreReader
@@ -19,7 +19,7 @@
 """Seconds between two cleanup rounds."""
 
 
-class Housekeeper:
+class CleanupLoop:
     """Bounds the state that an instance keeps.
 
     Args:
@@ -47,7 +47,7 @@
     def __init__(
         self,
         *,
-        fleet_state: FleetKnowledge,
+        fleet_state: FleetState,
         work: WorkKnowledge,
         pool: ConnectionPool,
         reader: StoreReader,
@@ -99,6 +99,6 @@
     def _record_profiles(self, *, now: float) -> None:
         catalog = self._fleet_state.catalog
         for service in catalog.services.values() if catalog is not None else ():
-            if service.prompt_cache_tokens is not None:
+            if service.kv_capacity_tokens is not None:
                 profile = self._work.profiles.find(service.name, now=now)
                 self._notes.note_profile(service.name, profile)
--- a/src/guavamast/relay/endpoint_news.py
+++ b/src/guavamast/relay/endpoint_news.py
@@ -8,7 +8,7 @@
 from guavamast.relay.beats import MalformedBeat
 from guavamast.relay.endpoint_table import EndpointRecord
 from guavamast.relay.packing import pack, unpack
-from guavamast.relay.store import EndpointReading
+from guavamast.relay.store import EndpointSnapshot
 
 ENDPOINTS_PREFIX: Final = b"e"
 """First byte of an endpoint update."""
@@ -22,7 +22,7 @@
 
     domain: str
     """Failure domain of the instance that read it."""
-    reading: EndpointReading
+    reading: EndpointSnapshot
 
 
 def encode_endpoints(update: EndpointNews) -> bytes | None:
@@ -38,11 +38,11 @@
             record.failure_domain,
             record.slots,
             int(record.ready),
-            record.born_ms,
+            record.started_ms,
         ]
         for record in snapshot.records
     ]
-    data = ENDPOINTS_PREFIX + pack([update.domain, snapshot.digest, snapshot.reading, rows])
+    data = ENDPOINTS_PREFIX + pack([update.domain, snapshot.digest, snapshot.store_time, rows])
     return data if len(data) <= MAX_DATAGRAM_BYTES else None
 
 
@@ -54,10 +54,10 @@
     """
     try:
         domain, digest, store_time, rows = unpack(data[len(ENDPOINTS_PREFIX) :])
-        table = EndpointReading(
+        table = EndpointSnapshot(
             records=[_decode_record(row) for row in rows],
             digest=str(digest),
-            reading=float(store_time),
+            store_time=float(store_time),
         )
         return EndpointNews(domain=str(domain), reading=table)
     except (ValueError, TypeError, KeyError, IndexError) as error:
@@ -75,5 +75,5 @@
         failure_domain=str(domain),
         slots=int(slots or 0),
         ready=bool(ready),
-        born_ms=None if born_ms is None else int(born_ms),
+        started_ms=None if born_ms is None else int(born_ms),
     )
--- a/src/guavamast/relay/endpoint_table.py
+++ b/src/guavamast/relay/endpoint_table.py
@@ -25,7 +25,7 @@
     """Requests that may run concurrently."""
     ready: bool
     """Whether the state is known and is not leaving."""
-    born_ms: int | None
+    started_ms: int | None
     """Start time of this incarnation in Unix milliseconds, if stated."""
 
 
@@ -58,17 +58,17 @@
         self.revision = 0
         """Number of snapshots applied so far."""
 
-    def apply(self, records: list[EndpointRecord], *, digest: str, returning: bool) -> None:
+    def apply(self, records: list[EndpointRecord], *, digest: str, recovering: bool) -> None:
         """Apply a snapshot.
 
         Args:
             records: All rows that could be parsed.
             digest: Digest of the snapshot, including rows that could not be parsed.
-            returning: Whether missing endpoints may still register again after an outage.
+            recovering: Whether missing endpoints may still register again after an outage.
         """
         listed = {record.endpoint_id: record for record in records}
         self._unlisted = set()
-        if returning:
+        if recovering:
             for endpoint_id, record in self._records.items():
                 if endpoint_id not in listed and record.ready:
                     listed[endpoint_id] = record
--- a/src/guavamast/relay/exchange.py
+++ b/src/guavamast/relay/exchange.py
@@ -25,7 +25,7 @@
     from guavamast.relay.endpoint_load import EndpointLoads, Work
     from guavamast.relay.endpoint_table import EndpointRecord
     from guavamast.relay.engine_profile import EngineProfiles
-    from guavamast.relay.fleet_knowledge import FleetKnowledge
+    from guavamast.relay.fleet_state import FleetState
     from guavamast.relay.messages import CallerRequest, HeaderCodec, ResponseWriter
     from guavamast.relay.placing import Placed
     from guavamast.relay.prompt_cache import PromptCache
@@ -96,7 +96,7 @@
         self,
         *,
         admission: CallerAdmission,
-        knowledge: FleetKnowledge,
+        knowledge: FleetState,
         loads: EndpointLoads,
         cache: PromptCache,
         budget: AttemptBudget,
@@ -332,7 +332,7 @@
         self, progress: RequestProgress, record: EndpointRecord, *, now: float
     ) -> SendTerms:
         admitted = progress.admitted
-        engine = self._knowledge.find_memory(record.service) > 0
+        engine = self._knowledge.find_kv_capacity_tokens(record.service) > 0
         return SendTerms(
             endpoint_id=record.endpoint_id,
             organisation=admitted.organisation.name if admitted.organisation else None,
--- a/src/guavamast/relay/fleet_knowledge.py
+++ b/src/guavamast/relay/fleet_state.py
@@ -6,13 +6,13 @@
 from typing import TYPE_CHECKING
 
 from guavamast.relay.endpoint_table import EndpointTable
-from guavamast.relay.freshness import Freshness, Proof, round_age
+from guavamast.relay.freshness import Freshness, FreshnessStamp, round_age
 
 if TYPE_CHECKING:
-    from guavamast.relay.catalog import Catalog, Route, ServiceRule
+    from guavamast.relay.catalog import Catalog, Route, ServiceSettings
     from guavamast.relay.freshness import StoreClock
     from guavamast.relay.peers import Peers
-    from guavamast.relay.store import CatalogReading, EndpointReading
+    from guavamast.relay.store import CatalogSnapshot, EndpointSnapshot
 
 
 @dataclass(frozen=True, slots=True, kw_only=True)
@@ -23,7 +23,7 @@
     endpoints_s: float
 
 
-class FleetKnowledge:
+class FleetState:
     """Configuration, endpoints and other instances, with the freshness stamps of the tables.
 
     Args:
@@ -57,8 +57,8 @@
         """Whether another instance has a later endpoint table that differs."""
         self._catalog_freshness = Freshness(clock=clock)
         self._endpoint_freshness = Freshness(clock=clock)
-        self._received_catalog_stamp: Proof | None = None
-        self._received_endpoint_stamp: Proof | None = None
+        self._received_catalog_stamp: FreshnessStamp | None = None
+        self._received_endpoint_stamp: FreshnessStamp | None = None
 
     @property
     def catalog_version(self) -> int | None:
@@ -66,22 +66,22 @@
         return self.catalog.version if self.catalog else None
 
     @property
-    def catalog_stamp(self) -> Proof | None:
+    def catalog_stamp(self) -> FreshnessStamp | None:
         """The newest freshness stamp of the current configuration."""
         return self._catalog_freshness.stamp
 
     @property
-    def endpoint_stamp(self) -> Proof | None:
+    def endpoint_stamp(self) -> FreshnessStamp | None:
         """The newest freshness stamp of the current endpoint table."""
         return self._endpoint_freshness.stamp
 
     @property
-    def heard_catalog_proof(self) -> Proof | None:
+    def newest_catalog_stamp(self) -> FreshnessStamp | None:
         """The newest freshness stamp of any configuration, current here or at another instance."""
         return _pick_newer(self._received_catalog_stamp, self.catalog_stamp)
 
     @property
-    def heard_endpoint_proof(self) -> Proof | None:
+    def newest_endpoint_stamp(self) -> FreshnessStamp | None:
         """The newest freshness stamp of any endpoint table, current here or at another instance."""
         return _pick_newer(self._received_endpoint_stamp, self.endpoint_stamp)
 
@@ -98,7 +98,7 @@
         """Return an upper bound on the seconds since the endpoint table was the store's newest."""
         return self._endpoint_freshness.compute_age(now=now)
 
-    def show_ages(self, *, now: float) -> RoundedAges:
+    def round_ages(self, *, now: float) -> RoundedAges:
         """Return both ages, rounded for logs and metrics."""
         return RoundedAges(
             config_s=round_age(self.compute_catalog_age(now=now)),
@@ -109,20 +109,20 @@
         """Return the number of instances that may be running."""
         return self.peers.count_known()
 
-    def find_service(self, name: str) -> ServiceRule | None:
+    def find_service(self, name: str) -> ServiceSettings | None:
         """Return the settings of a service."""
         return self.catalog.services.get(name) if self.catalog else None
 
-    def find_memory(self, service_name: str) -> int:
+    def find_kv_capacity_tokens(self, service_name: str) -> int:
         """Return the KV cache capacity of a service's engines in tokens; 0 if it runs no model."""
         service = self.find_service(service_name)
-        return (service.prompt_cache_tokens or 0) if service is not None else 0
+        return (service.kv_capacity_tokens or 0) if service is not None else 0
 
     def find_shortest_objective(self, service_name: str) -> float:
         """Return the shortest latency objective, in seconds, of the streams of a service."""
         return self.catalog.find_shortest_objective(service_name) if self.catalog else float("inf")
 
-    def is_first(self, route: Route, service_name: str) -> bool:
+    def is_most_urgent(self, route: Route, service_name: str) -> bool:
         """Return whether no stream of a service is more urgent than those of a route."""
         return self.catalog is not None and self.catalog.is_most_urgent(route, service_name)
 
@@ -130,7 +130,7 @@
         """Return the smallest pause limit, in seconds, among the streams of a service."""
         return self.catalog.find_shortest_pause(service_name) if self.catalog else float("inf")
 
-    def take_catalog(self, snapshot: CatalogReading) -> bool:
+    def apply_catalog(self, snapshot: CatalogSnapshot) -> bool:
         """Apply a snapshot of the configuration; return whether it has a new version."""
         catalog = snapshot.catalog
         if catalog is None:
@@ -141,21 +141,23 @@
         changed = current is None or catalog.row_version > current.row_version
         self.catalog = catalog
         self._catalog_freshness.record(
-            Proof(version=str(catalog.row_version), reading=snapshot.reading)
+            FreshnessStamp(version=str(catalog.row_version), store_time=snapshot.store_time)
         )
         self.newer_catalog_known = False
         return changed
 
-    def take_endpoints(self, snapshot: EndpointReading) -> bool:
+    def apply_endpoints(self, snapshot: EndpointSnapshot) -> bool:
         """Apply a snapshot of the endpoint table; return whether it differs."""
         stamp = self._endpoint_freshness.stamp
-        if stamp is not None and snapshot.reading < stamp.reading:
+        if stamp is not None and snapshot.store_time < stamp.store_time:
             return False
-        self._endpoint_freshness.record(Proof(version=snapshot.digest, reading=snapshot.reading))
+        self._endpoint_freshness.record(
+            FreshnessStamp(version=snapshot.digest, store_time=snapshot.store_time)
+        )
         changed = snapshot.digest != self.endpoints.digest
         recovering = self._endpoint_freshness.is_recovering()
         if changed or self.endpoints.has_lapsed:
-            self.endpoints.apply(snapshot.records, digest=snapshot.digest, returning=recovering)
+            self.endpoints.apply(snapshot.records, digest=snapshot.digest, recovering=recovering)
         self.newer_endpoints_known = False
         return changed
 
@@ -163,7 +165,9 @@
         """Record that a read of the endpoint table failed."""
         self._endpoint_freshness.record_failure()
 
-    def take_proofs(self, *, catalog: Proof | None, endpoints: Proof | None) -> None:
+    def apply_stamps(
+        self, *, catalog: FreshnessStamp | None, endpoints: FreshnessStamp | None
+    ) -> None:
         """Apply another instance's freshness stamps, or record that it has a newer table.
 
         Args:
@@ -178,14 +182,14 @@
                 self.newer_catalog_known = True
         if endpoints is not None and not self._endpoint_freshness.confirm(endpoints):
             stamp = self._endpoint_freshness.stamp
-            if stamp is None or endpoints.reading > stamp.reading:
+            if stamp is None or endpoints.store_time > stamp.store_time:
                 self.newer_endpoints_known = True
 
 
-def _pick_newer(one: Proof | None, other: Proof | None) -> Proof | None:
+def _pick_newer(one: FreshnessStamp | None, other: FreshnessStamp | None) -> FreshnessStamp | None:
     if one is None or other is None:
         return one or other
-    return one if one.reading >= other.reading else other
+    return one if one.store_time >= other.store_time else other
 
 
 def _parse_row_version(text: str) -> int:
--- a/src/guavamast/relay/freshness.py
+++ b/src/guavamast/relay/freshness.py
@@ -38,14 +38,14 @@
         """Whether any call to the store has been answered."""
         return self._clock_offset is not None
 
-    def record(self, *, sent: float, reading: float) -> None:
+    def record(self, *, sent: float, store_time: float) -> None:
         """Update the clock offset from the response to a call.
 
         Args:
             sent: Local time just before the call was sent.
-            reading: Store time in the response.
+            store_time: Store time in the response.
         """
-        difference = sent - reading
+        difference = sent - store_time
         if self._clock_offset is None or difference > self._clock_offset:
             self._clock_offset = difference
 
@@ -57,11 +57,11 @@
 
 
 @dataclass(slots=True)
-class Proof:
+class FreshnessStamp:
     """A version of a table, and a store time at which it was the newest."""
 
     version: str
-    reading: float
+    store_time: float
 
 
 def round_age(age_s: float) -> float:
@@ -85,23 +85,23 @@
     def __init__(self, *, clock: StoreClock) -> None:
         self._clock = clock
         self._failed = False
-        self._stamp: Proof | None = None
+        self._stamp: FreshnessStamp | None = None
         self.outage_ended_at: float | None = None
         """Store time of the first freshness stamp after an outage."""
 
     @property
-    def stamp(self) -> Proof | None:
+    def stamp(self) -> FreshnessStamp | None:
         """The newest freshness stamp."""
         return self._stamp
 
-    def record(self, stamp: Proof) -> None:
+    def record(self, stamp: FreshnessStamp) -> None:
         """Record a newer freshness stamp; ignore an older one."""
         previous = self._stamp
-        if previous is not None and stamp.reading <= previous.reading:
+        if previous is not None and stamp.store_time <= previous.store_time:
             return
-        gap_s = stamp.reading - previous.reading if previous is not None else 0.0
+        gap_s = stamp.store_time - previous.store_time if previous is not None else 0.0
         if self._failed and gap_s > OUTAGE_GAP_S:
-            self.outage_ended_at = stamp.reading
+            self.outage_ended_at = stamp.store_time
         self._failed = False
         self._stamp = stamp
 
@@ -109,7 +109,7 @@
         """Record that a read of the table by this instance failed."""
         self._failed = True
 
-    def confirm(self, stamp: Proof) -> bool:
+    def confirm(self, stamp: FreshnessStamp) -> bool:
         """Record another instance's freshness stamp if it is for the same version."""
         if self._stamp is None or stamp.version != self._stamp.version:
             return False
@@ -120,10 +120,10 @@
         """Return an upper bound on the seconds since the newest freshness stamp."""
         if self._stamp is None:
             return float("inf")
-        return self._clock.compute_age(self._stamp.reading, now=now)
+        return self._clock.compute_age(self._stamp.store_time, now=now)
 
     def is_recovering(self) -> bool:
         """Return whether entries that expired in an outage may still be written again."""
         if self._stamp is None or self.outage_ended_at is None:
             return False
-        return self._stamp.reading - self.outage_ended_at < OUTAGE_RECOVERY_S
+        return self._stamp.store_time - self.outage_ended_at < OUTAGE_RECOVERY_S
--- a/src/guavamast/relay/node.py
+++ b/src/guavamast/relay/node.py
@@ -18,12 +18,12 @@
 from guavamast.relay.bundle_content import BundleContent
 from guavamast.relay.caller_addresses import VALIDITY_S
 from guavamast.relay.catalog_news import CatalogNews, encode_catalog
+from guavamast.relay.cleanup_loop import CleanupLoop
 from guavamast.relay.connection_pool import ConnectionPool
 from guavamast.relay.counters import Counters
 from guavamast.relay.decision_log import DecisionLog
 from guavamast.relay.endpoint_news import EndpointNews, encode_endpoints
-from guavamast.relay.fleet_knowledge import FleetKnowledge
-from guavamast.relay.housekeeper import Housekeeper
+from guavamast.relay.fleet_state import FleetState
 from guavamast.relay.listener import CallerListener, Question, QuestionListener
 from guavamast.relay.load_notices import LoadNotices
 from guavamast.relay.loop_delay import LoopDelay
@@ -46,7 +46,7 @@
     from guavamast.relay.node_settings import NodeSettings, SocketAddress
     from guavamast.relay.relayer import Relayer
     from guavamast.relay.scheduling_wire import SchedulingMessage
-    from guavamast.relay.store import CatalogReading, EndpointReading, Store
+    from guavamast.relay.store import CatalogSnapshot, EndpointSnapshot, Store
 
 STANDARD_OUTPUT: Final = 1
 """Descriptor of the log by default."""
@@ -83,7 +83,7 @@
         self.counters = Counters()
         self.log = DecisionLog(instance=settings.name, descriptor=log_descriptor)
         self.peers = Peers(own_name=settings.name)
-        self.knowledge = FleetKnowledge(
+        self.fleet_state = FleetState(
             failure_domain=settings.failure_domain, peers=self.peers, clock=clock
         )
         self.record = InstanceRecord(
@@ -125,7 +125,7 @@
         self._notes = RequestNotes(
             log=self.log,
             counters=self.counters,
-            knowledge=self.knowledge,
+            knowledge=self.fleet_state,
             loop_delay=self._loop_delay,
         )
         self._cleanup_loop = self._build_cleanup_loop()
@@ -153,7 +153,7 @@
         return Scheduling(
             record=self.record,
             incarnation=self._incarnation,
-            knowledge=self.knowledge,
+            knowledge=self.fleet_state,
             profiles=self._work.profiles,
             counters=self.counters,
             send=self._heartbeat_socket.send_to,
@@ -168,7 +168,7 @@
             relays=BeatRelays(record=self.record, peers=self.peers),
             content=BundleContent(
                 record=self.record,
-                knowledge=self.knowledge,
+                knowledge=self.fleet_state,
                 read_profiles=self._aggregate_profiles,
             ),
             make_beat=self._build_heartbeat,
@@ -181,7 +181,7 @@
     def _build_reader(self) -> StoreReader:
         return StoreReader(
             store=self._store,
-            fleet_state=self.knowledge,
+            fleet_state=self.fleet_state,
             log=self.log,
             counters=self.counters,
             read_time=read_boot_time,
@@ -197,22 +197,22 @@
             watches=build_table_watches(
                 reader=self._reader,
                 bounds=self._bounds,
-                fleet_state=self.knowledge,
+                fleet_state=self.fleet_state,
                 counters=self.counters,
                 loop_delay=self._loop_delay,
                 random=self._random,
                 read_time=read_boot_time,
             ),
-            fleet_state=self.knowledge,
+            fleet_state=self.fleet_state,
             record=self.record,
             log=self.log,
             read_time=read_boot_time,
             broadcast_heartbeat=self._exchange.announce_to_all,
         )
 
-    def _build_cleanup_loop(self) -> Housekeeper:
-        return Housekeeper(
-            fleet_state=self.knowledge,
+    def _build_cleanup_loop(self) -> CleanupLoop:
+        return CleanupLoop(
+            fleet_state=self.fleet_state,
             work=self._work,
             pool=self._pool,
             reader=self._reader,
@@ -226,7 +226,7 @@
         return make_relayer(
             settings=self.settings,
             codec=codec,
-            knowledge=self.knowledge,
+            knowledge=self.fleet_state,
             work=self._work,
             bounds=self._bounds,
             reader=self._reader,
@@ -243,9 +243,9 @@
         """State of this instance; only a serving one is listed for callers."""
         if self._leaving:
             return InstanceState.LEAVING
-        if self.knowledge.catalog is None or not self.knowledge.endpoints.digest:
+        if self.fleet_state.catalog is None or not self.fleet_state.endpoints.digest:
             return InstanceState.STARTING
-        age_s = self.knowledge.compute_catalog_age(now=read_boot_time())
+        age_s = self.fleet_state.compute_catalog_age(now=read_boot_time())
         return InstanceState.STALE if age_s > self._bounds.keys_s else InstanceState.SERVING
 
     def list_serving(self) -> list[InstanceRecord]:
@@ -349,8 +349,8 @@
             sequence=self._sequence,
             state=self.state,
             store_answers=self._reader.answers,
-            catalog=self.knowledge.catalog_stamp,
-            endpoints=self.knowledge.endpoint_stamp,
+            catalog=self.fleet_state.catalog_stamp,
+            endpoints=self.fleet_state.endpoint_stamp,
             loads={} if scheduled else self._work.loads.list_own(),
             demand=NO_DEMAND if scheduled else self._work.demand.read_own(now=now),
             refusals=[] if scheduled else self._work.refusals.list_own(now=now),
@@ -374,18 +374,18 @@
     def _receive_scheduling(self, message: SchedulingMessage, source: tuple[str, int]) -> None:
         self._scheduling.take(message, source)
 
-    def _publish_catalog(self, snapshot: CatalogReading) -> None:
+    def _publish_catalog(self, snapshot: CatalogSnapshot) -> None:
         """Send a configuration that this instance has read to the other instances."""
         assert snapshot.catalog is not None
         update = CatalogNews(
             domain=self.settings.failure_domain,
             row_version=snapshot.catalog.row_version,
-            reading=snapshot.reading,
+            reading=snapshot.store_time,
             text=snapshot.text,
         )
         self._exchange.tell_table(encode_catalog(update))
 
-    def _publish_endpoints(self, snapshot: EndpointReading) -> None:
+    def _publish_endpoints(self, snapshot: EndpointSnapshot) -> None:
         """Send an endpoint table that this instance has read to the other instances."""
         update = EndpointNews(domain=self.settings.failure_domain, reading=snapshot)
         self._exchange.tell_table(encode_endpoints(update))
@@ -401,12 +401,12 @@
             self._exchange.forward_table(data, domain=update.domain)
 
     def _receive_heartbeat(self, heartbeat: Beat) -> None:
-        self.knowledge.take_proofs(catalog=heartbeat.catalog, endpoints=heartbeat.endpoints)
+        self.fleet_state.apply_stamps(catalog=heartbeat.catalog, endpoints=heartbeat.endpoints)
         self._watch.wake_for_update()
         self._work.take_beat(heartbeat, now=read_boot_time())
 
     def _receive_aggregated_heartbeat(self, heartbeat: BeatBundle) -> None:
-        self.knowledge.take_proofs(catalog=heartbeat.catalog, endpoints=heartbeat.endpoints)
+        self.fleet_state.apply_stamps(catalog=heartbeat.catalog, endpoints=heartbeat.endpoints)
         self._watch.wake_for_update()
         self._work.take_bundle(heartbeat)
 
@@ -419,7 +419,7 @@
         return self._work.sum_up_profiles(own, names, now=now)
 
     def _apply_limits(self) -> None:
-        catalog = self.knowledge.catalog
+        catalog = self.fleet_state.catalog
         if catalog is not None and self._listener.limits is not catalog.limits:
             self._listener.set_limits(catalog.limits)
 
--- a/src/guavamast/relay/node_settings.py
+++ b/src/guavamast/relay/node_settings.py
@@ -42,11 +42,11 @@
     """Time after which a revoked key must not work."""
     grace_s: float
     """Time from the stop signal until the platform kills the process."""
-    repeat_ratio: float
+    retry_ratio: float
     """Retries allowed per request in a window."""
-    repeat_slack: float
+    retry_slack: float
     """Retries allowed in a window beyond the ratio, over all instances."""
-    repeat_window_s: float
+    retry_window_s: float
     link_mbps: float = 0.0
     """Bandwidth of the instance's network link in Mbit/s; 0 if not stated."""
     processor_share: float = 0.0
--- a/src/guavamast/relay/placing.py
+++ b/src/guavamast/relay/placing.py
@@ -22,7 +22,7 @@
     from guavamast.relay.endpoint_groups import EndpointGroups
     from guavamast.relay.endpoint_load import EndpointLoads
     from guavamast.relay.engine_profile import EngineProfiles
-    from guavamast.relay.fleet_knowledge import FleetKnowledge
+    from guavamast.relay.fleet_state import FleetState
     from guavamast.relay.messages import CallerRequest
     from guavamast.relay.prompt_lanes import PromptDemand
     from guavamast.relay.refusal_history import RefusalHistory
@@ -77,7 +77,7 @@
     def __init__(
         self,
         *,
-        knowledge: FleetKnowledge,
+        knowledge: FleetState,
         chooser: EndpointChooser,
         demand: PromptDemand,
         profiles: EngineProfiles,
@@ -138,7 +138,7 @@
             lane=progress.lane,
             lane_shares=self._demand.compute_shares(),
             output_tokens=request.output_tokens,
-            memory_tokens=self._knowledge.find_memory(progress.service),
+            memory_tokens=self._knowledge.find_kv_capacity_tokens(progress.service),
             profile=self._profiles.find(progress.service, now=now),
             objective_s=progress.admitted.route.objective_s,
             delicate=progress.delicate,
@@ -171,7 +171,7 @@
         own: OwnPlacer,
         client: SchedulingClient,
         groups: EndpointGroups,
-        knowledge: FleetKnowledge,
+        knowledge: FleetState,
         loads: EndpointLoads,
         read_time: Callable[[], float],
     ) -> None:
--- a/src/guavamast/relay/read_schedule.py
+++ b/src/guavamast/relay/read_schedule.py
@@ -16,10 +16,10 @@
 seldom wait for a read."""
 TICK_S: Final = 0.05
 """Seconds between two checks whether to read, once a read may be due."""
-STEP_IN_S: Final = 0.25
+TAKEOVER_DELAY_S: Final = 0.25
 """Seconds by which each further rank reads later; longer than a read plus the transit time of a
 heartbeat."""
-NEWS_WAIT_S: Final = 0.06
+UPDATE_WAIT_S: Final = 0.06
 """Seconds to wait for an update from the instance that has it, before reading the store."""
 UPDATE_JITTER_PER_INSTANCE_S: Final = 0.004
 """Seconds of jitter per instance for reads of the same change: the first reader publishes it before
@@ -29,7 +29,7 @@
 LAST_RANK: Final = 4
 """Rank from which on readers take over after the same delay, so that the wait stays short when many
 have failed."""
-SPREAD_S: Final = 0.3
+JITTER_S: Final = 0.3
 """Seconds of jitter for the last ranks; a third of it is the least for reads of the same change."""
 BACKOFF_FIRST_S: Final = 0.3
 """Seconds until the retry after a first failed read; doubled after each further failure."""
@@ -78,27 +78,27 @@
         self._retry_at = 0.0
         self._update_read_at: float | None = None
 
-    def is_due(self, *, age_s: float, rank: int, news: bool, now: float) -> bool:
+    def is_due(self, *, age_s: float, rank: int, has_update: bool, now: float) -> bool:
         """Return whether to read now.
 
         Args:
             age_s: Age of the newest freshness stamp.
             rank: Number of instances that read before this one.
-            news: Whether another instance is known to have a newer version.
+            has_update: Whether another instance is known to have a newer version.
             now: The present time.
         """
         if now < self._retry_at:
             return False
-        if news:
+        if has_update:
             if self._update_read_at is None:
                 self._update_read_at = (
-                    now + NEWS_WAIT_S + self._random.random() * self._compute_update_jitter()
+                    now + UPDATE_WAIT_S + self._random.random() * self._compute_update_jitter()
                 )
             return now >= self._update_read_at
         self._update_read_at = None
-        due_s = min(READ_INTERVAL_S + STEP_IN_S * min(rank, LAST_RANK), self._own_read_age_s)
+        due_s = min(READ_INTERVAL_S + TAKEOVER_DELAY_S * min(rank, LAST_RANK), self._own_read_age_s)
         if rank >= LAST_RANK:
-            due_s += SPREAD_S * (rank % 7) / 7
+            due_s += JITTER_S * (rank % 7) / 7
         return age_s >= due_s
 
     def compute_pause(self, *, age_s: float, has_update: bool) -> float:
@@ -114,7 +114,7 @@
 
     def _compute_update_jitter(self) -> float:
         """Return the largest jitter, in seconds, for reads of the same change."""
-        jitter_s = max(SPREAD_S / 3, UPDATE_JITTER_PER_INSTANCE_S * self._count_instances())
+        jitter_s = max(JITTER_S / 3, UPDATE_JITTER_PER_INSTANCE_S * self._count_instances())
         return min(jitter_s, UPDATE_JITTER_MAX_SHARE * self._bound_s)
 
     def record_success(self) -> None:
--- a/src/guavamast/relay/relayer.py
+++ b/src/guavamast/relay/relayer.py
@@ -19,7 +19,7 @@
     from guavamast.relay.endpoint_table import EndpointRecord
     from guavamast.relay.engine_profile import EngineProfiles
     from guavamast.relay.exchange import Exchanger
-    from guavamast.relay.fleet_knowledge import FleetKnowledge
+    from guavamast.relay.fleet_state import FleetState
     from guavamast.relay.messages import CallerRequest, HeaderCodec, ResponseWriter
     from guavamast.relay.placing import Placed, Placer
     from guavamast.relay.prompt_lanes import PromptDemand
@@ -70,7 +70,7 @@
     def __init__(
         self,
         *,
-        knowledge: FleetKnowledge,
+        knowledge: FleetState,
         admission: CallerAdmission,
         loads: EndpointLoads,
         budget: AttemptBudget,
@@ -133,7 +133,7 @@
             service=service,
             shortest_s=self._knowledge.find_shortest_objective(service),
             profile=self._profiles.find(service, now=now),
-            first=self._knowledge.is_first(admitted.route, service),
+            first=self._knowledge.is_most_urgent(admitted.route, service),
         )
 
     def _record_demand(
--- a/src/guavamast/relay/request_notes.py
+++ b/src/guavamast/relay/request_notes.py
@@ -14,7 +14,7 @@
     from guavamast.relay.endpoint_load import Load
     from guavamast.relay.endpoint_table import EndpointRecord
     from guavamast.relay.engine_profile import EngineProfile
-    from guavamast.relay.fleet_knowledge import FleetKnowledge
+    from guavamast.relay.fleet_state import FleetState
     from guavamast.relay.loop_delay import LoopDelay
     from guavamast.relay.messages import CallerRequest, SendTerms
     from guavamast.relay.request_progress import RequestProgress
@@ -38,7 +38,7 @@
         *,
         log: DecisionLog,
         counters: Counters,
-        knowledge: FleetKnowledge,
+        knowledge: FleetState,
         loop_delay: LoopDelay,
     ) -> None:
         self._log = log
@@ -63,7 +63,7 @@
         now: float,
     ) -> None:
         """Record that a request is sent to an endpoint."""
-        ages = self._knowledge.show_ages(now=now)
+        ages = self._knowledge.round_ages(now=now)
         self._counters.add(f'sends_total{{repeat="{str(sends > 1).lower()}"}}')
         if sends == 1:
             self._counters.add(f'first_sends_total{{urgency="{admitted.urgency}"}}')
@@ -142,7 +142,7 @@
 
     def record_rejection(self, request: CallerRequest, denied: Denied, *, now: float) -> None:
         """Record a request that is rejected without an attempt."""
-        ages = self._knowledge.show_ages(now=now)
+        ages = self._knowledge.round_ages(now=now)
         self._counters.add(f'refusals_total{{status="{denied.status}"}}')
         self._log.write(
             "refused",
--- a/src/guavamast/relay/request_path.py
+++ b/src/guavamast/relay/request_path.py
@@ -18,7 +18,7 @@
 
     from guavamast.relay.connection_pool import ConnectionPool
     from guavamast.relay.exchange import PublishLoad
-    from guavamast.relay.fleet_knowledge import FleetKnowledge
+    from guavamast.relay.fleet_state import FleetState
     from guavamast.relay.messages import HeaderCodec
     from guavamast.relay.node_settings import NodeSettings
     from guavamast.relay.placing import Placer
@@ -33,7 +33,7 @@
     *,
     settings: NodeSettings,
     codec: HeaderCodec,
-    knowledge: FleetKnowledge,
+    knowledge: FleetState,
     work: WorkKnowledge,
     bounds: StalenessBounds,
     reader: StoreReader,
@@ -63,7 +63,7 @@
     admission = CallerAdmission(
         gate=CallerGate(bounds=bounds),
         bounds=bounds,
-        knowledge=knowledge,
+        fleet_state=knowledge,
         reader=reader,
         read_time=read_time,
     )
@@ -104,7 +104,7 @@
 
 def _build_placer(
     *,
-    knowledge: FleetKnowledge,
+    knowledge: FleetState,
     work: WorkKnowledge,
     scheduling: Scheduling,
     random: Random,
@@ -131,7 +131,7 @@
 
 def _build_budget_terms(settings: NodeSettings) -> BudgetTerms:
     return BudgetTerms(
-        ratio=settings.repeat_ratio,
-        slack=settings.repeat_slack,
-        window_s=settings.repeat_window_s,
+        ratio=settings.retry_ratio,
+        slack=settings.retry_slack,
+        window_s=settings.retry_window_s,
     )
--- a/src/guavamast/relay/scheduler_host.py
+++ b/src/guavamast/relay/scheduler_host.py
@@ -13,7 +13,7 @@
     from guavamast.relay.counters import Counters
     from guavamast.relay.endpoint_groups import EndpointGroups
     from guavamast.relay.engine_profile import EngineProfiles
-    from guavamast.relay.fleet_knowledge import FleetKnowledge
+    from guavamast.relay.fleet_state import FleetState
     from guavamast.relay.scheduling_messages import PlacementQuery, WorkReport, WorkUpdate
 
 
@@ -37,7 +37,7 @@
     def __init__(
         self,
         *,
-        knowledge: FleetKnowledge,
+        knowledge: FleetState,
         groups: EndpointGroups,
         profiles: EngineProfiles,
         counters: Counters,
@@ -57,7 +57,7 @@
             return PlacementReply(number=query.number, verdict=Verdict.UNKNOWN)
         facts = ServiceFacts(
             profile=self._profiles.find(query.service, now=now),
-            memory_tokens=self._knowledge.find_memory(query.service),
+            memory_tokens=self._knowledge.find_kv_capacity_tokens(query.service),
             shortest_pause_s=self._knowledge.find_shortest_pause(query.service),
         )
         scheduler = self._get_or_create(query.group, now=now)
--- a/src/guavamast/relay/scheduling.py
+++ b/src/guavamast/relay/scheduling.py
@@ -23,7 +23,7 @@
 
     from guavamast.relay.counters import Counters
     from guavamast.relay.engine_profile import EngineProfiles
-    from guavamast.relay.fleet_knowledge import FleetKnowledge
+    from guavamast.relay.fleet_state import FleetState
     from guavamast.relay.scheduling_wire import SchedulingMessage
     from guavamast.relay.store import InstanceRecord
 
@@ -49,7 +49,7 @@
         *,
         record: InstanceRecord,
         incarnation: int,
-        knowledge: FleetKnowledge,
+        knowledge: FleetState,
         profiles: EngineProfiles,
         counters: Counters,
         send: Callable[[bytes, tuple[str, int]], None],
--- a/src/guavamast/relay/store.py
+++ b/src/guavamast/relay/store.py
@@ -24,24 +24,24 @@
 
 
 @dataclass(frozen=True, slots=True, kw_only=True)
-class CatalogReading:
+class CatalogSnapshot:
     """The operators' configuration at one store time."""
 
     catalog: Catalog | None
     """None if no configuration has been written yet."""
-    reading: float
+    store_time: float
     """Store time in seconds."""
     text: bytes = b""
     """The stored text, if this read returned a new version."""
 
 
 @dataclass(frozen=True, slots=True, kw_only=True)
-class EndpointReading:
+class EndpointSnapshot:
     """The endpoint table at one store time."""
 
     records: list[EndpointRecord]
     digest: str
-    reading: float
+    store_time: float
 
 
 @dataclass(frozen=True, slots=True, kw_only=True)
@@ -66,7 +66,7 @@
     """The platform's store; each call raises `StoreError` if it gets no usable response."""
 
     @abstractmethod
-    async def read_catalog(self, *, known: Catalog | None) -> CatalogReading:
+    async def read_catalog(self, *, known: Catalog | None) -> CatalogSnapshot:
         """Read the operators' configuration; return ``known`` itself if it is still current."""
 
     @abstractmethod
@@ -78,7 +78,7 @@
         """
 
     @abstractmethod
-    async def read_endpoints(self) -> EndpointReading:
+    async def read_endpoints(self) -> EndpointSnapshot:
         """Read the endpoint table."""
 
     @abstractmethod
--- a/src/guavamast/relay/store_reader.py
+++ b/src/guavamast/relay/store_reader.py
@@ -6,7 +6,7 @@
 from typing import TYPE_CHECKING
 
 from guavamast.relay.freshness import round_age
-from guavamast.relay.store import CatalogReading, StoreError
+from guavamast.relay.store import CatalogSnapshot, StoreError
 
 if TYPE_CHECKING:
     from collections.abc import Awaitable, Callable
@@ -14,8 +14,8 @@
     from guavamast.relay.catalog_news import CatalogNews
     from guavamast.relay.counters import Counters
     from guavamast.relay.decision_log import DecisionLog
-    from guavamast.relay.fleet_knowledge import FleetKnowledge
-    from guavamast.relay.store import EndpointReading, Store
+    from guavamast.relay.fleet_state import FleetState
+    from guavamast.relay.store import EndpointSnapshot, Store
 
 
 class SharedRead:
@@ -73,13 +73,13 @@
         self,
         *,
         store: Store,
-        fleet_state: FleetKnowledge,
+        fleet_state: FleetState,
         log: DecisionLog,
         counters: Counters,
         read_time: Callable[[], float],
         send_heartbeat: Callable[[], None],
-        publish_catalog: Callable[[CatalogReading], None],
-        publish_endpoints: Callable[[EndpointReading], None],
+        publish_catalog: Callable[[CatalogSnapshot], None],
+        publish_endpoints: Callable[[EndpointSnapshot], None],
     ) -> None:
         self._store = store
         self._fleet_state = fleet_state
@@ -96,7 +96,7 @@
         self.answers = True
         """Whether the last call to the store had a usable response."""
 
-    def apply_endpoint_snapshot(self, snapshot: EndpointReading, *, from_peer: bool) -> bool:
+    def apply_endpoint_snapshot(self, snapshot: EndpointSnapshot, *, from_peer: bool) -> bool:
         """Apply an endpoint table; return whether it differs from the current one.
 
         Args:
@@ -105,7 +105,7 @@
         """
         now = self._read_time()
         age_s = self._fleet_state.compute_endpoints_age(now=now)
-        if not self._fleet_state.take_endpoints(snapshot):
+        if not self._fleet_state.apply_endpoints(snapshot):
             return False
         records = self._fleet_state.endpoints.list_all()
         self._log.write(
@@ -134,7 +134,7 @@
         except StoreError as error:
             self._log.write("told_unusable", now=self._read_time(), reason=error.reason)
             return False
-        snapshot = CatalogReading(catalog=catalog, reading=update.reading)
+        snapshot = CatalogSnapshot(catalog=catalog, store_time=update.reading)
         return self._apply_catalog(snapshot, former_age_s=former_age_s, from_peer=True)
 
     def record_failure(self, call: str, error: StoreError) -> None:
@@ -169,9 +169,9 @@
         return True
 
     def _apply_catalog(
-        self, snapshot: CatalogReading, *, former_age_s: float, from_peer: bool
+        self, snapshot: CatalogSnapshot, *, former_age_s: float, from_peer: bool
     ) -> bool:
-        if not self._fleet_state.take_catalog(snapshot):
+        if not self._fleet_state.apply_catalog(snapshot):
             return False
         catalog = self._fleet_state.catalog
         self._log.write(
--- a/src/guavamast/relay/store_watch.py
+++ b/src/guavamast/relay/store_watch.py
@@ -11,7 +11,7 @@
     from collections.abc import Callable, Sequence
 
     from guavamast.relay.decision_log import DecisionLog
-    from guavamast.relay.fleet_knowledge import FleetKnowledge
+    from guavamast.relay.fleet_state import FleetState
     from guavamast.relay.store import InstanceRecord, Store
     from guavamast.relay.store_reader import StoreReader
     from guavamast.relay.table_watch import TableWatch
@@ -51,7 +51,7 @@
         store: Store,
         reader: StoreReader,
         watches: Sequence[TableWatch],
-        fleet_state: FleetKnowledge,
+        fleet_state: FleetState,
         record: InstanceRecord,
         log: DecisionLog,
         read_time: Callable[[], float],
--- a/src/guavamast/relay/table_watch.py
+++ b/src/guavamast/relay/table_watch.py
@@ -13,7 +13,7 @@
     from random import Random
 
     from guavamast.relay.counters import Counters
-    from guavamast.relay.fleet_knowledge import FleetKnowledge
+    from guavamast.relay.fleet_state import FleetState
     from guavamast.relay.loop_delay import LoopDelay
     from guavamast.relay.staleness import StalenessBounds
     from guavamast.relay.store_reader import SharedRead, StoreReader
@@ -40,7 +40,7 @@
         *,
         read: SharedRead,
         schedule: ReadSchedule,
-        fleet_state: FleetKnowledge,
+        fleet_state: FleetState,
         counters: Counters,
         loop_delay: LoopDelay,
         read_time: Callable[[], float],
@@ -73,7 +73,7 @@
             age_s = self.compute_age(now=now)
             has_update = self.has_update()
             rank = self._rank(age_s, now=now)
-            if self._schedule.is_due(age_s=age_s, rank=rank, news=has_update, now=now):
+            if self._schedule.is_due(age_s=age_s, rank=rank, has_update=has_update, now=now):
                 await self._read_now()
             age_s = self.compute_age(now=self._read_time())
             await self._pause(
@@ -138,7 +138,7 @@
     *,
     reader: StoreReader,
     bounds: StalenessBounds,
-    fleet_state: FleetKnowledge,
+    fleet_state: FleetState,
     counters: Counters,
     loop_delay: LoopDelay,
     random: Random,
--- a/tests/burst_world.py
+++ b/tests/burst_world.py
@@ -9,11 +9,11 @@
 from typing import TYPE_CHECKING
 
 from guavamast.relay.caller_gate import Admitted
-from guavamast.relay.catalog import Catalog, Route, RouteKind, ServiceRule, WeightedService
+from guavamast.relay.catalog import Catalog, Route, RouteKind, ServiceSettings, WeightedService
 from guavamast.relay.endpoint_choice import EndpointChooser
 from guavamast.relay.endpoint_load import EndpointLoads, Work
 from guavamast.relay.engine_profile import EngineProfiles, Estimate, ProfileEstimates
-from guavamast.relay.fleet_knowledge import FleetKnowledge
+from guavamast.relay.fleet_state import FleetState
 from guavamast.relay.freshness import StoreClock
 from guavamast.relay.peers import Peers
 from guavamast.relay.placing import OwnPlacer
@@ -23,7 +23,7 @@
 from guavamast.relay.request_progress import begin_progress
 from guavamast.relay.scheduler import LEARNING_S, GroupScheduler, ServiceFacts
 from guavamast.relay.scheduling_messages import PlacementQuery, Verdict, WorkPhase, WorkUpdate
-from guavamast.relay.store import CatalogReading, EndpointReading
+from guavamast.relay.store import CatalogSnapshot, EndpointSnapshot
 from tests.relay_facts import LIMITS, PROFILE, make_endpoint, make_request, make_route
 from tests.scheduling_world import GROUP, POOL, make_query
 
@@ -186,8 +186,8 @@
         )
         for kind in kinds
     ]
-    rule = ServiceRule(
-        name=POOL, health_path="/", max_connections=100, prompt_cache_tokens=MEMORY_TOKENS
+    rule = ServiceSettings(
+        name=POOL, health_path="/", max_connections=100, kv_capacity_tokens=MEMORY_TOKENS
     )
     return Catalog(
         version=1, row_version=1, routes=routes, services=[rule], organisations=None, limits=LIMITS
@@ -213,11 +213,13 @@
         self.random = Random(seed)
         self.loads = EndpointLoads()
         self.works: dict[int, Work] = {}
-        self.knowledge = FleetKnowledge(
+        self.knowledge = FleetState(
             failure_domain="a", peers=Peers(own_name="i0"), clock=StoreClock()
         )
-        self.knowledge.take_catalog(CatalogReading(catalog=make_catalog(kinds), reading=1.0))
-        self.knowledge.take_endpoints(EndpointReading(records=records, digest="d", reading=1.0))
+        self.knowledge.apply_catalog(CatalogSnapshot(catalog=make_catalog(kinds), store_time=1.0))
+        self.knowledge.apply_endpoints(
+            EndpointSnapshot(records=records, digest="d", store_time=1.0)
+        )
         self.profiles = build_profiles()
         self.demand = PromptDemand()
         self.rejections = [RefusalHistory() for _ in range(INSTANCES)]
--- a/tests/scheduling_world.py
+++ b/tests/scheduling_world.py
@@ -7,10 +7,10 @@
 from typing import TYPE_CHECKING, Any
 
 from guavamast.relay.beats import Beat, InstanceState
-from guavamast.relay.catalog import Catalog, RouteKind, ServiceRule, WeightedService
+from guavamast.relay.catalog import Catalog, RouteKind, ServiceSettings, WeightedService
 from guavamast.relay.counters import Counters
 from guavamast.relay.engine_profile import EngineProfiles
-from guavamast.relay.fleet_knowledge import FleetKnowledge
+from guavamast.relay.fleet_state import FleetState
 from guavamast.relay.freshness import StoreClock
 from guavamast.relay.messages import PromptPart
 from guavamast.relay.peers import FULL_MESH_INSTANCES, Peers
@@ -18,7 +18,7 @@
 from guavamast.relay.scheduling import Scheduling
 from guavamast.relay.scheduling_messages import Asker, PlacementQuery
 from guavamast.relay.scheduling_wire import decode_scheduling
-from guavamast.relay.store import CatalogReading, EndpointReading, InstanceRecord
+from guavamast.relay.store import CatalogSnapshot, EndpointSnapshot, InstanceRecord
 from tests.relay_facts import LIMITS, make_endpoint, make_route
 
 if TYPE_CHECKING:
@@ -43,8 +43,8 @@
         timeout_s=10.0,
         longest_pause_s=0.6,
     )
-    rule = ServiceRule(
-        name=POOL, health_path="/", max_connections=100, prompt_cache_tokens=KV_CAPACITY_TOKENS
+    rule = ServiceSettings(
+        name=POOL, health_path="/", max_connections=100, kv_capacity_tokens=KV_CAPACITY_TOKENS
     )
     return Catalog(
         version=1,
@@ -93,8 +93,8 @@
             processor_share=2.0 if number < 20 else 0.5,
         )
         self.peers = Peers(own_name=self.record.name)
-        self.knowledge = FleetKnowledge(failure_domain="a", peers=self.peers, clock=StoreClock())
-        self.knowledge.take_catalog(CatalogReading(catalog=make_pool_catalog(), reading=1.0))
+        self.knowledge = FleetState(failure_domain="a", peers=self.peers, clock=StoreClock())
+        self.knowledge.apply_catalog(CatalogSnapshot(catalog=make_pool_catalog(), store_time=1.0))
         self.profiles = EngineProfiles()
         self.counters = Counters()
         self.scheduling = Scheduling(
@@ -110,8 +110,8 @@
 
     def apply_endpoints(self, records: list[EndpointRecord], *, reading: float) -> None:
         """Apply a table of engines."""
-        self.knowledge.take_endpoints(
-            EndpointReading(records=records, digest=f"d{reading}", reading=reading)
+        self.knowledge.apply_endpoints(
+            EndpointSnapshot(records=records, digest=f"d{reading}", store_time=reading)
         )
 
 
--- a/tests/test_relay_beat_exchange.py
+++ b/tests/test_relay_beat_exchange.py
@@ -16,11 +16,11 @@
     decode_endpoint_update,
     encode_endpoints,
 )
-from guavamast.relay.fleet_knowledge import FleetKnowledge
-from guavamast.relay.freshness import Proof, StoreClock
+from guavamast.relay.fleet_state import FleetState
+from guavamast.relay.freshness import FreshnessStamp, StoreClock
 from guavamast.relay.peers import AGGREGATED_SILENCE_S, FULL_MESH_INSTANCES, Peers
 from guavamast.relay.prompt_lanes import LANES, Demand
-from guavamast.relay.store import EndpointReading, InstanceRecord
+from guavamast.relay.store import EndpointSnapshot, InstanceRecord
 from tests.relay_facts import make_endpoint
 
 NARROW_LINK = InstanceRecord(
@@ -50,14 +50,14 @@
             peer_port=1,
         )
         self.state = InstanceState.SERVING
-        self.catalog: Proof | None = None
-        self.received_catalog: Proof | None = None
-        self.endpoints: EndpointReading | None = None
+        self.catalog: FreshnessStamp | None = None
+        self.received_catalog: FreshnessStamp | None = None
+        self.endpoints: EndpointSnapshot | None = None
         self.incarnation = 1
         self.sequence = 0
         self.peers = Peers(own_name=self.record.name)
         self.topology = BeatRelays(record=self.record, peers=self.peers)
-        self.knowledge = FleetKnowledge(
+        self.knowledge = FleetState(
             failure_domain=self.record.failure_domain, peers=self.peers, clock=StoreClock()
         )
         self.exchange = BeatExchange(
@@ -97,8 +97,8 @@
     def apply_aggregate(self, aggregate: BeatBundle) -> None:
         self.apply_stamp(aggregate.catalog)
 
-    def apply_stamp(self, catalog: Proof | None) -> None:
-        self.knowledge.take_proofs(catalog=catalog, endpoints=None)
+    def apply_stamp(self, catalog: FreshnessStamp | None) -> None:
+        self.knowledge.apply_stamps(catalog=catalog, endpoints=None)
         if catalog is not None:
             self.received_catalog = catalog
 
@@ -303,7 +303,7 @@
 
     async def test_news_does_not_wait_for_a_bundle(self) -> None:
         """Operators' changes take effect everywhere soon after one instance has read them."""
-        stamp = Proof(version="9", reading=500.0)
+        stamp = FreshnessStamp(version="9", store_time=500.0)
         self.network.instances["i11"].catalog = stamp
         self.network.instances["i11"].exchange.announce()
         self.network.deliver()
@@ -312,7 +312,9 @@
                 self.assertEqual(instance.received_catalog, stamp, name)
 
     async def test_a_table_of_endpoints_reaches_all(self) -> None:
-        snapshot = EndpointReading(records=[make_endpoint("e1", slots=64)], digest="d", reading=1.0)
+        snapshot = EndpointSnapshot(
+            records=[make_endpoint("e1", slots=64)], digest="d", store_time=1.0
+        )
         update = EndpointNews(domain=DOMAINS[11 % len(DOMAINS)], reading=snapshot)
         self.network.instances["i11"].exchange.tell_table(encode_endpoints(update))
         self.network.deliver()
--- a/tests/test_relay_caller_admission.py
+++ b/tests/test_relay_caller_admission.py
@@ -17,10 +17,10 @@
 from guavamast.relay.counters import Counters
 from guavamast.relay.decision_log import DecisionLog
 from guavamast.relay.endpoint_table import compute_digest
-from guavamast.relay.fleet_knowledge import FleetKnowledge
+from guavamast.relay.fleet_state import FleetState
 from guavamast.relay.freshness import StoreClock
 from guavamast.relay.peers import Peers
-from guavamast.relay.store import CatalogReading, EndpointReading, Store, StoreError
+from guavamast.relay.store import CatalogSnapshot, EndpointSnapshot, Store, StoreError
 from guavamast.relay.store_reader import StoreReader
 from tests.relay_facts import BOUNDS, make_catalog, make_endpoint, make_request, make_route
 
@@ -34,7 +34,7 @@
 START_S = 100.0
 
 
-class World(Store):
+class AdmissionSimulation(Store):
     """A simulated store and clock, with one instance that receives no updates from others."""
 
     def __init__(self) -> None:
@@ -47,7 +47,7 @@
         self.records = [make_endpoint("x"), make_endpoint("y")]
         self._clock = StoreClock()
         peers = Peers(own_name="one")
-        self.knowledge = FleetKnowledge(failure_domain="a", peers=peers, clock=self._clock)
+        self.knowledge = FleetState(failure_domain="a", peers=peers, clock=self._clock)
         counters = Counters()
         self.reader = StoreReader(
             store=self,
@@ -62,7 +62,7 @@
         self.admission = CallerAdmission(
             gate=CallerGate(bounds=BOUNDS),
             bounds=BOUNDS,
-            knowledge=self.knowledge,
+            fleet_state=self.knowledge,
             reader=self.reader,
             read_time=lambda: self.now,
         )
@@ -71,16 +71,16 @@
         del text, row_version
         raise StoreError("no updates in this test")
 
-    async def read_catalog(self, *, known: Catalog | None) -> CatalogReading:
+    async def read_catalog(self, *, known: Catalog | None) -> CatalogSnapshot:
         catalog = self.catalog
         if known is not None and known.row_version == catalog.row_version:
             catalog = known
-        return CatalogReading(catalog=catalog, reading=await self._answer())
+        return CatalogSnapshot(catalog=catalog, store_time=await self._answer())
 
-    async def read_endpoints(self) -> EndpointReading:
+    async def read_endpoints(self) -> EndpointSnapshot:
         records = list(self.records)
         digest = compute_digest((one.endpoint_id, one.row_version) for one in records)
-        return EndpointReading(records=records, digest=digest, reading=await self._answer())
+        return EndpointSnapshot(records=records, digest=digest, store_time=await self._answer())
 
     async def read_instances(self) -> list[InstanceRecord]:
         return []
@@ -111,7 +111,7 @@
         if self.unavailable:
             raise StoreError("silent")
         store_time = self.now
-        self._clock.record(sent=self.now, reading=store_time)
+        self._clock.record(sent=self.now, store_time=store_time)
         self.now += self.read_s
         return store_time
 
@@ -126,7 +126,7 @@
     """Admission at an instance that receives no updates."""
 
     async def asyncSetUp(self) -> None:
-        self.simulation = World()
+        self.simulation = AdmissionSimulation()
         await self.simulation.admit()
 
     async def test_old_knowledge_is_read_again_before_a_request_goes(self) -> None:
@@ -150,7 +150,7 @@
         await asyncio.gather(*(self.simulation.admit() for _ in range(50)))
         self.assertEqual(self.simulation.reads - reads, 2)
 
-    async def test_old_knowledge_serves_while_the_store_is_away(self) -> None:
+    async def test_stale_state_is_used_while_the_store_is_unavailable(self) -> None:
         self.simulation.unavailable = True
         self.simulation.now += 3.0
         self.assertEqual(list_services(await self.simulation.admit()), ["portal"])
@@ -158,14 +158,14 @@
         await self.simulation.admit()
         self.assertEqual(self.simulation.reads, reads)
 
-    async def test_keys_are_refused_when_the_store_is_away_for_long(self) -> None:
+    async def test_keys_are_rejected_during_a_long_store_outage(self) -> None:
         self.simulation.unavailable = True
         self.simulation.now += 4.4
         decision = await self.simulation.admit()
         assert isinstance(decision, Denied)
         self.assertEqual((decision.status, decision.reason), (503, "old keys"))
 
-    async def test_a_slow_instance_sends_its_callers_back(self) -> None:
+    async def test_a_slow_instance_rejects_its_callers(self) -> None:
         """An instance that can't keep up rejects its callers with a retry delay.
 
         The store answers at once, but the instance processes each response so late that the tables
@@ -189,7 +189,7 @@
     """Checks after the connection is open, right before a request is sent."""
 
     async def asyncSetUp(self) -> None:
-        self.simulation = World()
+        self.simulation = AdmissionSimulation()
         decision = await self.simulation.admit()
         assert isinstance(decision, Admitted)
         self.admitted = decision
@@ -261,7 +261,7 @@
         asyncio.run(self.simulate(steps))
 
     async def simulate(self, steps: list[tuple[float, float, bool]]) -> None:
-        simulation = World()
+        simulation = AdmissionSimulation()
         ended: dict[int, float] = {}
         for pause_s, read_s, moves in steps:
             if moves:
--- a/tests/test_relay_decisions.py
+++ b/tests/test_relay_decisions.py
@@ -17,7 +17,7 @@
 from guavamast.relay.endpoint_table import EndpointTable
 from guavamast.relay.engine_profile import Estimate, ProfileEstimates
 from guavamast.relay.event_framing import EventFraming
-from guavamast.relay.freshness import Proof
+from guavamast.relay.freshness import FreshnessStamp
 from guavamast.relay.peers import (
     FORGET_AFTER_S,
     MISSED_BEATS,
@@ -28,11 +28,11 @@
 from guavamast.relay.prompt_cache import PromptSend
 from guavamast.relay.prompt_lanes import Demand
 from guavamast.relay.read_schedule import (
+    JITTER_S,
     LAST_RANK,
-    NEWS_WAIT_S,
     READ_INTERVAL_S,
-    SPREAD_S,
-    STEP_IN_S,
+    TAKEOVER_DELAY_S,
+    UPDATE_WAIT_S,
     ReadSchedule,
 )
 from guavamast.relay.refusal_history import RefusalCount
@@ -125,13 +125,13 @@
     def setUp(self) -> None:
         self.table = EndpointTable()
         first = [make_endpoint("x"), make_endpoint("y"), make_endpoint("z", ready=False)]
-        self.table.apply(first, digest="1", returning=False)
+        self.table.apply(first, digest="1", recovering=False)
 
     def list_ready(self) -> list[str]:
         return [record.endpoint_id for record in self.table.list_ready("portal")]
 
     def test_missing_and_leaving_endpoints_get_nothing(self) -> None:
-        self.table.apply([make_endpoint("x", ready=False)], digest="2", returning=False)
+        self.table.apply([make_endpoint("x", ready=False)], digest="2", recovering=False)
         self.assertEqual(self.list_ready(), [])
 
     def test_lapsed_endpoints_stay_until_they_had_time_to_return(self) -> None:
@@ -139,14 +139,14 @@
 
         All entries lapse during the outage; the first listing is empty although the endpoints run.
         """
-        self.table.apply([], digest="2", returning=True)
+        self.table.apply([], digest="2", recovering=True)
         self.assertEqual(self.list_ready(), ["x", "y"])
         self.assertTrue(self.table.has_lapsed)
-        self.table.apply([make_endpoint("y")], digest="3", returning=False)
+        self.table.apply([make_endpoint("y")], digest="3", recovering=False)
         self.assertEqual(self.list_ready(), ["y"])
 
     def test_an_endpoint_that_was_leaving_does_not_stay(self) -> None:
-        self.table.apply([], digest="2", returning=True)
+        self.table.apply([], digest="2", recovering=True)
         self.assertIsNone(self.table.find("z"))
 
 
@@ -217,14 +217,14 @@
 
     def test_ranks_step_in_one_after_the_other(self) -> None:
         for place in range(LAST_RANK):
-            bound = READ_INTERVAL_S + STEP_IN_S * place
+            bound = READ_INTERVAL_S + TAKEOVER_DELAY_S * place
             for age_s, due in ((bound - 0.01, False), (bound, True)):
-                found = self.schedule.is_due(age_s=age_s, rank=place, news=False, now=0.0)
+                found = self.schedule.is_due(age_s=age_s, rank=place, has_update=False, now=0.0)
                 self.assertEqual(found, due)
 
     def test_everyone_reads_before_keys_stop_being_accepted(self) -> None:
         for place in range(400):
-            self.assertTrue(self.schedule.is_due(age_s=2.0, rank=place, news=False, now=0.0))
+            self.assertTrue(self.schedule.is_due(age_s=2.0, rank=place, has_update=False, now=0.0))
 
     def test_everyone_reads_before_requests_are_held_for_it(self) -> None:
         """Guards against requests that wait for a read while all datagrams to an instance are lost.
@@ -236,12 +236,12 @@
             schedule = ReadSchedule(random=Random(1), bound_s=bound_s, count_instances=lambda: 14)
             for place in range(400):
                 age_s = bound_s - 0.2
-                self.assertTrue(schedule.is_due(age_s=age_s, rank=place, news=False, now=0.0))
+                self.assertTrue(schedule.is_due(age_s=age_s, rank=place, has_update=False, now=0.0))
 
     def test_news_is_fetched_soon_but_not_by_all_together(self) -> None:
-        self.assertFalse(self.schedule.is_due(age_s=0.0, rank=9, news=True, now=5.0))
-        latest = 5.0 + NEWS_WAIT_S + SPREAD_S / 3
-        self.assertTrue(self.schedule.is_due(age_s=0.0, rank=9, news=True, now=latest + 0.01))
+        self.assertFalse(self.schedule.is_due(age_s=0.0, rank=9, has_update=True, now=5.0))
+        latest = 5.0 + UPDATE_WAIT_S + JITTER_S / 3
+        self.assertTrue(self.schedule.is_due(age_s=0.0, rank=9, has_update=True, now=latest + 0.01))
 
     def test_news_that_was_told_meanwhile_is_not_fetched(self) -> None:
         """Guards against one store read by each instance for a single change.
@@ -249,15 +249,15 @@
         An instance learns that another has a newer table, and receives the table itself a moment
         later. The next update starts a new wait.
         """
-        self.assertFalse(self.schedule.is_due(age_s=0.0, rank=9, news=True, now=5.0))
-        self.assertFalse(self.schedule.is_due(age_s=0.0, rank=9, news=False, now=5.05))
-        self.assertFalse(self.schedule.is_due(age_s=0.0, rank=9, news=False, now=5.2))
-        self.assertFalse(self.schedule.is_due(age_s=0.0, rank=9, news=True, now=6.0))
+        self.assertFalse(self.schedule.is_due(age_s=0.0, rank=9, has_update=True, now=5.0))
+        self.assertFalse(self.schedule.is_due(age_s=0.0, rank=9, has_update=False, now=5.05))
+        self.assertFalse(self.schedule.is_due(age_s=0.0, rank=9, has_update=False, now=5.2))
+        self.assertFalse(self.schedule.is_due(age_s=0.0, rank=9, has_update=True, now=6.0))
 
     def test_failed_reads_pause(self) -> None:
         self.schedule.record_failure(now=0.0)
-        self.assertFalse(self.schedule.is_due(age_s=9.0, rank=0, news=True, now=0.1))
-        self.assertTrue(self.schedule.is_due(age_s=9.0, rank=0, news=False, now=0.5))
+        self.assertFalse(self.schedule.is_due(age_s=9.0, rank=0, has_update=True, now=0.1))
+        self.assertTrue(self.schedule.is_due(age_s=9.0, rank=0, has_update=False, now=0.5))
 
 
 def build_record(name: str, domain: str = "a", region: str = "r") -> InstanceRecord:
@@ -291,7 +291,7 @@
         "sequence": sequence,
         "state": InstanceState.SERVING,
         "store_answers": True,
-        "catalog": Proof(version="5", reading=1.25),
+        "catalog": FreshnessStamp(version="5", store_time=1.25),
         "endpoints": None,
         "loads": {"e": Load(requests=2, prefill_tokens=30)},
         "demand": Demand(work_ms=(1.5, 0.0, 30.0)),
--- a/tests/test_relay_endpoint_news.py
+++ b/tests/test_relay_endpoint_news.py
@@ -15,17 +15,17 @@
     decode_endpoint_update,
     encode_endpoints,
 )
-from guavamast.relay.fleet_knowledge import FleetKnowledge
+from guavamast.relay.fleet_state import FleetState
 from guavamast.relay.freshness import StoreClock
 from guavamast.relay.peers import Peers
-from guavamast.relay.store import EndpointReading
+from guavamast.relay.store import EndpointSnapshot
 from tests.relay_facts import make_endpoint
 
 
-def make_snapshot(*names: str, store_time: float) -> EndpointReading:
+def make_snapshot(*names: str, store_time: float) -> EndpointSnapshot:
     """Return a snapshot with endpoints of these names."""
     records = [make_endpoint(name, slots=64) for name in names]
-    return EndpointReading(records=records, digest="-".join(names), reading=store_time)
+    return EndpointSnapshot(records=records, digest="-".join(names), store_time=store_time)
 
 
 class EndpointNewsTest(unittest.TestCase):
@@ -54,11 +54,9 @@
         The instance has read the table without the endpoint; a delayed, older update from another
         instance still lists it.
         """
-        knowledge = FleetKnowledge(
-            failure_domain="a", peers=Peers(own_name="me"), clock=StoreClock()
-        )
-        self.assertTrue(knowledge.take_endpoints(make_snapshot("e1", store_time=20.0)))
-        self.assertFalse(knowledge.take_endpoints(make_snapshot("e1", "e2", store_time=19.0)))
+        knowledge = FleetState(failure_domain="a", peers=Peers(own_name="me"), clock=StoreClock())
+        self.assertTrue(knowledge.apply_endpoints(make_snapshot("e1", store_time=20.0)))
+        self.assertFalse(knowledge.apply_endpoints(make_snapshot("e1", "e2", store_time=19.0)))
         self.assertIsNone(knowledge.endpoints.find("e2"))
 
 
--- a/tests/test_relay_exchange.py
+++ b/tests/test_relay_exchange.py
@@ -30,7 +30,7 @@
 from guavamast.relay.request_notes import RequestNotes
 from guavamast.relay.request_progress import RequestProgress, begin_progress
 from tests.relay_facts import PROFILE, make_endpoint, make_request, make_route
-from tests.test_relay_caller_admission import World
+from tests.test_relay_caller_admission import AdmissionSimulation
 
 if TYPE_CHECKING:
     from collections.abc import Callable
@@ -41,7 +41,7 @@
 class SlowPool(ConnectionPool):
     """A pool whose connections take long to acquire."""
 
-    def __init__(self, world: World) -> None:
+    def __init__(self, world: AdmissionSimulation) -> None:
         super().__init__()
         self._world = world
         self.delay_s = 0.0
@@ -61,7 +61,7 @@
     """A request is sent by the current configuration, however long the send is delayed."""
 
     async def asyncSetUp(self) -> None:
-        self.world = World()
+        self.world = AdmissionSimulation()
         self.engine = EngineStandIn(engine_id="x")
         port = await self.engine.listen()
         self.addAsyncCleanup(self.engine.stop)
--- a/tests/test_relay_freshness_properties.py
+++ b/tests/test_relay_freshness_properties.py
@@ -7,7 +7,7 @@
 from hypothesis import given
 from hypothesis import strategies as st
 
-from guavamast.relay.freshness import OUTAGE_GAP_S, Freshness, Proof, StoreClock
+from guavamast.relay.freshness import OUTAGE_GAP_S, Freshness, FreshnessStamp, StoreClock
 
 SECONDS = st.floats(min_value=0.0, max_value=30.0)
 
@@ -31,7 +31,7 @@
             sent = now
             answered_at = sent + out
             now = answered_at + back
-            clock.record(sent=sent, reading=answered_at - offset)
+            clock.record(sent=sent, store_time=answered_at - offset)
         # A message with the last store time waits in a socket while the machine is suspended.
         now += suspended_s
         true_age = now - answered_at
@@ -46,38 +46,38 @@
 
     def setUp(self) -> None:
         self.clock = StoreClock()
-        self.clock.record(sent=100.0, reading=0.0)
+        self.clock.record(sent=100.0, store_time=0.0)
         self.freshness = Freshness(clock=self.clock)
 
-    def test_word_on_another_version_proves_nothing(self) -> None:
+    def test_stamp_of_another_version_is_ignored(self) -> None:
         """A peer's stamp of a newer version must not refresh the older version held here.
 
         Otherwise a revoked key stays accepted: the peer has read the revocation, and its heartbeats
         confirm only the new version.
         """
-        self.freshness.record(Proof(version="7", reading=1.0))
-        self.assertFalse(self.freshness.confirm(Proof(version="8", reading=5.0)))
+        self.freshness.record(FreshnessStamp(version="7", store_time=1.0))
+        self.assertFalse(self.freshness.confirm(FreshnessStamp(version="8", store_time=5.0)))
         self.assertAlmostEqual(self.freshness.compute_age(now=106.0), 5.0)
-        self.assertTrue(self.freshness.confirm(Proof(version="7", reading=2.0)))
+        self.assertTrue(self.freshness.confirm(FreshnessStamp(version="7", store_time=2.0)))
         self.assertAlmostEqual(self.freshness.compute_age(now=106.0), 4.0)
 
     @given(readings=st.lists(SECONDS, min_size=1, max_size=20))
-    def test_age_never_grows_by_a_late_word(self, readings: list[float]) -> None:
+    def test_late_stamp_never_increases_the_age(self, readings: list[float]) -> None:
         freshness = Freshness(clock=self.clock)
-        freshness.record(Proof(version="7", reading=0.0))
+        freshness.record(FreshnessStamp(version="7", store_time=0.0))
         for reading in readings:
             before = freshness.compute_age(now=200.0)
-            freshness.confirm(Proof(version="7", reading=reading))
+            freshness.confirm(FreshnessStamp(version="7", store_time=reading))
             self.assertLessEqual(freshness.compute_age(now=200.0), before)
 
     def test_entries_may_come_back_for_two_seconds_after_an_outage(self) -> None:
-        self.freshness.record(Proof(version="a", reading=1.0))
+        self.freshness.record(FreshnessStamp(version="a", store_time=1.0))
         self.freshness.record_failure()
-        self.freshness.record(Proof(version="b", reading=1.0 + OUTAGE_GAP_S + 0.1))
+        self.freshness.record(FreshnessStamp(version="b", store_time=1.0 + OUTAGE_GAP_S + 0.1))
         self.assertTrue(self.freshness.is_recovering())
-        self.freshness.record(Proof(version="c", reading=4.0))
+        self.freshness.record(FreshnessStamp(version="c", store_time=4.0))
         self.assertTrue(self.freshness.is_recovering())
-        self.freshness.record(Proof(version="c", reading=4.8))
+        self.freshness.record(FreshnessStamp(version="c", store_time=4.8))
         self.assertFalse(self.freshness.is_recovering())
 
     def test_a_slow_instance_is_no_outage_of_the_store(self) -> None:
@@ -86,15 +86,15 @@
         An instance that stalled for two seconds took the gap for a store outage and kept an
         endpoint that had left meanwhile, so a call reached it seconds after its entry was removed.
         """
-        self.freshness.record(Proof(version="a", reading=1.0))
-        self.freshness.record(Proof(version="b", reading=1.0 + OUTAGE_GAP_S + 0.4))
+        self.freshness.record(FreshnessStamp(version="a", store_time=1.0))
+        self.freshness.record(FreshnessStamp(version="b", store_time=1.0 + OUTAGE_GAP_S + 0.4))
         self.assertFalse(self.freshness.is_recovering())
 
     def test_one_failed_read_is_no_outage(self) -> None:
-        self.freshness.record(Proof(version="a", reading=1.0))
+        self.freshness.record(FreshnessStamp(version="a", store_time=1.0))
         self.freshness.record_failure()
-        self.freshness.record(Proof(version="b", reading=1.0 + OUTAGE_GAP_S - 0.1))
-        self.freshness.record(Proof(version="c", reading=9.0))
+        self.freshness.record(FreshnessStamp(version="b", store_time=1.0 + OUTAGE_GAP_S - 0.1))
+        self.freshness.record(FreshnessStamp(version="c", store_time=9.0))
         self.assertFalse(self.freshness.is_recovering())
 
 
--- a/tests/test_relay_scheduler.py
+++ b/tests/test_relay_scheduler.py
@@ -217,7 +217,7 @@
 
     def list_groups(self, number: int) -> dict[str, set[str]]:
         records = [make_endpoint(f"e{one}", service=POOL) for one in range(number)]
-        self.table.apply(records, digest=str(number), returning=False)
+        self.table.apply(records, digest=str(number), recovering=False)
         names = self.groups.rank(POOL, "key")
         return {
             name: {one.endpoint_id for one in self.groups.list_members(POOL, name)}
--- a/tests/test_relay_table_news.py
+++ b/tests/test_relay_table_updates.py
@@ -44,7 +44,7 @@
     def is_due(self, *, rank: int, now: float) -> bool:
         """Return whether a read is due; the fixed age makes none due without an update."""
         news = self.announced_version > self.version
-        return self.schedule.is_due(age_s=0.1, rank=rank, news=news, now=now)
+        return self.schedule.is_due(age_s=0.1, rank=rank, has_update=news, now=now)
 
 
 def count_reads(
@@ -89,7 +89,7 @@
     return reads, latest
 
 
-class TableNewsTest(unittest.TestCase):
+class TableUpdateTest(unittest.TestCase):
     """Reads of the store don't grow with the number of instances."""
 
     def test_a_change_costs_few_reads_at_350_instances(self) -> None:
@@ -108,13 +108,13 @@
         reads, _ = count_reads(changes, until=9.0)
         self.assertLess(reads, 5 * INSTANCES)
 
-    def test_who_is_told_nothing_reads_in_time(self) -> None:
+    def test_instances_without_updates_read_in_time(self) -> None:
         """An instance that receives no tables reads a change before its old route is too old."""
         _, latest = count_reads([1.0], until=5.0, lost=0.3)
         self.assertLess(latest, BOUND_S / 2)
 
 
-class CatalogNewsTest(unittest.TestCase):
+class CatalogUpdateTest(unittest.TestCase):
     """Configurations are unchanged by encoding and decoding; anything else is rejected."""
 
     def test_a_configuration_survives_the_wire(self) -> None:
@@ -123,13 +123,13 @@
         assert data is not None
         self.assertEqual(decode_catalog_news(data), news)
 
-    def test_one_that_no_datagram_holds_is_not_told(self) -> None:
+    def test_oversized_configuration_is_not_sent(self) -> None:
         text = Random(1).randbytes(200_000)
         news = CatalogNews(domain="a", row_version=7, reading=2.5, text=text)
         self.assertIsNone(encode_catalog(news))
 
     @given(data=st.binary(max_size=60))
-    def test_any_other_datagram_is_refused(self, data: bytes) -> None:
+    def test_malformed_datagrams_are_rejected(self, data: bytes) -> None:
         for body in (data, zlib.compress(data)):
             with self.assertRaises(MalformedBeat):
                 decode_catalog_news(CATALOG_MARK + body)
--- a/tests/test_relay_table_watch.py
+++ b/tests/test_relay_table_watch.py
@@ -11,7 +11,7 @@
 from guavamast.relay.read_schedule import READ_INTERVAL_S, TICK_S, ReadSchedule
 from guavamast.relay.store_reader import SharedRead
 from guavamast.relay.table_watch import CatalogWatch
-from tests.test_relay_caller_admission import World
+from tests.test_relay_caller_admission import AdmissionSimulation
 
 EVENT_TIMEOUT_S = 20.0
 """Timeout in seconds for an immediate event, generous for a busy machine."""
@@ -36,7 +36,7 @@
     """The watch sleeps while no read can be due, and wakes for updates."""
 
     async def asyncSetUp(self) -> None:
-        self.simulation = World()
+        self.simulation = AdmissionSimulation()
         self.reads = 0
         self.was_read = asyncio.Event()
         self.watch = CatalogWatch(
@@ -57,13 +57,13 @@
         self.was_read.set()
         return True
 
-    async def test_news_wakes_it(self) -> None:
+    async def test_update_wakes_the_watch(self) -> None:
         """A changed configuration is read although the next round is far away."""
         self.simulation.knowledge.newer_catalog_known = True
         self.watch.wake_for_update()
         await asyncio.wait_for(self.was_read.wait(), EVENT_TIMEOUT_S)
 
-    async def test_a_beat_without_news_does_not(self) -> None:
+    async def test_heartbeat_without_update_does_not_wake_the_watch(self) -> None:
         self.watch.wake_for_update()
         await asyncio.sleep(0.05)
         self.assertEqual(self.reads, 0)
