--- a/bench/pretended_fleet.py
+++ b/bench/pretended_fleet.py
@@ -8,17 +8,17 @@
 from random import Random
 from typing import TYPE_CHECKING, Final
 
-from guavamast.relay.beat_exchange import BeatExchange
-from guavamast.relay.beat_relays import RELAYS_EACH, BeatRelays
-from guavamast.relay.beats import Beat, InstanceState, encode_beat
 from guavamast.relay.boot_clock import read_boot_time
-from guavamast.relay.bundle_content import BundleContent
 from guavamast.relay.endpoint_load import Load
 from guavamast.relay.endpoint_table import compute_digest
 from guavamast.relay.engine_profile import Estimate, ProfileEstimates
 from guavamast.relay.fleet_state import FleetState
 from guavamast.relay.freshness import FreshnessStamp, StoreClock
-from guavamast.relay.peers import FULL_MESH_INSTANCES, Peers, compute_beat_interval
+from guavamast.relay.heartbeat_aggregation import HeartbeatAggregation
+from guavamast.relay.heartbeat_exchange import HeartbeatExchange
+from guavamast.relay.heartbeat_messages import Heartbeat, InstanceState, encode_heartbeat
+from guavamast.relay.heartbeat_topology import AGGREGATORS_PER_DOMAIN, HeartbeatTopology
+from guavamast.relay.peers import FULL_MESH_INSTANCES, Peers, compute_heartbeat_interval
 from guavamast.relay.prompt_cache import PromptSend
 from guavamast.relay.prompt_lanes import Demand
 from guavamast.relay.store import InstanceRecord
@@ -44,18 +44,18 @@
     def __init__(self, *, record: InstanceRecord, fleet: PretendedFleet) -> None:
         self.record = record
         self.peers = Peers(own_name=record.name)
-        self.exchange = BeatExchange(
+        self.exchange = HeartbeatExchange(
             name=record.name,
             peers=self.peers,
-            relays=BeatRelays(record=record, peers=self.peers),
-            content=BundleContent(
+            topology=HeartbeatTopology(record=record, peers=self.peers),
+            aggregates=HeartbeatAggregation(
                 record=record,
                 knowledge=fleet.knowledge,
                 read_profiles=lambda: {domain: {"pool": _ESTIMATES} for domain in "abcdef"},
             ),
-            make_beat=lambda: fleet.make_beat(record),
-            take_beat=lambda _: None,
-            take_bundle=lambda _: None,
+            build_heartbeat=lambda: fleet.make_beat(record),
+            on_heartbeat=lambda _: None,
+            on_aggregate=lambda _: None,
             send=fleet.send,
             read_time=read_boot_time,
         )
@@ -83,7 +83,9 @@
         )
         """What the relays have heard of the store's tables."""
         self._records = [self._make_record(number) for number in range(instances - 1)]
-        self._relays = [_Relay(record=one, fleet=self) for one in self._records[:RELAYS_EACH]]
+        self._relays = [
+            _Relay(record=one, fleet=self) for one in self._records[:AGGREGATORS_PER_DOMAIN]
+        ]
 
     def register(self) -> None:
         """Write the fleet's records into the store."""
@@ -114,17 +116,17 @@
         if target.name == self._measured.name:
             self._socket.sendto(data, (self._measured.peers.ip, self._measured.peers.port))
 
-    def make_beat(self, record: InstanceRecord) -> Beat:
+    def make_beat(self, record: InstanceRecord) -> Heartbeat:
         """Return an instance's next beat."""
         self._sequence += 1
         reading = time.clock_gettime(time.CLOCK_BOOTTIME) - 0.05
         engines = self._random.sample(sorted(self._site.engines), LOADS_EACH)
-        return Beat(
+        return Heartbeat(
             record=record,
             incarnation=1,
             sequence=self._sequence,
             state=InstanceState.SERVING,
-            store_answers=True,
+            store_reachable=True,
             catalog=FreshnessStamp(
                 version=str(self._site.store.find_version("op", "config")), store_time=reading
             ),
@@ -151,11 +153,11 @@
         return InstanceRecord(
             name=name,
             ip="127.0.0.1",
-            failure_domain="a" if number < RELAYS_EACH else "abcdef"[number % DOMAINS],
+            failure_domain="a" if number < AGGREGATORS_PER_DOMAIN else "abcdef"[number % DOMAINS],
             region="r",
             callers_address=f"127.0.0.1:{9000 + number}",
             peer_port=int(self._socket.getsockname()[1]),
-            link_mbps=WIDE_MBPS if number < RELAYS_EACH else 20.0,
+            link_mbps=WIDE_MBPS if number < AGGREGATORS_PER_DOMAIN else 20.0,
         )
 
     def _compute_digest(self) -> str:
@@ -166,14 +168,14 @@
         while True:
             now = read_boot_time()
             for relay in self._relays:
-                relay.peers.take(self._make_measured_beat(), now=now)
+                relay.peers.receive(self._make_measured_beat(), now=now)
                 beat = self.make_beat(relay.record)
                 self.knowledge.apply_stamps(catalog=beat.catalog, endpoints=beat.endpoints)
                 for record in self._records:
-                    relay.peers.take(self.make_beat(record), now=now)
-            await asyncio.sleep(compute_beat_interval(len(self._records)))
+                    relay.peers.receive(self.make_beat(record), now=now)
+            await asyncio.sleep(compute_heartbeat_interval(len(self._records)))
 
-    def _make_measured_beat(self) -> Beat:
+    def _make_measured_beat(self) -> Heartbeat:
         settings = self._measured
         record = InstanceRecord(
             name=settings.name,
@@ -190,17 +192,17 @@
         while True:
             for record in self._records:
                 self._socket.sendto(
-                    encode_beat(self.make_beat(record)),
+                    encode_heartbeat(self.make_beat(record)),
                     (self._measured.peers.ip, self._measured.peers.port),
                 )
-            await asyncio.sleep(compute_beat_interval(len(self._records)))
+            await asyncio.sleep(compute_heartbeat_interval(len(self._records)))
 
     async def _tell_proofs(self) -> None:
         """Have a relay hear of each read of the two tables and pass it on."""
         while True:
             await asyncio.sleep(PROOF_INTERVAL_S / 2)
             for relay in self._relays:
-                relay.exchange.take(self.make_beat(self._records[-1]))
+                relay.exchange.receive(self.make_beat(self._records[-1]))
 
 
 _ESTIMATE: Final = Estimate(value=52.5, samples=20)
--- a/src/guavamast/platform/store_client.py
+++ b/src/guavamast/platform/store_client.py
@@ -11,7 +11,7 @@
 from guavamast.platform.endpoint_wire import decode_endpoint
 from guavamast.relay.endpoint_table import compute_digest
 from guavamast.relay.http_connection import ConnectionLost, HttpConnection, MalformedAnswer
-from guavamast.relay.loop_timeout import wait_turns
+from guavamast.relay.loop_timeout import wait_in_steps
 from guavamast.relay.store import (
     CatalogSnapshot,
     EndpointSnapshot,
@@ -195,7 +195,7 @@
         sent = self._read_time()
         exchange = self._exchange(connection, method, target, body)
         try:
-            status, data = await wait_turns(exchange, timeout_s=timeout_s)
+            status, data = await wait_in_steps(exchange, timeout_s=timeout_s)
         finally:
             if not connection.reusable:
                 connection.close()
--- a/src/guavamast/relay/endpoint_news.py
+++ b/src/guavamast/relay/endpoint_update.py
@@ -5,9 +5,9 @@
 from dataclasses import dataclass
 from typing import Final
 
-from guavamast.relay.beats import MalformedBeat
+from guavamast.relay.compressed_json import pack, unpack
 from guavamast.relay.endpoint_table import EndpointRecord
-from guavamast.relay.packing import pack, unpack
+from guavamast.relay.heartbeat_messages import MalformedBeat
 from guavamast.relay.store import EndpointSnapshot
 
 ENDPOINTS_PREFIX: Final = b"e"
@@ -17,17 +17,17 @@
 
 
 @dataclass(frozen=True, slots=True, kw_only=True)
-class EndpointNews:
+class EndpointUpdate:
     """A snapshot of the endpoint table, and the failure domain of its reader."""
 
     domain: str
     """Failure domain of the instance that read it."""
-    reading: EndpointSnapshot
+    snapshot: EndpointSnapshot
 
 
-def encode_endpoints(update: EndpointNews) -> bytes | None:
+def encode_endpoint_update(update: EndpointUpdate) -> bytes | None:
     """Return the datagram of an endpoint update, or None if it is too long for one."""
-    snapshot = update.reading
+    snapshot = update.snapshot
     rows = [
         [
             record.endpoint_id,
@@ -46,7 +46,7 @@
     return data if len(data) <= MAX_DATAGRAM_BYTES else None
 
 
-def decode_endpoint_update(data: bytes) -> EndpointNews:
+def decode_endpoint_update(data: bytes) -> EndpointUpdate:
     """Return the endpoint update of a datagram.
 
     Raises:
@@ -59,7 +59,7 @@
             digest=str(digest),
             store_time=float(store_time),
         )
-        return EndpointNews(domain=str(domain), reading=table)
+        return EndpointUpdate(domain=str(domain), snapshot=table)
     except (ValueError, TypeError, KeyError, IndexError) as error:
         raise MalformedBeat(f"endpoints: {type(error).__name__}: {error}") from error
 
--- a/src/guavamast/relay/bundle_content.py
+++ b/src/guavamast/relay/heartbeat_aggregation.py
@@ -4,14 +4,14 @@
 
 from typing import TYPE_CHECKING, Final
 
-from guavamast.relay.beats import BeatBundle
+from guavamast.relay.heartbeat_messages import AggregatedHeartbeat
 
 if TYPE_CHECKING:
     from collections.abc import Callable
 
-    from guavamast.relay.beats import Beat
     from guavamast.relay.engine_profile import ProfileEstimates
     from guavamast.relay.fleet_state import FleetState
+    from guavamast.relay.heartbeat_messages import Heartbeat
     from guavamast.relay.peers import Peer
     from guavamast.relay.store import InstanceRecord
 
@@ -24,7 +24,7 @@
 instance that has missed a change receives it within a few seconds."""
 
 
-class BundleContent:
+class HeartbeatAggregation:
     """Builds the aggregated heartbeats of one instance.
 
     Of all instances, they contain only names, numbers and states. If each instance decoded full
@@ -52,8 +52,8 @@
         self._rotation = 0
 
     def build_for_aggregators(
-        self, heartbeat: Beat, peers: list[Peer], *, now: float
-    ) -> list[BeatBundle]:
+        self, heartbeat: Heartbeat, peers: list[Peer], *, now: float
+    ) -> list[AggregatedHeartbeat]:
         """Return the state of this failure domain for the aggregators of the others.
 
         Args:
@@ -66,8 +66,8 @@
         return self._build(heartbeat, peers, profiles, now=now)
 
     def build_for_domain(
-        self, heartbeat: Beat, peers: list[Peer], *, now: float
-    ) -> list[BeatBundle]:
+        self, heartbeat: Heartbeat, peers: list[Peer], *, now: float
+    ) -> list[AggregatedHeartbeat]:
         """Return the state of all instances for the own failure domain.
 
         Args:
@@ -79,17 +79,20 @@
 
     def _build(
         self,
-        heartbeat: Beat,
+        heartbeat: Heartbeat,
         peers: list[Peer],
         profiles: dict[str, dict[str, ProfileEstimates]],
         *,
         now: float,
-    ) -> list[BeatBundle]:
+    ) -> list[AggregatedHeartbeat]:
         self._rotation += 1
-        liveness = [heartbeat.make_sign(), *(peer.build_liveness_record() for peer in peers)]
+        liveness = [
+            heartbeat.build_liveness_record(),
+            *(peer.build_liveness_record() for peer in peers),
+        ]
         records = [heartbeat.record, *self._select_records(peers, now=now)]
         return [
-            BeatBundle(
+            AggregatedHeartbeat(
                 aggregator=self._record.name,
                 liveness=liveness[first : first + INSTANCES_PER_DATAGRAM],
                 records=records,
--- a/src/guavamast/relay/beat_exchange.py
+++ b/src/guavamast/relay/heartbeat_exchange.py
@@ -5,23 +5,27 @@
 import asyncio
 from typing import TYPE_CHECKING, Final
 
-from guavamast.relay.beat_relays import RELAYS_EACH
-from guavamast.relay.beats import BeatBundle, encode_aggregate, encode_beat
-from guavamast.relay.peers import compute_beat_interval
+from guavamast.relay.heartbeat_messages import (
+    AggregatedHeartbeat,
+    encode_aggregate,
+    encode_heartbeat,
+)
+from guavamast.relay.heartbeat_topology import AGGREGATORS_PER_DOMAIN
+from guavamast.relay.peers import compute_heartbeat_interval
 
 if TYPE_CHECKING:
     from collections.abc import Callable
 
-    from guavamast.relay.beat_relays import BeatRelays
-    from guavamast.relay.beats import Beat
-    from guavamast.relay.bundle_content import BundleContent
     from guavamast.relay.freshness import FreshnessStamp
+    from guavamast.relay.heartbeat_aggregation import HeartbeatAggregation
+    from guavamast.relay.heartbeat_messages import Heartbeat
+    from guavamast.relay.heartbeat_topology import HeartbeatTopology
     from guavamast.relay.peers import Peers
     from guavamast.relay.store import InstanceRecord
 
 AGGREGATE_EXCHANGE_INTERVAL_S: Final = 0.5
 """Seconds between two aggregated heartbeats that aggregators of different domains exchange."""
-DOMAIN_AGGREGATE_INTERVAL_S: Final = RELAYS_EACH * AGGREGATE_EXCHANGE_INTERVAL_S
+DOMAIN_AGGREGATE_INTERVAL_S: Final = AGGREGATORS_PER_DOMAIN * AGGREGATE_EXCHANGE_INTERVAL_S
 """Seconds between two aggregated heartbeats from an aggregator to its whole failure domain. The
 aggregators take turns, so an instance receives one in each exchange interval."""
 PACING_SHARE: Final = 0.7
@@ -29,17 +33,17 @@
 fill its link and delay the answers on it."""
 
 
-class BeatExchange:
+class HeartbeatExchange:
     """Sends and receives heartbeats, and aggregates those of others in large fleets.
 
     Args:
         name: This instance.
         peers: The other instances.
-        relays: Selects the targets of heartbeats.
-        content: Builds aggregated heartbeats.
-        make_beat: Returns this instance's next heartbeat.
-        take_beat: Called with each heartbeat that is newer than the last of its sender.
-        take_bundle: Called with each aggregated heartbeat.
+        topology: Selects the targets of heartbeats.
+        aggregates: Builds aggregated heartbeats.
+        build_heartbeat: Returns this instance's next heartbeat.
+        on_heartbeat: Called with each heartbeat that is newer than the last of its sender.
+        on_aggregate: Called with each aggregated heartbeat.
         send: Sends a datagram to an instance.
         read_time: The local clock.
     """
@@ -63,21 +67,21 @@
         *,
         name: str,
         peers: Peers,
-        relays: BeatRelays,
-        content: BundleContent,
-        make_beat: Callable[[], Beat],
-        take_beat: Callable[[Beat], None],
-        take_bundle: Callable[[BeatBundle], None],
+        topology: HeartbeatTopology,
+        aggregates: HeartbeatAggregation,
+        build_heartbeat: Callable[[], Heartbeat],
+        on_heartbeat: Callable[[Heartbeat], None],
+        on_aggregate: Callable[[AggregatedHeartbeat], None],
         send: Callable[[bytes, InstanceRecord], None],
         read_time: Callable[[], float],
     ) -> None:
         self._name = name
         self._peers = peers
-        self._topology = relays
-        self._aggregates = content
-        self._build_heartbeat = make_beat
-        self._on_heartbeat = take_beat
-        self._on_aggregate = take_bundle
+        self._topology = topology
+        self._aggregates = aggregates
+        self._build_heartbeat = build_heartbeat
+        self._on_heartbeat = on_heartbeat
+        self._on_aggregate = on_aggregate
         self._send = send
         self._read_time = read_time
         self._catalog_time_forwarded = 0.0
@@ -94,13 +98,13 @@
         """Send a heartbeat with new state at once."""
         heartbeat = self._build_heartbeat()
         now = self._read_time()
-        data = encode_beat(heartbeat)
+        data = encode_heartbeat(heartbeat)
         for target in self._list_update_targets():
             self._send(data, target)
         if self._topology.is_aggregator(now=now):
             self._forward_to_domain(heartbeat)
 
-    def tell_table(self, data: bytes | None) -> None:
+    def send_table_update(self, data: bytes | None) -> None:
         """Send the others a changed table that this instance has read from the store.
 
         Without this, each of them reads the store, and a change costs as many calls as there are
@@ -115,7 +119,7 @@
         for target in self._list_update_targets():
             self._send(data, target)
 
-    def forward_table(self, data: bytes, *, domain: str) -> None:
+    def forward_table_update(self, data: bytes, *, domain: str) -> None:
         """Forward an update with a table that was new here.
 
         An aggregator forwards it to its domain. Any other instance forwards it only if it comes
@@ -137,27 +141,27 @@
 
     def announce_to_all(self) -> None:
         """Send a heartbeat to each instance directly: on startup and on leaving."""
-        data = encode_beat(self._build_heartbeat())
+        data = encode_heartbeat(self._build_heartbeat())
         for target in self._peers.list_targets():
             self._send(data, target)
 
-    def take(self, heartbeat: Beat) -> None:
+    def receive(self, heartbeat: Heartbeat) -> None:
         """Apply a heartbeat from its own sender, and forward it at once if it has new state."""
         now = self._read_time()
         previous_state = self._peers.find_state(heartbeat.record.name)
-        if not self._peers.take(heartbeat, now=now):
+        if not self._peers.receive(heartbeat, now=now):
             return
         self._on_heartbeat(heartbeat)
         if self._topology.is_aggregator(now=now):
             self._forward_to_domain(heartbeat, changed=previous_state is not heartbeat.state)
 
-    def take_bundle(self, aggregate: BeatBundle) -> None:
+    def receive_aggregate(self, aggregate: AggregatedHeartbeat) -> None:
         """Apply an aggregated heartbeat; forward it within the domain if it comes from another."""
         now = self._read_time()
         self._topology.record_aggregate(now=now)
         records = {record.name: record for record in aggregate.records}
         for liveness in aggregate.liveness:
-            self._peers.take_sign(liveness, records.get(liveness.name), now=now)
+            self._peers.receive_liveness_record(liveness, records.get(liveness.name), now=now)
         self._on_aggregate(aggregate)
         if self._topology.is_in_other_domain(
             aggregate.aggregator
@@ -168,7 +172,7 @@
 
     def send_heartbeat(self) -> None:
         """Send one heartbeat to the instances that receive every one."""
-        data = encode_beat(self._build_heartbeat())
+        data = encode_heartbeat(self._build_heartbeat())
         for target in self._topology.list_heartbeat_targets(now=self._read_time()):
             self._send(data, target)
 
@@ -205,7 +209,7 @@
     def _list_update_targets(self) -> list[InstanceRecord]:
         return self._topology.list_update_targets(now=self._read_time())
 
-    def _forward_to_domain(self, heartbeat: Beat, *, changed: bool = False) -> None:
+    def _forward_to_domain(self, heartbeat: Heartbeat, *, changed: bool = False) -> None:
         """Send the own failure domain a freshness stamp newer than those sent before.
 
         Args:
@@ -222,9 +226,9 @@
             return
         self._catalog_time_forwarded = max(catalog_time, self._catalog_time_forwarded)
         self._endpoints_time_forwarded = max(endpoints_time, self._endpoints_time_forwarded)
-        aggregate = BeatBundle(
+        aggregate = AggregatedHeartbeat(
             aggregator=self._name,
-            liveness=[heartbeat.make_sign()],
+            liveness=[heartbeat.build_liveness_record()],
             records=[heartbeat.record],
             catalog=heartbeat.catalog,
             endpoints=heartbeat.endpoints,
@@ -238,7 +242,7 @@
     async def _run_heartbeats(self) -> None:
         while True:
             self.send_heartbeat()
-            await asyncio.sleep(compute_beat_interval(self._peers.count_known()))
+            await asyncio.sleep(compute_heartbeat_interval(self._peers.count_known()))
 
     async def _run_aggregate_exchange(self) -> None:
         while True:
--- a/src/guavamast/relay/beats.py
+++ b/src/guavamast/relay/heartbeat_messages.py
@@ -11,10 +11,10 @@
 from enum import StrEnum
 from typing import Any, Final
 
+from guavamast.relay.compressed_json import pack, unpack
 from guavamast.relay.endpoint_load import Load
 from guavamast.relay.engine_profile import PROFILE_QUANTITIES, Estimate, ProfileEstimates
 from guavamast.relay.freshness import FreshnessStamp
-from guavamast.relay.packing import pack, unpack
 from guavamast.relay.prompt_cache import PromptSend
 from guavamast.relay.prompt_lanes import LANES, Demand
 from guavamast.relay.refusal_history import RefusalCount
@@ -53,7 +53,7 @@
 
 
 @dataclass(frozen=True, slots=True, kw_only=True)
-class Beat:
+class Heartbeat:
     """State of one instance, its load, and what it knows of the store's tables."""
 
     record: InstanceRecord
@@ -62,7 +62,7 @@
     sequence: int
     """Number of the heartbeat within the incarnation."""
     state: InstanceState
-    store_answers: bool
+    store_reachable: bool
     """Whether the instance's last read of the store succeeded."""
     catalog: FreshnessStamp | None
     endpoints: FreshnessStamp | None
@@ -70,26 +70,26 @@
     """Load that the instance places on each endpoint."""
     demand: Demand
     """Work in each length bucket that the instance has recently been asked for."""
-    refusals: list[RefusalCount]
+    rejections: list[RefusalCount]
     """Recent counts of requests and rejections at the instance."""
     profiles: dict[str, ProfileEstimates]
     """Recent estimates by the instance for the engines of each service."""
     sends: list[PromptSend]
     """Prompts that the instance has sent in the last second."""
 
-    def make_sign(self) -> LivenessRecord:
+    def build_liveness_record(self) -> LivenessRecord:
         """Return the part that is forwarded to those that already have the instance record."""
         return LivenessRecord(
             name=self.record.name,
             incarnation=self.incarnation,
             sequence=self.sequence,
             state=self.state,
-            store_answers=self.store_answers,
+            store_answers=self.store_reachable,
         )
 
 
 @dataclass(frozen=True, slots=True, kw_only=True)
-class LoadNotice:
+class LoadUpdate:
     """Load of one instance at the endpoints where it has just changed.
 
     The next heartbeat repeats it, so a lost datagram loses no information.
@@ -102,7 +102,7 @@
 
 
 @dataclass(frozen=True, slots=True, kw_only=True)
-class BeatBundle:
+class AggregatedHeartbeat:
     """State of many instances, forwarded by an aggregator in one datagram.
 
     Most of an instance's own record never changes, and of all freshness stamps the newest suffices;
@@ -125,12 +125,12 @@
     """A datagram that is not a valid heartbeat or update."""
 
 
-def encode_beat(heartbeat: Beat) -> bytes:
+def encode_heartbeat(heartbeat: Heartbeat) -> bytes:
     """Return the datagram of a heartbeat."""
     return json.dumps(_to_fields(heartbeat), separators=(",", ":")).encode()
 
 
-def encode_aggregate(aggregate: BeatBundle) -> bytes:
+def encode_aggregate(aggregate: AggregatedHeartbeat) -> bytes:
     """Return the datagram of an aggregated heartbeat."""
     fields = [
         AGGREGATE_VERSION,
@@ -153,25 +153,25 @@
     return AGGREGATE_PREFIX + pack(fields)
 
 
-def _to_fields(heartbeat: Beat) -> dict[str, Any]:
+def _to_fields(heartbeat: Heartbeat) -> dict[str, Any]:
     return {
         "v": 1,
         "who": _encode_record(heartbeat.record),
         "inc": heartbeat.incarnation,
         "seq": heartbeat.sequence,
         "state": heartbeat.state,
-        "store": heartbeat.store_answers,
+        "store": heartbeat.store_reachable,
         "cat": _encode_stamp(heartbeat.catalog),
         "end": _encode_stamp(heartbeat.endpoints),
         "ask": [round(work, 1) for work in heartbeat.demand.work_ms],
-        "back": _encode_rejections(heartbeat.refusals),
+        "back": _encode_rejections(heartbeat.rejections),
         "speed": _encode_profiles(heartbeat.profiles),
         "sent": _encode_sends(heartbeat.sends),
         "load": _encode_loads(heartbeat.loads),
     }
 
 
-def decode_beat(data: bytes) -> Beat:
+def decode_heartbeat(data: bytes) -> Heartbeat:
     """Return the heartbeat of a datagram.
 
     Raises:
@@ -183,31 +183,31 @@
         raise MalformedBeat(f"{type(error).__name__}: {error}") from error
 
 
-def _from_fields(fields: dict[str, Any]) -> Beat:
+def _from_fields(fields: dict[str, Any]) -> Heartbeat:
     if fields["v"] != 1:
         raise MalformedBeat("unknown version")
-    return Beat(
+    return Heartbeat(
         record=_decode_record(*fields["who"]),
         incarnation=int(fields["inc"]),
         sequence=int(fields["seq"]),
         state=InstanceState(fields["state"]),
-        store_answers=bool(fields["store"]),
+        store_reachable=bool(fields["store"]),
         catalog=_decode_stamp(fields["cat"]),
         endpoints=_decode_stamp(fields["end"]),
         loads=_decode_loads(fields["load"]),
         demand=_decode_demand(fields["ask"]),
-        refusals=_decode_rejections(fields.get("back", [])),
+        rejections=_decode_rejections(fields.get("back", [])),
         profiles=_decode_profiles(fields["speed"]),
         sends=_decode_sends(fields["sent"]),
     )
 
 
-def _decode_aggregate(data: bytes) -> BeatBundle:
+def _decode_aggregate(data: bytes) -> AggregatedHeartbeat:
     try:
         version, aggregator, liveness, records, catalog, endpoints, profiles = unpack(data)
         if version != AGGREGATE_VERSION:
             raise MalformedBeat("unknown version")
-        return BeatBundle(
+        return AggregatedHeartbeat(
             aggregator=str(aggregator),
             liveness=[_decode_liveness_record(*fields) for fields in liveness],
             records=[_decode_record(*fields) for fields in records],
@@ -266,7 +266,7 @@
     )
 
 
-def encode_notice(update: LoadNotice) -> bytes:
+def encode_load_update(update: LoadUpdate) -> bytes:
     """Return the datagram of a load update."""
     fields = [
         "n",
@@ -278,7 +278,7 @@
     return json.dumps(fields, separators=(",", ":")).encode()
 
 
-def decode_message(data: bytes) -> Beat | LoadNotice | BeatBundle:
+def decode_message(data: bytes) -> Heartbeat | LoadUpdate | AggregatedHeartbeat:
     """Return the message of a datagram.
 
     Raises:
@@ -287,10 +287,10 @@
     if data.startswith(AGGREGATE_PREFIX):
         return _decode_aggregate(data[len(AGGREGATE_PREFIX) :])
     if not data.startswith(b'["n"'):
-        return decode_beat(data)
+        return decode_heartbeat(data)
     try:
         _, instance, incarnation, loads, sends = json.loads(data)
-        return LoadNotice(
+        return LoadUpdate(
             instance=str(instance),
             incarnation=int(incarnation),
             loads=_decode_loads(loads),
--- a/src/guavamast/relay/beat_relays.py
+++ b/src/guavamast/relay/heartbeat_topology.py
@@ -4,14 +4,14 @@
 
 from typing import TYPE_CHECKING, Final
 
-from guavamast.relay.beats import InstanceState
+from guavamast.relay.heartbeat_messages import InstanceState
 from guavamast.rendezvous import recall_weight
 
 if TYPE_CHECKING:
     from guavamast.relay.peers import Peer, Peers
     from guavamast.relay.store import InstanceRecord
 
-RELAYS_EACH: Final = 2
+AGGREGATORS_PER_DOMAIN: Final = 2
 """Instances that aggregate heartbeats in each failure domain: one continues if the other stops."""
 AGGREGATOR_SILENCE_S: Final = 2.2
 """Seconds without an aggregated heartbeat after which an instance sends its heartbeats to its whole
@@ -21,7 +21,7 @@
 """Seconds for which the same instances of a domain without live instances are tried."""
 
 
-class BeatRelays:
+class HeartbeatTopology:
     """Selects the targets of one instance's heartbeats and the aggregators of each domain.
 
     Each instance sends heartbeats to the aggregators of its failure domain. An aggregator sends
@@ -63,7 +63,7 @@
 
     def find_aggregator_rank(self, *, now: float) -> int | None:
         """Return this instance's rank among the aggregators of its domain; None if it is none."""
-        if not self._peers.relayed:
+        if not self._peers.aggregated:
             return None
         aggregators = self._list_aggregators(self._record.failure_domain, now=now)
         names = [one.name for one in aggregators]
@@ -71,7 +71,7 @@
 
     def list_heartbeat_targets(self, *, now: float) -> list[InstanceRecord]:
         """Return the instances that receive every heartbeat of this one."""
-        if not self._peers.relayed:
+        if not self._peers.aggregated:
             return self._peers.list_targets()
         own = self._record.failure_domain
         last_aggregate = self._last_aggregate
@@ -83,7 +83,7 @@
     def list_update_targets(self, *, now: float) -> list[InstanceRecord]:
         """Return the targets of a heartbeat with new state: the aggregators of all domains."""
         targets = {one.name: one for one in self.list_heartbeat_targets(now=now)}
-        if self._peers.relayed:
+        if self._peers.aggregated:
             targets.update((one.name, one) for one in self.list_other_aggregators(now=now))
         return list(targets.values())
 
@@ -130,7 +130,7 @@
         }
         if domain == self._record.failure_domain:
             records[self._record.name] = self._record
-        return [records[name] for name in _rank_aggregators(records)[:RELAYS_EACH]]
+        return [records[name] for name in _rank_aggregators(records)[:AGGREGATORS_PER_DOMAIN]]
 
     def _exclude_self(self, records: list[InstanceRecord]) -> list[InstanceRecord]:
         return [one for one in records if one.name != self._record.name]
@@ -148,7 +148,7 @@
 def _select_probe_targets(known: dict[str, InstanceRecord], *, now: float) -> list[InstanceRecord]:
     """Return the preferred aggregators of a domain and the instances whose turn it is."""
     names = _rank_aggregators(known)
-    first = int(now / PROBE_TURN_S) * RELAYS_EACH
-    rotating = [names[(first + number) % len(names)] for number in range(RELAYS_EACH)]
-    preferred = names[:RELAYS_EACH]
+    first = int(now / PROBE_TURN_S) * AGGREGATORS_PER_DOMAIN
+    rotating = [names[(first + number) % len(names)] for number in range(AGGREGATORS_PER_DOMAIN)]
+    preferred = names[:AGGREGATORS_PER_DOMAIN]
     return [known[name] for name in dict.fromkeys([*preferred, *rotating])]
--- a/src/guavamast/relay/http_connection.py
+++ b/src/guavamast/relay/http_connection.py
@@ -11,7 +11,7 @@
 
 import h11
 
-from guavamast.relay.loop_timeout import wait_turns
+from guavamast.relay.loop_timeout import wait_in_steps
 
 if TYPE_CHECKING:
     from guavamast.relay.messages import Header
@@ -78,7 +78,7 @@
         loop = asyncio.get_running_loop()
         try:
             connecting = loop.create_connection(cls, host, port)
-            _, connection = await wait_turns(connecting, timeout_s=timeout_s)
+            _, connection = await wait_in_steps(connecting, timeout_s=timeout_s)
         except (OSError, TimeoutError) as error:
             raise ConnectionLost(f"connect: {type(error).__name__}") from error
         return connection
--- a/src/guavamast/relay/load_notices.py
+++ b/src/guavamast/relay/load_update_sender.py
@@ -5,9 +5,9 @@
 import asyncio
 from typing import TYPE_CHECKING, Final
 
-from guavamast.relay.beats import LoadNotice
 from guavamast.relay.endpoint_load import Load
-from guavamast.relay.peers import FULL_MESH_INSTANCES, compute_beat_interval
+from guavamast.relay.heartbeat_messages import LoadUpdate
+from guavamast.relay.peers import FULL_MESH_INSTANCES, compute_heartbeat_interval
 
 if TYPE_CHECKING:
     from collections.abc import Callable
@@ -22,7 +22,7 @@
 """Seconds for which decreases are collected; a late report at worst diverts a request."""
 
 
-class LoadNotices:
+class LoadUpdateSender:
     """Collects changes of this instance's loads and sends them to the others.
 
     Without this, a burst that reaches all instances at once goes to the engine that had the least
@@ -59,7 +59,7 @@
         incarnation: int,
         loads: EndpointLoads,
         cache: PromptCache,
-        send: Callable[[LoadNotice], None],
+        send: Callable[[LoadUpdate], None],
         count_instances: Callable[[], int],
         read_time: Callable[[], float],
     ) -> None:
@@ -74,18 +74,18 @@
         self._flush_at: float | None = None
         self._last_sent_number = 0
 
-    def note(self, endpoint_id: str, *, more: bool) -> None:
+    def record_change(self, endpoint_id: str, *, increased: bool) -> None:
         """Schedule an update after the load at an endpoint has changed.
 
         Args:
             endpoint_id: The endpoint.
-            more: Whether its load has increased.
+            increased: Whether its load has increased.
         """
         if self._count_instances() > FULL_MESH_INSTANCES:
             return
         self._changed.add(endpoint_id)
         loop = asyncio.get_running_loop()
-        flush_at = loop.time() + (INCREASE_BATCH_S if more else DECREASE_BATCH_S)
+        flush_at = loop.time() + (INCREASE_BATCH_S if increased else DECREASE_BATCH_S)
         if self._flush_at is None or flush_at < self._flush_at:
             self._flush_at = flush_at
             loop.call_at(flush_at, self._flush)
@@ -98,13 +98,13 @@
         changed = {key: own.get(key) or Load() for key in self._changed}
         self._changed.clear()
         recent = self._cache.list_recent(
-            now=self._read_time(), interval_s=compute_beat_interval(self._count_instances())
+            now=self._read_time(), interval_s=compute_heartbeat_interval(self._count_instances())
         )
         sends = [send for send in recent if send.number > self._last_sent_number]
         if sends:
             self._last_sent_number = sends[-1].number
         self._send(
-            LoadNotice(
+            LoadUpdate(
                 instance=self._instance,
                 incarnation=self._incarnation,
                 loads=changed,
--- a/src/guavamast/relay/loop_timeout.py
+++ b/src/guavamast/relay/loop_timeout.py
@@ -15,7 +15,7 @@
 """Parts into which a timeout is split; an exchange of some messages takes fewer loop iterations."""
 
 
-async def wait_turns(work: Coroutine[Any, Any, T], *, timeout_s: float) -> T:
+async def wait_in_steps(work: Coroutine[Any, Any, T], *, timeout_s: float) -> T:
     """Return the result of some network I/O within a timeout that tolerates a blocked loop.
 
     With a single timer, a process that is blocked for longer than the timeout treats the server as
--- a/src/guavamast/relay/node.py
+++ b/src/guavamast/relay/node.py
@@ -10,24 +10,30 @@
 from random import Random
 from typing import TYPE_CHECKING, Final
 
-from guavamast.relay.beat_exchange import BeatExchange
-from guavamast.relay.beat_relays import BeatRelays
-from guavamast.relay.beat_socket import BeatSocket
-from guavamast.relay.beats import Beat, BeatBundle, InstanceState, LoadNotice, encode_notice
 from guavamast.relay.boot_clock import read_boot_time
-from guavamast.relay.bundle_content import BundleContent
 from guavamast.relay.caller_addresses import VALIDITY_S
-from guavamast.relay.catalog_news import CatalogNews, encode_catalog
+from guavamast.relay.catalog_update import CatalogUpdate, encode_catalog_update
 from guavamast.relay.cleanup_loop import CleanupLoop
 from guavamast.relay.connection_pool import ConnectionPool
 from guavamast.relay.counters import Counters
 from guavamast.relay.decision_log import DecisionLog
-from guavamast.relay.endpoint_news import EndpointNews, encode_endpoints
+from guavamast.relay.endpoint_update import EndpointUpdate, encode_endpoint_update
 from guavamast.relay.fleet_state import FleetState
+from guavamast.relay.heartbeat_aggregation import HeartbeatAggregation
+from guavamast.relay.heartbeat_exchange import HeartbeatExchange
+from guavamast.relay.heartbeat_messages import (
+    AggregatedHeartbeat,
+    Heartbeat,
+    InstanceState,
+    LoadUpdate,
+    encode_load_update,
+)
+from guavamast.relay.heartbeat_topology import HeartbeatTopology
 from guavamast.relay.listener import CallerListener, Question, QuestionListener
-from guavamast.relay.load_notices import LoadNotices
+from guavamast.relay.load_update_sender import LoadUpdateSender
 from guavamast.relay.loop_delay import LoopDelay
-from guavamast.relay.peers import Peers, compute_beat_interval
+from guavamast.relay.peer_socket import PeerSocket
+from guavamast.relay.peers import Peers, compute_heartbeat_interval
 from guavamast.relay.prompt_lanes import NO_DEMAND
 from guavamast.relay.request_notes import RequestNotes
 from guavamast.relay.request_path import make_relayer
@@ -111,11 +117,11 @@
         )
         self._stop = asyncio.Event()
         self._load_updates = self._build_load_updates()
-        self._heartbeat_socket = BeatSocket(
-            take=self._receive_message,
-            take_catalog=self._receive_catalog,
-            take_endpoints=self._receive_endpoints,
-            take_scheduling=self._receive_scheduling,
+        self._heartbeat_socket = PeerSocket(
+            on_message=self._receive_message,
+            on_catalog_update=self._receive_catalog,
+            on_endpoint_update=self._receive_endpoints,
+            on_scheduling_message=self._receive_scheduling,
             counters=self.counters,
         )
         self._scheduling = self._build_scheduling()
@@ -138,8 +144,8 @@
             note_fault=self._record_fault,
         )
 
-    def _build_load_updates(self) -> LoadNotices:
-        return LoadNotices(
+    def _build_load_updates(self) -> LoadUpdateSender:
+        return LoadUpdateSender(
             instance=self.settings.name,
             incarnation=self._incarnation,
             loads=self._work.loads,
@@ -161,19 +167,19 @@
             read_time=read_boot_time,
         )
 
-    def _build_exchange(self) -> BeatExchange:
-        return BeatExchange(
+    def _build_exchange(self) -> HeartbeatExchange:
+        return HeartbeatExchange(
             name=self.settings.name,
             peers=self.peers,
-            relays=BeatRelays(record=self.record, peers=self.peers),
-            content=BundleContent(
+            topology=HeartbeatTopology(record=self.record, peers=self.peers),
+            aggregates=HeartbeatAggregation(
                 record=self.record,
                 knowledge=self.fleet_state,
                 read_profiles=self._aggregate_profiles,
             ),
-            make_beat=self._build_heartbeat,
-            take_beat=self._receive_heartbeat,
-            take_bundle=self._receive_aggregated_heartbeat,
+            build_heartbeat=self._build_heartbeat,
+            on_heartbeat=self._receive_heartbeat,
+            on_aggregate=self._receive_aggregated_heartbeat,
             send=self._heartbeat_socket.send,
             read_time=read_boot_time,
         )
@@ -233,7 +239,7 @@
             pool=self._pool,
             notes=self._notes,
             scheduling=self._scheduling,
-            tell_load=self._load_updates.note,
+            tell_load=self._load_updates.record_change,
             random=self._random,
             read_time=read_boot_time,
         )
@@ -335,40 +341,40 @@
         except Exception as error:  # noqa: BLE001
             self.log.write("unregister_failed", now=read_boot_time(), who=name, reason=str(error))
 
-    def _build_heartbeat(self) -> Beat:
+    def _build_heartbeat(self) -> Heartbeat:
         """Return this instance's next heartbeat."""
         now = read_boot_time()
         self._apply_limits()
         self._sequence += 1
-        interval_s = compute_beat_interval(self.peers.count_known())
+        interval_s = compute_heartbeat_interval(self.peers.count_known())
         # In large fleets the schedulers track all requests; other instances need no such fields.
-        scheduled = self.peers.relayed
-        return Beat(
+        scheduled = self.peers.aggregated
+        return Heartbeat(
             record=self.record,
             incarnation=self._incarnation,
             sequence=self._sequence,
             state=self.state,
-            store_answers=self._reader.answers,
+            store_reachable=self._reader.answers,
             catalog=self.fleet_state.catalog_stamp,
             endpoints=self.fleet_state.endpoint_stamp,
             loads={} if scheduled else self._work.loads.list_own(),
             demand=NO_DEMAND if scheduled else self._work.demand.read_own(now=now),
-            refusals=[] if scheduled else self._work.refusals.list_own(now=now),
+            rejections=[] if scheduled else self._work.refusals.list_own(now=now),
             profiles=self._work.profiles.list_own(now=now),
             sends=[] if scheduled else self._work.cache.list_recent(now=now, interval_s=interval_s),
         )
 
-    def _send_load_update(self, update: LoadNotice) -> None:
-        data = encode_notice(update)
+    def _send_load_update(self, update: LoadUpdate) -> None:
+        data = encode_load_update(update)
         for peer in self.peers.list_live(now=read_boot_time()):
             self._heartbeat_socket.send(data, peer.record)
 
-    def _receive_message(self, message: Beat | LoadNotice | BeatBundle) -> None:
-        if isinstance(message, Beat):
-            self._exchange.take(message)
-        elif isinstance(message, BeatBundle):
-            self._exchange.take_bundle(message)
-        elif self.peers.is_current(message.instance, message.incarnation):
+    def _receive_message(self, message: Heartbeat | LoadUpdate | AggregatedHeartbeat) -> None:
+        if isinstance(message, Heartbeat):
+            self._exchange.receive(message)
+        elif isinstance(message, AggregatedHeartbeat):
+            self._exchange.receive_aggregate(message)
+        elif self.peers.is_current_process(message.instance, message.incarnation):
             self._work.take_notice(message)
 
     def _receive_scheduling(self, message: SchedulingMessage, source: tuple[str, int]) -> None:
@@ -377,35 +383,35 @@
     def _publish_catalog(self, snapshot: CatalogSnapshot) -> None:
         """Send a configuration that this instance has read to the other instances."""
         assert snapshot.catalog is not None
-        update = CatalogNews(
+        update = CatalogUpdate(
             domain=self.settings.failure_domain,
             row_version=snapshot.catalog.row_version,
-            reading=snapshot.store_time,
+            store_time=snapshot.store_time,
             text=snapshot.text,
         )
-        self._exchange.tell_table(encode_catalog(update))
+        self._exchange.send_table_update(encode_catalog_update(update))
 
     def _publish_endpoints(self, snapshot: EndpointSnapshot) -> None:
         """Send an endpoint table that this instance has read to the other instances."""
-        update = EndpointNews(domain=self.settings.failure_domain, reading=snapshot)
-        self._exchange.tell_table(encode_endpoints(update))
+        update = EndpointUpdate(domain=self.settings.failure_domain, snapshot=snapshot)
+        self._exchange.send_table_update(encode_endpoint_update(update))
 
-    def _receive_catalog(self, update: CatalogNews, data: bytes) -> None:
+    def _receive_catalog(self, update: CatalogUpdate, data: bytes) -> None:
         """Apply and forward a configuration that another instance has read."""
         if self._reader.apply_catalog_update(update):
-            self._exchange.forward_table(data, domain=update.domain)
+            self._exchange.forward_table_update(data, domain=update.domain)
 
-    def _receive_endpoints(self, update: EndpointNews, data: bytes) -> None:
+    def _receive_endpoints(self, update: EndpointUpdate, data: bytes) -> None:
         """Apply and forward an endpoint table that another instance has read."""
-        if self._reader.apply_endpoint_snapshot(update.reading, from_peer=True):
-            self._exchange.forward_table(data, domain=update.domain)
+        if self._reader.apply_endpoint_snapshot(update.snapshot, from_peer=True):
+            self._exchange.forward_table_update(data, domain=update.domain)
 
-    def _receive_heartbeat(self, heartbeat: Beat) -> None:
+    def _receive_heartbeat(self, heartbeat: Heartbeat) -> None:
         self.fleet_state.apply_stamps(catalog=heartbeat.catalog, endpoints=heartbeat.endpoints)
         self._watch.wake_for_update()
         self._work.take_beat(heartbeat, now=read_boot_time())
 
-    def _receive_aggregated_heartbeat(self, heartbeat: BeatBundle) -> None:
+    def _receive_aggregated_heartbeat(self, heartbeat: AggregatedHeartbeat) -> None:
         self.fleet_state.apply_stamps(catalog=heartbeat.catalog, endpoints=heartbeat.endpoints)
         self._watch.wake_for_update()
         self._work.take_bundle(heartbeat)
--- a/src/guavamast/relay/beat_socket.py
+++ b/src/guavamast/relay/peer_socket.py
@@ -5,9 +5,9 @@
 import asyncio
 from typing import TYPE_CHECKING
 
-from guavamast.relay.beats import MalformedBeat, decode_message
-from guavamast.relay.catalog_news import CATALOG_MARK, decode_catalog_news
-from guavamast.relay.endpoint_news import ENDPOINTS_PREFIX, decode_endpoint_update
+from guavamast.relay.catalog_update import CATALOG_PREFIX, decode_catalog_update
+from guavamast.relay.endpoint_update import ENDPOINTS_PREFIX, decode_endpoint_update
+from guavamast.relay.heartbeat_messages import MalformedBeat, decode_message
 from guavamast.relay.scheduling_wire import (
     SCHEDULING_MARK,
     MalformedScheduling,
@@ -17,22 +17,22 @@
 if TYPE_CHECKING:
     from collections.abc import Callable
 
-    from guavamast.relay.beats import Beat, BeatBundle, LoadNotice
-    from guavamast.relay.catalog_news import CatalogNews
+    from guavamast.relay.catalog_update import CatalogUpdate
     from guavamast.relay.counters import Counters
-    from guavamast.relay.endpoint_news import EndpointNews
+    from guavamast.relay.endpoint_update import EndpointUpdate
+    from guavamast.relay.heartbeat_messages import AggregatedHeartbeat, Heartbeat, LoadUpdate
     from guavamast.relay.scheduling_wire import SchedulingMessage
     from guavamast.relay.store import InstanceRecord
 
 
-class BeatSocket(asyncio.DatagramProtocol):
+class PeerSocket(asyncio.DatagramProtocol):
     """Sends and receives the datagrams between instances.
 
     Args:
-        take: Called with each heartbeat, aggregated heartbeat and load update.
-        take_catalog: Called with each catalog update and its datagram.
-        take_endpoints: Called with each endpoint update and its datagram.
-        take_scheduling: Called with each scheduling message and the address of its sender.
+        on_message: Called with each heartbeat, aggregated heartbeat and load update.
+        on_catalog_update: Called with each catalog update and its datagram.
+        on_endpoint_update: Called with each endpoint update and its datagram.
+        on_scheduling_message: Called with each scheduling message and the address of its sender.
         counters: Metrics.
     """
 
@@ -48,16 +48,16 @@
     def __init__(
         self,
         *,
-        take: Callable[[Beat | LoadNotice | BeatBundle], None],
-        take_catalog: Callable[[CatalogNews, bytes], None],
-        take_endpoints: Callable[[EndpointNews, bytes], None],
-        take_scheduling: Callable[[SchedulingMessage, tuple[str, int]], None],
+        on_message: Callable[[Heartbeat | LoadUpdate | AggregatedHeartbeat], None],
+        on_catalog_update: Callable[[CatalogUpdate, bytes], None],
+        on_endpoint_update: Callable[[EndpointUpdate, bytes], None],
+        on_scheduling_message: Callable[[SchedulingMessage, tuple[str, int]], None],
         counters: Counters,
     ) -> None:
-        self._on_catalog_update = take_catalog
-        self._on_endpoint_update = take_endpoints
-        self._on_scheduling_message = take_scheduling
-        self._on_message = take
+        self._on_catalog_update = on_catalog_update
+        self._on_endpoint_update = on_endpoint_update
+        self._on_scheduling_message = on_scheduling_message
+        self._on_message = on_message
         self._counters = counters
         self._transport: asyncio.DatagramTransport | None = None
 
@@ -75,8 +75,8 @@
         try:
             if data.startswith(SCHEDULING_MARK):
                 self._on_scheduling_message(decode_scheduling(data), addr)
-            elif data.startswith(CATALOG_MARK):
-                self._on_catalog_update(decode_catalog_news(data), data)
+            elif data.startswith(CATALOG_PREFIX):
+                self._on_catalog_update(decode_catalog_update(data), data)
             elif data.startswith(ENDPOINTS_PREFIX):
                 self._on_endpoint_update(decode_endpoint_update(data), data)
             else:
--- a/src/guavamast/relay/peers.py
+++ b/src/guavamast/relay/peers.py
@@ -5,28 +5,28 @@
 from dataclasses import dataclass
 from typing import TYPE_CHECKING, Final
 
-from guavamast.relay.beats import InstanceState, LivenessRecord
+from guavamast.relay.heartbeat_messages import InstanceState, LivenessRecord
 from guavamast.rendezvous import compute_weight
 
 if TYPE_CHECKING:
-    from guavamast.relay.beats import Beat
+    from guavamast.relay.heartbeat_messages import Heartbeat
     from guavamast.relay.store import InstanceRecord
 
-BEAT_INTERVAL_S: Final = 0.25
+HEARTBEAT_INTERVAL_S: Final = 0.25
 """Seconds between two heartbeats to the same instance in a fleet with a full mesh."""
 FULL_MESH_INSTANCES: Final = 32
 """Instances up to which each sends its heartbeats to all others; beyond, they are aggregated, as
 their number would grow quadratically."""
 AGGREGATED_INTERVAL_S: Final = 0.5
 """Seconds between two heartbeats of an instance when they are aggregated."""
-MISSED_BEATS: Final = 4.5
+MISSED_HEARTBEATS: Final = 4.5
 """Intervals without a heartbeat after which an instance counts as gone: rarely by loss alone."""
 AGGREGATED_SILENCE_S: Final = 3.0
 """Seconds of silence after which an instance counts as gone when heartbeats are aggregated: time
 for a heartbeat, its delivery and the aggregated heartbeat, any of them lost once."""
 FORGET_AFTER_S: Final = 90.0
 """Seconds of silence after which an instance receives no more heartbeats."""
-READER_KEY: Final = "store reader"
+READER_RANK_KEY: Final = "store reader"
 
 
 @dataclass(slots=True, kw_only=True)
@@ -42,7 +42,7 @@
     sequence: int = 0
     state: InstanceState | None = None
     """State in its newest liveness record; None before the first."""
-    store_answers: bool = False
+    store_reachable: bool = False
 
     def build_liveness_record(self) -> LivenessRecord:
         """Return its newest liveness record, for instances that already have its record."""
@@ -52,19 +52,19 @@
             incarnation=self.incarnation,
             sequence=self.sequence,
             state=self.state,
-            store_answers=self.store_answers,
+            store_answers=self.store_reachable,
         )
 
 
-def compute_beat_interval(instances: int) -> float:
+def compute_heartbeat_interval(instances: int) -> float:
     """Return the seconds between two heartbeats of an instance."""
-    return BEAT_INTERVAL_S if instances <= FULL_MESH_INSTANCES else AGGREGATED_INTERVAL_S
+    return HEARTBEAT_INTERVAL_S if instances <= FULL_MESH_INSTANCES else AGGREGATED_INTERVAL_S
 
 
 def compute_liveness_timeout(instances: int) -> float:
     """Return the seconds without a heartbeat after which an instance counts as gone."""
     if instances <= FULL_MESH_INSTANCES:
-        return MISSED_BEATS * BEAT_INTERVAL_S
+        return MISSED_HEARTBEATS * HEARTBEAT_INTERVAL_S
     return AGGREGATED_SILENCE_S
 
 
@@ -79,12 +79,12 @@
 
     def __init__(self, *, own_name: str) -> None:
         self._own_name = own_name
-        self._own_weight = compute_weight(READER_KEY, own_name)
+        self._own_weight = compute_weight(READER_RANK_KEY, own_name)
         self._weights: dict[str, int] = {}
         self._peers: dict[str, Peer] = {}
 
     @property
-    def relayed(self) -> bool:
+    def aggregated(self) -> bool:
         """Whether there are so many instances that heartbeats are aggregated."""
         return self.count_known() > FULL_MESH_INSTANCES
 
@@ -93,7 +93,7 @@
         if record.name != self._own_name and record.name not in self._peers:
             self._peers[record.name] = Peer(record=record, received_at=now, changed_at=now)
 
-    def take(self, heartbeat: Beat, *, now: float) -> bool:
+    def receive(self, heartbeat: Heartbeat, *, now: float) -> bool:
         """Apply a heartbeat from its own sender; return False if it is older than the known one.
 
         If an instance starts while its wall clock is ahead and the clock is then corrected, its
@@ -101,9 +101,11 @@
         callers. A process that has gone silent can have no late heartbeats left, so any other
         replaces it.
         """
-        return self._apply(heartbeat.record, heartbeat.make_sign(), now=now, direct=True)
+        return self._apply(
+            heartbeat.record, heartbeat.build_liveness_record(), now=now, direct=True
+        )
 
-    def take_sign(
+    def receive_liveness_record(
         self, liveness: LivenessRecord, record: InstanceRecord | None, *, now: float
     ) -> bool:
         """Apply a forwarded liveness record; return False if it is not newer.
@@ -124,7 +126,7 @@
                 return False
             peer.received_at = now
             peer.sequence = liveness.sequence
-            peer.store_answers = liveness.store_answers
+            peer.store_reachable = liveness.store_answers
             if peer.state is not liveness.state:
                 peer.state = liveness.state
                 peer.changed_at = now
@@ -156,11 +158,11 @@
             incarnation=liveness.incarnation,
             sequence=liveness.sequence,
             state=liveness.state,
-            store_answers=liveness.store_answers,
+            store_reachable=liveness.store_answers,
         )
         return True
 
-    def is_current(self, name: str, incarnation: int) -> bool:
+    def is_current_process(self, name: str, incarnation: int) -> bool:
         """Return whether a process is the newest known one of its instance."""
         peer = self._peers.get(name)
         return peer is not None and peer.state is not None and peer.incarnation == incarnation
@@ -208,7 +210,7 @@
     def _get_weight(self, name: str) -> int:
         weight = self._weights.get(name)
         if weight is None:
-            weight = self._weights[name] = compute_weight(READER_KEY, name)
+            weight = self._weights[name] = compute_weight(READER_RANK_KEY, name)
         return weight
 
     def rank_as_reader(self, *, now: float) -> int:
@@ -219,7 +221,7 @@
         return sum(
             1
             for peer in self.list_live(now=now)
-            if peer.store_answers
+            if peer.store_reachable
             and peer.state is not InstanceState.LEAVING
             and self._get_weight(peer.record.name) > self._own_weight
         )
--- a/src/guavamast/relay/placing.py
+++ b/src/guavamast/relay/placing.py
@@ -103,7 +103,7 @@
             objective_s=progress.admitted.route.objective_s,
             patient=progress.patient,
             first=progress.first,
-            old_news=self._knowledge.peers.relayed,
+            old_news=self._knowledge.peers.aggregated,
         )
         choice = self._chooser.choose(
             self._build_placement(request, progress, now=now),
@@ -143,8 +143,8 @@
             objective_s=progress.admitted.route.objective_s,
             delicate=progress.delicate,
             shortest_pause_s=self._knowledge.find_shortest_pause(progress.service),
-            memory_limit=LATE_LIMIT if self._knowledge.peers.relayed else RECENT_LIMIT,
-            loads_late=self._knowledge.peers.relayed,
+            memory_limit=LATE_LIMIT if self._knowledge.peers.aggregated else RECENT_LIMIT,
+            loads_late=self._knowledge.peers.aggregated,
         )
 
 
@@ -184,7 +184,7 @@
 
     async def place(self, request: CallerRequest, progress: RequestProgress) -> Placed:
         """Return the next endpoint for a request, or its rejection."""
-        if not self._knowledge.peers.relayed:
+        if not self._knowledge.peers.aggregated:
             return self._local_placer.decide(request, progress)
         rejected: Placed | None = None
         key = request.shared_part or request.request_id
--- a/src/guavamast/relay/scheduler_directory.py
+++ b/src/guavamast/relay/scheduler_directory.py
@@ -5,7 +5,7 @@
 from dataclasses import dataclass
 from typing import TYPE_CHECKING, Final
 
-from guavamast.relay.beats import InstanceState
+from guavamast.relay.heartbeat_messages import InstanceState
 from guavamast.rendezvous import compute_weight
 
 if TYPE_CHECKING:
--- a/src/guavamast/relay/store_reader.py
+++ b/src/guavamast/relay/store_reader.py
@@ -11,7 +11,7 @@
 if TYPE_CHECKING:
     from collections.abc import Awaitable, Callable
 
-    from guavamast.relay.catalog_news import CatalogNews
+    from guavamast.relay.catalog_update import CatalogUpdate
     from guavamast.relay.counters import Counters
     from guavamast.relay.decision_log import DecisionLog
     from guavamast.relay.fleet_state import FleetState
@@ -120,7 +120,7 @@
         )
         return True
 
-    def apply_catalog_update(self, update: CatalogNews) -> bool:
+    def apply_catalog_update(self, update: CatalogUpdate) -> bool:
         """Apply a configuration that another instance has read; return whether it is new.
 
         One that can't be parsed is ignored; this instance's next read of the store replaces it.
@@ -134,7 +134,7 @@
         except StoreError as error:
             self._log.write("told_unusable", now=self._read_time(), reason=error.reason)
             return False
-        snapshot = CatalogSnapshot(catalog=catalog, store_time=update.reading)
+        snapshot = CatalogSnapshot(catalog=catalog, store_time=update.store_time)
         return self._apply_catalog(snapshot, former_age_s=former_age_s, from_peer=True)
 
     def record_failure(self, call: str, error: StoreError) -> None:
--- a/src/guavamast/relay/work_knowledge.py
+++ b/src/guavamast/relay/work_knowledge.py
@@ -11,8 +11,8 @@
 from guavamast.relay.refusal_history import RefusalHistory
 
 if TYPE_CHECKING:
-    from guavamast.relay.beats import Beat, BeatBundle, LoadNotice
     from guavamast.relay.engine_profile import ProfileEstimates
+    from guavamast.relay.heartbeat_messages import AggregatedHeartbeat, Heartbeat, LoadUpdate
 
 DOMAIN_PREFIX: Final = "domain "
 """Prefix of the name of a source that is a failure domain."""
@@ -30,16 +30,16 @@
         self.profiles = EngineProfiles()
         self.refusals = RefusalHistory()
 
-    def take_beat(self, beat: Beat, *, now: float) -> None:
+    def take_beat(self, beat: Heartbeat, *, now: float) -> None:
         """Replace the previous state of an instance by that in its heartbeat."""
         name = beat.record.name
         self.loads.take_peer(name, beat.loads)
         self.demand.take_peer(name, beat.demand)
         self.profiles.take_peer(name, beat.profiles)
-        self.refusals.take_peer(name, beat.refusals, now=now)
+        self.refusals.take_peer(name, beat.rejections, now=now)
         self.cache.take_peer(name, beat.incarnation, beat.sends)
 
-    def take_bundle(self, bundle: BeatBundle) -> None:
+    def take_bundle(self, bundle: AggregatedHeartbeat) -> None:
         """Replace the previous engine profiles of failure domains."""
         for domain, profiles in bundle.profiles.items():
             self.profiles.take_peer(_format_domain_source(domain), profiles)
@@ -62,7 +62,7 @@
         domains[domain] = self.profiles.combine(instances, now=now)
         return domains
 
-    def take_notice(self, notice: LoadNotice) -> None:
+    def take_notice(self, notice: LoadUpdate) -> None:
         """Apply an instance's load update for some endpoints."""
         self.loads.update_peer(notice.instance, notice.loads)
         self.cache.take_peer(notice.instance, notice.incarnation, notice.sends)
--- a/tests/scheduling_world.py
+++ b/tests/scheduling_world.py
@@ -6,12 +6,12 @@
 from random import Random
 from typing import TYPE_CHECKING, Any
 
-from guavamast.relay.beats import Beat, InstanceState
 from guavamast.relay.catalog import Catalog, RouteKind, ServiceSettings, WeightedService
 from guavamast.relay.counters import Counters
 from guavamast.relay.engine_profile import EngineProfiles
 from guavamast.relay.fleet_state import FleetState
 from guavamast.relay.freshness import StoreClock
+from guavamast.relay.heartbeat_messages import Heartbeat, InstanceState
 from guavamast.relay.messages import PromptPart
 from guavamast.relay.peers import FULL_MESH_INSTANCES, Peers
 from guavamast.relay.prompt_lanes import NO_DEMAND
@@ -141,7 +141,7 @@
         for instance in self.instances.values():
             for other in self.instances.values():
                 if other.record.name not in self.silent:
-                    instance.peers.take(self._build_heartbeat(other), now=self.now)
+                    instance.peers.receive(self._build_heartbeat(other), now=self.now)
 
     def send(self, sender: InstanceRecord, data: bytes, address: tuple[str, int]) -> None:
         """Deliver a datagram in the next loop iteration."""
@@ -172,18 +172,18 @@
         directory = self.instances[requester].scheduling.client.directory
         return directory.select(group, now=self.now).name
 
-    def _build_heartbeat(self, instance: SimulatedInstance) -> Beat:
-        return Beat(
+    def _build_heartbeat(self, instance: SimulatedInstance) -> Heartbeat:
+        return Heartbeat(
             record=instance.record,
             incarnation=1,
             sequence=int(self.now * 1000),
             state=InstanceState.SERVING,
-            store_answers=True,
+            store_reachable=True,
             catalog=None,
             endpoints=None,
             loads={},
             demand=NO_DEMAND,
-            refusals=[],
+            rejections=[],
             profiles={},
             sends=[],
         )
--- a/tests/test_relay_decisions.py
+++ b/tests/test_relay_decisions.py
@@ -9,7 +9,6 @@
 from hypothesis import strategies as st
 
 from guavamast.relay.attempt_budget import AttemptBudget, BudgetTerms
-from guavamast.relay.beats import Beat, InstanceState, MalformedBeat, decode_beat, encode_beat
 from guavamast.relay.caller_addresses import CallerPlace, choose_addresses
 from guavamast.relay.caller_gate import Admitted, CallerGate, Denied
 from guavamast.relay.catalog import CallerOrganisation, Catalog, WeightedService
@@ -18,12 +17,19 @@
 from guavamast.relay.engine_profile import Estimate, ProfileEstimates
 from guavamast.relay.event_framing import EventFraming
 from guavamast.relay.freshness import FreshnessStamp
+from guavamast.relay.heartbeat_messages import (
+    Heartbeat,
+    InstanceState,
+    MalformedBeat,
+    decode_heartbeat,
+    encode_heartbeat,
+)
 from guavamast.relay.peers import (
     FORGET_AFTER_S,
-    MISSED_BEATS,
-    READER_KEY,
+    MISSED_HEARTBEATS,
+    READER_RANK_KEY,
     Peers,
-    compute_beat_interval,
+    compute_heartbeat_interval,
 )
 from guavamast.relay.prompt_cache import PromptSend
 from guavamast.relay.prompt_lanes import Demand
@@ -283,7 +289,7 @@
 
 def build_heartbeat(
     name: str, *, incarnation: int = 1, sequence: int = 1, **changes: object
-) -> Beat:
+) -> Heartbeat:
     """Return a heartbeat of a serving instance, with changes."""
     values: dict[str, object] = {
         "record": build_record(name),
@@ -301,7 +307,7 @@
         ],
         "sends": [PromptSend(number=1, endpoint_id="e", part_id="p", tokens=30)],
     }
-    return Beat(**(values | changes))  # type: ignore[arg-type]
+    return Heartbeat(**(values | changes))  # type: ignore[arg-type]
 
 
 class PeersTest(unittest.TestCase):
@@ -312,17 +318,17 @@
 
     def test_beats_survive_the_wire(self) -> None:
         heartbeat = build_heartbeat("x")
-        self.assertEqual(decode_beat(encode_beat(heartbeat)), heartbeat)
+        self.assertEqual(decode_heartbeat(encode_heartbeat(heartbeat)), heartbeat)
 
     @given(data=st.binary(max_size=200))
     def test_any_other_datagram_is_refused(self, data: bytes) -> None:
         with self.assertRaises(MalformedBeat):
-            decode_beat(data)
+            decode_heartbeat(data)
 
     def test_a_late_beat_of_a_former_process_changes_nothing(self) -> None:
-        self.assertTrue(self.peers.take(build_heartbeat("x", incarnation=2), now=0.0))
+        self.assertTrue(self.peers.receive(build_heartbeat("x", incarnation=2), now=0.0))
         late = build_heartbeat("x", incarnation=1, sequence=99, state=InstanceState.LEAVING)
-        self.assertFalse(self.peers.take(late, now=0.1))
+        self.assertFalse(self.peers.receive(late, now=0.1))
         self.assertEqual([r.name for r in self.peers.list_serving(now=0.2)], ["x"])
 
     def test_a_last_beat_that_relays_still_tell_is_no_sign_of_life(self) -> None:
@@ -332,12 +338,20 @@
         declared the instance gone. The same heartbeat from the instance itself would count.
         """
         heartbeat = build_heartbeat("x", sequence=7)
-        self.peers.take(heartbeat, now=0.0)
-        later = MISSED_BEATS * compute_beat_interval(2) + 0.1
-        self.assertFalse(self.peers.take_sign(heartbeat.make_sign(), heartbeat.record, now=later))
+        self.peers.receive(heartbeat, now=0.0)
+        later = MISSED_HEARTBEATS * compute_heartbeat_interval(2) + 0.1
+        self.assertFalse(
+            self.peers.receive_liveness_record(
+                heartbeat.build_liveness_record(), heartbeat.record, now=later
+            )
+        )
         self.assertEqual(self.peers.list_live(now=later), [])
         newer = build_heartbeat("x", sequence=8)
-        self.assertTrue(self.peers.take_sign(newer.make_sign(), newer.record, now=later))
+        self.assertTrue(
+            self.peers.receive_liveness_record(
+                newer.build_liveness_record(), newer.record, now=later
+            )
+        )
 
     def test_an_instance_whose_time_of_day_went_back_is_heard_again(self) -> None:
         """Guards against ignoring an instance that restarted after its clock went back.
@@ -346,35 +360,35 @@
         the process is killed, and the next one has an earlier start time. Its heartbeats count as
         late ones of the first process only as long as the first may still be live.
         """
-        self.peers.take(build_heartbeat("x", incarnation=13_000, sequence=50), now=0.0)
+        self.peers.receive(build_heartbeat("x", incarnation=13_000, sequence=50), now=0.0)
         again = build_heartbeat("x", incarnation=12_500, sequence=1)
-        self.assertFalse(self.peers.take(again, now=0.5))
-        bound = MISSED_BEATS * compute_beat_interval(2)
-        self.assertTrue(self.peers.take(again, now=bound + 0.01))
+        self.assertFalse(self.peers.receive(again, now=0.5))
+        bound = MISSED_HEARTBEATS * compute_heartbeat_interval(2)
+        self.assertTrue(self.peers.receive(again, now=bound + 0.01))
         self.assertEqual([r.name for r in self.peers.list_serving(now=bound + 0.1)], ["x"])
 
     def test_instances_that_are_gone_for_good_are_forgotten(self) -> None:
         for name in ("x", "y"):
-            self.peers.take(build_heartbeat(name), now=0.0)
-        self.peers.take(build_heartbeat("y", sequence=9), now=50.0)
+            self.peers.receive(build_heartbeat(name), now=0.0)
+        self.peers.receive(build_heartbeat("y", sequence=9), now=50.0)
         self.assertEqual(self.peers.forget_silent(now=FORGET_AFTER_S), [])
         self.assertEqual(self.peers.forget_silent(now=FORGET_AFTER_S + 1.0), ["x"])
         self.assertEqual([record.name for record in self.peers.list_targets()], ["y"])
 
     def test_silent_and_leaving_instances_get_no_callers(self) -> None:
-        self.peers.take(build_heartbeat("x"), now=0.0)
-        self.peers.take(build_heartbeat("y", state=InstanceState.LEAVING), now=0.0)
-        bound = MISSED_BEATS * compute_beat_interval(3)
+        self.peers.receive(build_heartbeat("x"), now=0.0)
+        self.peers.receive(build_heartbeat("y", state=InstanceState.LEAVING), now=0.0)
+        bound = MISSED_HEARTBEATS * compute_heartbeat_interval(3)
         self.assertEqual([r.name for r in self.peers.list_serving(now=bound)], ["x"])
         self.assertEqual(self.peers.list_serving(now=bound + 0.01), [])
 
     def test_an_instance_that_the_store_turns_away_is_no_reader(self) -> None:
         for name in "abcdefgh":
-            self.peers.take(build_heartbeat(name, store_answers=False), now=0.0)
+            self.peers.receive(build_heartbeat(name, store_answers=False), now=0.0)
         self.assertEqual(self.peers.rank_as_reader(now=0.1), 0)
         for name in "abcdefgh":
-            self.peers.take(build_heartbeat(name, sequence=2), now=0.1)
-        readers = rank(READER_KEY, [*"abcdefgh", "me"])
+            self.peers.receive(build_heartbeat(name, sequence=2), now=0.1)
+        readers = rank(READER_RANK_KEY, [*"abcdefgh", "me"])
         self.assertEqual(self.peers.rank_as_reader(now=0.2), readers.index("me"))
 
 
--- a/tests/test_relay_endpoint_news.py
+++ b/tests/test_relay_endpoint_update.py
@@ -8,15 +8,15 @@
 from hypothesis import given
 from hypothesis import strategies as st
 
-from guavamast.relay.beats import MalformedBeat
-from guavamast.relay.endpoint_news import (
+from guavamast.relay.endpoint_update import (
     ENDPOINTS_PREFIX,
-    EndpointNews,
+    EndpointUpdate,
     decode_endpoint_update,
-    encode_endpoints,
+    encode_endpoint_update,
 )
 from guavamast.relay.fleet_state import FleetState
 from guavamast.relay.freshness import StoreClock
+from guavamast.relay.heartbeat_messages import MalformedBeat
 from guavamast.relay.peers import Peers
 from guavamast.relay.store import EndpointSnapshot
 from tests.relay_facts import make_endpoint
@@ -28,22 +28,22 @@
     return EndpointSnapshot(records=records, digest="-".join(names), store_time=store_time)
 
 
-class EndpointNewsTest(unittest.TestCase):
+class EndpointUpdateTest(unittest.TestCase):
     """Endpoint updates are decoded as encoded, and anything else is rejected."""
 
-    def test_tables_survive_the_wire(self) -> None:
-        update = EndpointNews(domain="a", reading=make_snapshot("e1", "e2", store_time=12.5))
-        data = encode_endpoints(update)
+    def test_endpoint_updates_round_trip(self) -> None:
+        update = EndpointUpdate(domain="a", snapshot=make_snapshot("e1", "e2", store_time=12.5))
+        data = encode_endpoint_update(update)
         assert data is not None
         self.assertEqual(decode_endpoint_update(data), update)
 
-    def test_a_table_that_no_datagram_holds_is_not_told(self) -> None:
+    def test_a_table_too_long_for_a_datagram_is_not_sent(self) -> None:
         names = [f"{number * 2_654_435_761 % 2**64:x}" for number in range(12_000)]
-        update = EndpointNews(domain="a", reading=make_snapshot(*names, store_time=1.0))
-        self.assertIsNone(encode_endpoints(update))
+        update = EndpointUpdate(domain="a", snapshot=make_snapshot(*names, store_time=1.0))
+        self.assertIsNone(encode_endpoint_update(update))
 
     @given(data=st.binary(max_size=60))
-    def test_any_other_datagram_is_refused(self, data: bytes) -> None:
+    def test_any_other_datagram_is_rejected(self, data: bytes) -> None:
         for body in (data, zlib.compress(data)):
             with self.assertRaises(MalformedBeat):
                 decode_endpoint_update(ENDPOINTS_PREFIX + body)
--- a/tests/test_relay_beat_exchange.py
+++ b/tests/test_relay_heartbeat_exchange.py
@@ -6,18 +6,28 @@
 from dataclasses import replace
 from random import Random
 
-from guavamast.relay.beat_exchange import AGGREGATE_EXCHANGE_INTERVAL_S, BeatExchange
-from guavamast.relay.beat_relays import AGGREGATOR_SILENCE_S, RELAYS_EACH, BeatRelays
-from guavamast.relay.beats import Beat, BeatBundle, InstanceState, LoadNotice, decode_message
-from guavamast.relay.bundle_content import BundleContent
-from guavamast.relay.endpoint_news import (
+from guavamast.relay.endpoint_update import (
     ENDPOINTS_PREFIX,
-    EndpointNews,
+    EndpointUpdate,
     decode_endpoint_update,
-    encode_endpoints,
+    encode_endpoint_update,
 )
 from guavamast.relay.fleet_state import FleetState
 from guavamast.relay.freshness import FreshnessStamp, StoreClock
+from guavamast.relay.heartbeat_aggregation import HeartbeatAggregation
+from guavamast.relay.heartbeat_exchange import AGGREGATE_EXCHANGE_INTERVAL_S, HeartbeatExchange
+from guavamast.relay.heartbeat_messages import (
+    AggregatedHeartbeat,
+    Heartbeat,
+    InstanceState,
+    LoadUpdate,
+    decode_message,
+)
+from guavamast.relay.heartbeat_topology import (
+    AGGREGATOR_SILENCE_S,
+    AGGREGATORS_PER_DOMAIN,
+    HeartbeatTopology,
+)
 from guavamast.relay.peers import AGGREGATED_SILENCE_S, FULL_MESH_INSTANCES, Peers
 from guavamast.relay.prompt_lanes import LANES, Demand
 from guavamast.relay.store import EndpointSnapshot, InstanceRecord
@@ -56,45 +66,45 @@
         self.incarnation = 1
         self.sequence = 0
         self.peers = Peers(own_name=self.record.name)
-        self.topology = BeatRelays(record=self.record, peers=self.peers)
+        self.topology = HeartbeatTopology(record=self.record, peers=self.peers)
         self.knowledge = FleetState(
             failure_domain=self.record.failure_domain, peers=self.peers, clock=StoreClock()
         )
-        self.exchange = BeatExchange(
+        self.exchange = HeartbeatExchange(
             name=self.record.name,
             peers=self.peers,
-            relays=self.topology,
-            content=BundleContent(
+            topology=self.topology,
+            aggregates=HeartbeatAggregation(
                 record=self.record, knowledge=self.knowledge, read_profiles=lambda: {}
             ),
-            make_beat=self.build_heartbeat,
-            take_beat=self.apply_heartbeat,
-            take_bundle=self.apply_aggregate,
+            build_heartbeat=self.build_heartbeat,
+            on_heartbeat=self.apply_heartbeat,
+            on_aggregate=self.apply_aggregate,
             send=network.send,
             read_time=lambda: network.now,
         )
 
-    def build_heartbeat(self) -> Beat:
+    def build_heartbeat(self) -> Heartbeat:
         self.sequence += 1
-        return Beat(
+        return Heartbeat(
             record=self.record,
             incarnation=self.incarnation,
             sequence=self.sequence,
             state=self.state,
-            store_answers=True,
+            store_reachable=True,
             catalog=self.catalog,
             endpoints=None,
             loads={},
             demand=Demand(work_ms=(0.0,) * LANES),
-            refusals=[],
+            rejections=[],
             profiles={},
             sends=[],
         )
 
-    def apply_heartbeat(self, heartbeat: Beat) -> None:
+    def apply_heartbeat(self, heartbeat: Heartbeat) -> None:
         self.apply_stamp(heartbeat.catalog)
 
-    def apply_aggregate(self, aggregate: BeatBundle) -> None:
+    def apply_aggregate(self, aggregate: AggregatedHeartbeat) -> None:
         self.apply_stamp(aggregate.catalog)
 
     def apply_stamp(self, catalog: FreshnessStamp | None) -> None:
@@ -102,17 +112,17 @@
         if catalog is not None:
             self.received_catalog = catalog
 
-    def receive(self, message: Beat | BeatBundle | LoadNotice) -> None:
-        if isinstance(message, Beat):
-            self.exchange.take(message)
-        elif isinstance(message, BeatBundle):
-            self.exchange.take_bundle(message)
+    def receive(self, message: Heartbeat | AggregatedHeartbeat | LoadUpdate) -> None:
+        if isinstance(message, Heartbeat):
+            self.exchange.receive(message)
+        elif isinstance(message, AggregatedHeartbeat):
+            self.exchange.receive_aggregate(message)
 
     def receive_endpoint_update(self, data: bytes) -> None:
         update = decode_endpoint_update(data)
-        if update.reading != self.endpoints:
-            self.endpoints = update.reading
-            self.exchange.forward_table(data, domain=update.domain)
+        if update.snapshot != self.endpoints:
+            self.endpoints = update.snapshot
+            self.exchange.forward_table_update(data, domain=update.domain)
 
     def list_live(self) -> set[str]:
         return {peer.record.name for peer in self.peers.list_live(now=self.network.now)}
@@ -174,7 +184,7 @@
             self.deliver()
 
 
-class RelaysByLinkTest(unittest.TestCase):
+class AggregatorsByLinkTest(unittest.TestCase):
     """Aggregators are the instances with the widest links, whatever their names.
 
     Most instances have links of 5 Mbit/s, two in a domain 100. An aggregator of 112 instances sends
@@ -187,8 +197,8 @@
         for number in range(INSTANCES):
             link_mbps = 100.0 if number in (17, 31) else 5.0
             record = replace(NARROW_LINK, name=f"n{number}", link_mbps=link_mbps)
-            peers.take(replace(heartbeat, record=record), now=0.0)
-        topology = BeatRelays(record=NARROW_LINK, peers=peers)
+            peers.receive(replace(heartbeat, record=record), now=0.0)
+        topology = HeartbeatTopology(record=NARROW_LINK, peers=peers)
         topology.record_aggregate(now=0.0)
         self.assertEqual(
             {one.name for one in topology.list_heartbeat_targets(now=0.0)}, {"n17", "n31"}
@@ -196,7 +206,7 @@
         self.assertFalse(topology.is_aggregator(now=0.0))
 
 
-class RelayedBeatsTest(unittest.IsolatedAsyncioTestCase):
+class AggregatedHeartbeatsTest(unittest.IsolatedAsyncioTestCase):
     """Liveness of the instances of a fleet whose heartbeats are aggregated."""
 
     async def asyncSetUp(self) -> None:
@@ -219,16 +229,16 @@
             and instance.topology.is_aggregator(now=self.network.now)
         ]
 
-    async def test_all_are_heard_with_few_datagrams(self) -> None:
+    async def test_all_instances_are_live_with_few_datagrams(self) -> None:
         self.assert_all_live(set(self.network.instances))
         self.network.sent = 0
         await self.network.run(10.0)
         self.assert_all_live(set(self.network.instances))
         self.assertLess(self.network.sent / 10.0, INSTANCES * 16)
         for domain in DOMAINS:
-            self.assertEqual(len(self.list_aggregators(domain)), RELAYS_EACH)
+            self.assertEqual(len(self.list_aggregators(domain)), AGGREGATORS_PER_DOMAIN)
 
-    async def test_loss_makes_nobody_seem_gone(self) -> None:
+    async def test_datagram_loss_keeps_all_instances_live(self) -> None:
         network = SimulatedNetwork(loss=0.05)
         network.register_all()
         await network.run(4.0)
@@ -237,7 +247,7 @@
             for instance in network.list_running():
                 self.assertEqual(len(instance.list_live()), INSTANCES - 1)
 
-    async def test_an_instance_that_ended_is_gone_everywhere_and_stays_gone(self) -> None:
+    async def test_a_stopped_instance_stays_removed_everywhere(self) -> None:
         """No caller is sent to an instance that stopped some seconds ago.
 
         Aggregators drop it at different times. One that still has its last heartbeat forwards it to
@@ -249,7 +259,7 @@
             self.assert_all_live(set(self.network.instances) - {"i5"})
             await self.network.run(0.5)
 
-    async def test_the_end_of_all_relays_of_a_domain_is_survived(self) -> None:
+    async def test_losing_all_aggregators_of_a_domain(self) -> None:
         """Callers are sent to the remaining instances, and to no others.
 
         Both aggregators of a failure domain stop at once. Its instances receive no aggregated
@@ -257,12 +267,12 @@
         the next aggregators take over.
         """
         self.network.stopped = set(self.list_aggregators("b"))
-        self.assertEqual(len(self.network.stopped), RELAYS_EACH)
+        self.assertEqual(len(self.network.stopped), AGGREGATORS_PER_DOMAIN)
         await self.network.run(AGGREGATOR_SILENCE_S + AGGREGATED_SILENCE_S + 2.0)
         self.assert_all_live(set(self.network.instances) - self.network.stopped)
-        self.assertEqual(len(self.list_aggregators("b")), RELAYS_EACH)
+        self.assertEqual(len(self.list_aggregators("b")), AGGREGATORS_PER_DOMAIN)
 
-    async def test_who_hears_no_relay_is_heard_by_its_domain(self) -> None:
+    async def test_instances_without_an_aggregator_send_to_their_domain(self) -> None:
         """Callers are still sent to the remaining instances while there is no aggregator.
 
         Both aggregators of a domain have stopped and no other has taken over. The instances send
@@ -280,14 +290,14 @@
                 live = instance.list_live() & names
                 self.assertEqual(live | {instance.record.name}, names)
 
-    async def test_domains_that_lose_their_relays_together_find_each_other(self) -> None:
+    async def test_all_domains_losing_their_aggregators_reconnect(self) -> None:
         """Callers are sent to all remaining instances after every aggregator stopped at once."""
         aggregators = [name for domain in DOMAINS for name in self.list_aggregators(domain)]
         self.network.stopped = set(aggregators)
         await self.network.run(14.0)
         self.assert_all_live(set(self.network.instances) - self.network.stopped)
 
-    async def test_a_domain_that_was_dark_is_heard_again(self) -> None:
+    async def test_a_recovered_domain_is_live_again(self) -> None:
         stopped = {
             name for name, one in self.network.instances.items() if one.record.failure_domain == "c"
         }
@@ -301,7 +311,7 @@
         await self.network.run(3.0)
         self.assert_all_live(set(self.network.instances))
 
-    async def test_news_does_not_wait_for_a_bundle(self) -> None:
+    async def test_a_new_freshness_stamp_does_not_wait_for_an_aggregate(self) -> None:
         """Operators' changes take effect everywhere soon after one instance has read them."""
         stamp = FreshnessStamp(version="9", store_time=500.0)
         self.network.instances["i11"].catalog = stamp
@@ -311,18 +321,18 @@
             if name != "i11":
                 self.assertEqual(instance.received_catalog, stamp, name)
 
-    async def test_a_table_of_endpoints_reaches_all(self) -> None:
+    async def test_an_endpoint_update_reaches_all(self) -> None:
         snapshot = EndpointSnapshot(
             records=[make_endpoint("e1", slots=64)], digest="d", store_time=1.0
         )
-        update = EndpointNews(domain=DOMAINS[11 % len(DOMAINS)], reading=snapshot)
-        self.network.instances["i11"].exchange.tell_table(encode_endpoints(update))
+        update = EndpointUpdate(domain=DOMAINS[11 % len(DOMAINS)], snapshot=snapshot)
+        self.network.instances["i11"].exchange.send_table_update(encode_endpoint_update(update))
         self.network.deliver()
         for name, instance in self.network.instances.items():
             if name != "i11":
                 self.assertEqual(instance.endpoints, snapshot, name)
 
-    async def test_a_leaving_instance_is_named_to_no_caller_at_once(self) -> None:
+    async def test_a_leaving_instance_is_not_listed_as_serving(self) -> None:
         leaving = self.network.instances["i3"]
         leaving.state = InstanceState.LEAVING
         leaving.exchange.announce_to_all()
--- a/tests/test_relay_loop_delay.py
+++ b/tests/test_relay_loop_delay.py
@@ -10,7 +10,7 @@
 class LoopDelayTest(unittest.TestCase):
     """The greatest recent delay is reported, and none from long ago."""
 
-    def test_the_greatest_is_told_until_it_is_old(self) -> None:
+    def test_the_greatest_delay_is_returned_until_it_expires(self) -> None:
         delay = LoopDelay()
         delay.record(0.4, now=10.0)
         delay.record(0.1, now=10.1)
@@ -18,7 +18,7 @@
         self.assertEqual(delay.read(now=10.0 + DELAY_WINDOW_S), 0.4)
         self.assertEqual(delay.read(now=10.0 + 2 * DELAY_WINDOW_S), 0.0)
 
-    def test_a_long_pause_ends_what_was_before(self) -> None:
+    def test_a_long_pause_discards_earlier_delays(self) -> None:
         delay = LoopDelay()
         delay.record(0.4, now=10.0)
         delay.record(0.2, now=10.0 + 5 * DELAY_WINDOW_S)
--- a/tests/test_relay_loop_timeout.py
+++ b/tests/test_relay_loop_timeout.py
@@ -10,7 +10,7 @@
 from unittest import mock
 
 from guavamast.relay.http_connection import HttpConnection
-from guavamast.relay.loop_timeout import wait_turns
+from guavamast.relay.loop_timeout import wait_in_steps
 
 BLOCKED_S = 0.06
 """Seconds that each loop iteration takes while the process is blocked."""
@@ -29,7 +29,7 @@
         self.rfile.read()
 
 
-class WaitTurnsTest(unittest.IsolatedAsyncioTestCase):
+class WaitInStepsTest(unittest.IsolatedAsyncioTestCase):
     """Data that arrived while the process was blocked counts as in time."""
 
     async def asyncSetUp(self) -> None:
@@ -54,7 +54,7 @@
         if iterations:
             asyncio.get_running_loop().call_soon(self.block_loop, iterations - 1)
 
-    async def test_a_connection_that_was_accepted_is_taken(self) -> None:
+    async def test_an_accepted_connection_is_returned(self) -> None:
         """A store that answers at once does not seem unavailable to a blocked instance.
 
         Each loop iteration takes longer than the timeout, and the connection is accepted within the
@@ -65,15 +65,15 @@
         connection = await HttpConnection.open(str(ip), int(port), timeout_s=BLOCKED_S / 2)
         connection.close()
 
-    async def test_an_answer_that_waits_in_the_socket_is_taken(self) -> None:
+    async def test_an_answer_buffered_in_the_socket_is_read(self) -> None:
         asyncio.get_running_loop().call_soon(self.block_loop, 20)
-        self.assertEqual(await wait_turns(self.send_request(), timeout_s=BLOCKED_S / 2), 200)
+        self.assertEqual(await wait_in_steps(self.send_request(), timeout_s=BLOCKED_S / 2), 200)
 
     async def test_a_silent_server_reaches_the_limit(self) -> None:
         with mock.patch.object(Handler, "silent", True), self.assertRaises(TimeoutError):
-            await wait_turns(self.send_request(), timeout_s=0.07)
+            await wait_in_steps(self.send_request(), timeout_s=0.07)
 
-    async def test_work_ends_with_who_waits_for_it(self) -> None:
+    async def test_cancelling_the_waiter_cancels_the_work(self) -> None:
         ended = asyncio.Event()
 
         async def work() -> None:
@@ -82,7 +82,7 @@
             finally:
                 ended.set()
 
-        waiting = asyncio.create_task(wait_turns(work(), timeout_s=60.0))
+        waiting = asyncio.create_task(wait_in_steps(work(), timeout_s=60.0))
         await asyncio.sleep(0.01)
         waiting.cancel()
         await asyncio.wait_for(ended.wait(), 5.0)
--- a/tests/test_relay_table_updates.py
+++ b/tests/test_relay_table_updates.py
@@ -14,13 +14,13 @@
 from hypothesis import given
 from hypothesis import strategies as st
 
-from guavamast.relay.beats import MalformedBeat
-from guavamast.relay.catalog_news import (
-    CATALOG_MARK,
-    CatalogNews,
-    decode_catalog_news,
-    encode_catalog,
+from guavamast.relay.catalog_update import (
+    CATALOG_PREFIX,
+    CatalogUpdate,
+    decode_catalog_update,
+    encode_catalog_update,
 )
+from guavamast.relay.heartbeat_messages import MalformedBeat
 from guavamast.relay.read_schedule import TICK_S, ReadSchedule
 
 INSTANCES = 350
@@ -118,21 +118,21 @@
     """Configurations are unchanged by encoding and decoding; anything else is rejected."""
 
     def test_a_configuration_survives_the_wire(self) -> None:
-        news = CatalogNews(domain="a", row_version=7, reading=2.5, text='{"v": "é"}'.encode())
-        data = encode_catalog(news)
+        news = CatalogUpdate(domain="a", row_version=7, store_time=2.5, text='{"v": "é"}'.encode())
+        data = encode_catalog_update(news)
         assert data is not None
-        self.assertEqual(decode_catalog_news(data), news)
+        self.assertEqual(decode_catalog_update(data), news)
 
     def test_oversized_configuration_is_not_sent(self) -> None:
         text = Random(1).randbytes(200_000)
-        news = CatalogNews(domain="a", row_version=7, reading=2.5, text=text)
-        self.assertIsNone(encode_catalog(news))
+        news = CatalogUpdate(domain="a", row_version=7, store_time=2.5, text=text)
+        self.assertIsNone(encode_catalog_update(news))
 
     @given(data=st.binary(max_size=60))
     def test_malformed_datagrams_are_rejected(self, data: bytes) -> None:
         for body in (data, zlib.compress(data)):
             with self.assertRaises(MalformedBeat):
-                decode_catalog_news(CATALOG_MARK + body)
+                decode_catalog_update(CATALOG_PREFIX + body)
 
 
 if __name__ == "__main__":
