--- a/src/guavamast/platform/questions.py
+++ b/src/guavamast/platform/questions.py
@@ -7,7 +7,7 @@
 from urllib.parse import parse_qs
 
 from guavamast.relay.boot_clock import read_boot_time
-from guavamast.relay.caller_addresses import VALIDITY_S, CallerPlace, choose_addresses
+from guavamast.relay.caller_addresses import VALIDITY_S, CallerLocation, choose_addresses
 from guavamast.relay.heartbeat_messages import InstanceState
 from guavamast.relay.listener import Question
 
@@ -37,7 +37,7 @@
         if path != "/v1/resolve":
             return None
         fields = parse_qs(query)
-        place = CallerPlace(
+        place = CallerLocation(
             region=fields.get("region", [""])[0],
             failure_domain=fields.get("zone", [""])[0],
         )
--- a/src/guavamast/relay/caller_addresses.py
+++ b/src/guavamast/relay/caller_addresses.py
@@ -19,7 +19,7 @@
 
 
 @dataclass(frozen=True, slots=True, kw_only=True)
-class CallerPlace:
+class CallerLocation:
     """Location of a caller."""
 
     region: str
@@ -27,21 +27,21 @@
 
 
 def choose_addresses(
-    place: CallerPlace,
+    location: CallerLocation,
     serving: list[InstanceRecord],
     fallback: list[InstanceRecord],
 ) -> list[str]:
     """Return the addresses for a caller.
 
     Args:
-        place: Location of the caller.
+        location: Location of the caller.
         serving: Instances that accept new requests.
         fallback: Instances to return when no serving one is known.
     """
     candidates = serving or fallback
-    near = [record for record in candidates if record.failure_domain == place.failure_domain]
+    near = [record for record in candidates if record.failure_domain == location.failure_domain]
     if len(near) < MIN_NEAR_INSTANCES:
-        near = [record for record in candidates if record.region == place.region]
+        near = [record for record in candidates if record.region == location.region]
     if len(near) < MIN_NEAR_INSTANCES:
         near = candidates
     return sorted(record.callers_address for record in near)[:MAX_ADDRESSES]
--- a/src/guavamast/relay/cleanup_loop.py
+++ b/src/guavamast/relay/cleanup_loop.py
@@ -13,7 +13,7 @@
     from guavamast.relay.request_notes import RequestNotes
     from guavamast.relay.scheduling import Scheduling
     from guavamast.relay.store_reader import StoreReader
-    from guavamast.relay.work_knowledge import WorkKnowledge
+    from guavamast.relay.work_state import WorkState
 
 CLEANUP_INTERVAL_S: Final = 1.0
 """Seconds between two cleanup rounds."""
@@ -48,7 +48,7 @@
         self,
         *,
         fleet_state: FleetState,
-        work: WorkKnowledge,
+        work: WorkState,
         pool: ConnectionPool,
         reader: StoreReader,
         notes: RequestNotes,
@@ -93,8 +93,8 @@
         known = {record.endpoint_id for record in self._fleet_state.endpoints.list_all()}
         live = {peer.record.name for peer in self._fleet_state.peers.list_live(now=now)}
         self._pool.keep_only(known, now=now)
-        self._work.keep_only(endpoint_ids=known, instances=live)
-        self._scheduling.keep_house(endpoint_ids=known, now=now)
+        self._work.retain(endpoint_ids=known, instances=live)
+        self._scheduling.clean_up(endpoint_ids=known, now=now)
 
     def _record_profiles(self, *, now: float) -> None:
         catalog = self._fleet_state.catalog
--- a/src/guavamast/relay/exchange.py
+++ b/src/guavamast/relay/exchange.py
@@ -27,7 +27,7 @@
     from guavamast.relay.engine_profile import EngineProfiles
     from guavamast.relay.fleet_state import FleetState
     from guavamast.relay.messages import CallerRequest, HeaderCodec, ResponseWriter
-    from guavamast.relay.placing import Placed
+    from guavamast.relay.placer import PlacementDecision
     from guavamast.relay.prompt_cache import PromptCache
     from guavamast.relay.request_notes import RequestNotes
     from guavamast.relay.request_progress import RequestProgress
@@ -51,7 +51,7 @@
 class _Send:
     """One send of a request: its placement, and its part of the endpoint's load."""
 
-    placed: Placed
+    placed: PlacementDecision
     work: Work
 
     def finish_prefill(self) -> bool:
@@ -124,7 +124,7 @@
         request: CallerRequest,
         writer: ResponseWriter,
         progress: RequestProgress,
-        placed: Placed,
+        placed: PlacementDecision,
     ) -> None:
         """Send a request to the selected endpoint and forward its response.
 
@@ -191,7 +191,7 @@
         send: _Send,
     ) -> None:
         now = self._read_time()
-        if send.placed.work is not None and send.placed.work.is_void(now=now):
+        if send.placed.work is not None and send.placed.work.is_expired(now=now):
             raise AttemptFailed(
                 FailureKind.OUTDATED, "the scheduler's grant expired before the send"
             )
@@ -237,7 +237,7 @@
         """
         choice = send.placed.choice
         assert choice is not None
-        if send.placed.scheduled is not None:
+        if send.placed.scheduler_reply is not None:
             return Load(
                 requests=choice.load.requests + 1,
                 prefill_tokens=choice.load.prefill_tokens + choice.unread_tokens,
@@ -323,7 +323,7 @@
             terms,
             sends=progress.sent,
             load=load,
-            scheduled=send.placed.scheduled,
+            scheduled=send.placed.scheduler_reply,
             admitted=progress.admitted,
             now=now,
         )
--- a/src/guavamast/relay/node.py
+++ b/src/guavamast/relay/node.py
@@ -43,7 +43,7 @@
 from guavamast.relay.store_reader import StoreReader
 from guavamast.relay.store_watch import StoreWatch
 from guavamast.relay.table_watch import build_table_watches
-from guavamast.relay.work_knowledge import WorkKnowledge
+from guavamast.relay.work_state import WorkState
 
 if TYPE_CHECKING:
     from guavamast.relay.engine_profile import ProfileEstimates
@@ -107,7 +107,7 @@
         self._incarnation = time.time_ns() // 1_000_000
         self._sequence = 0
         self._leaving = False
-        self._work = WorkKnowledge()
+        self._work = WorkState()
         self._loop_delay = LoopDelay()
         self._pool = ConnectionPool()
         self._bounds = StalenessBounds(
@@ -359,7 +359,7 @@
             endpoints=self.fleet_state.endpoint_stamp,
             loads={} if scheduled else self._work.loads.list_own(),
             demand=NO_DEMAND if scheduled else self._work.demand.read_own(now=now),
-            rejections=[] if scheduled else self._work.refusals.list_own(now=now),
+            rejections=[] if scheduled else self._work.rejections.list_own(now=now),
             profiles=self._work.profiles.list_own(now=now),
             sends=[] if scheduled else self._work.cache.list_recent(now=now, interval_s=interval_s),
         )
@@ -375,10 +375,10 @@
         elif isinstance(message, AggregatedHeartbeat):
             self._exchange.receive_aggregate(message)
         elif self.peers.is_current_process(message.instance, message.incarnation):
-            self._work.take_notice(message)
+            self._work.apply_load_update(message)
 
     def _receive_scheduling(self, message: SchedulingMessage, source: tuple[str, int]) -> None:
-        self._scheduling.take(message, source)
+        self._scheduling.receive(message, source)
 
     def _publish_catalog(self, snapshot: CatalogSnapshot) -> None:
         """Send a configuration that this instance has read to the other instances."""
@@ -409,12 +409,12 @@
     def _receive_heartbeat(self, heartbeat: Heartbeat) -> None:
         self.fleet_state.apply_stamps(catalog=heartbeat.catalog, endpoints=heartbeat.endpoints)
         self._watch.wake_for_update()
-        self._work.take_beat(heartbeat, now=read_boot_time())
+        self._work.apply_heartbeat(heartbeat, now=read_boot_time())
 
     def _receive_aggregated_heartbeat(self, heartbeat: AggregatedHeartbeat) -> None:
         self.fleet_state.apply_stamps(catalog=heartbeat.catalog, endpoints=heartbeat.endpoints)
         self._watch.wake_for_update()
-        self._work.take_bundle(heartbeat)
+        self._work.apply_aggregated_heartbeat(heartbeat)
 
     def _aggregate_profiles(self) -> dict[str, dict[str, ProfileEstimates]]:
         """Return the engine profiles, aggregated by failure domain."""
@@ -422,7 +422,7 @@
         now = read_boot_time()
         live = self.peers.list_live(now=now)
         names = [peer.record.name for peer in live if peer.record.failure_domain == own]
-        return self._work.sum_up_profiles(own, names, now=now)
+        return self._work.aggregate_profiles(own, names, now=now)
 
     def _apply_limits(self) -> None:
         catalog = self.fleet_state.catalog
--- a/src/guavamast/relay/peer_socket.py
+++ b/src/guavamast/relay/peer_socket.py
@@ -9,7 +9,7 @@
 from guavamast.relay.endpoint_update import ENDPOINTS_PREFIX, decode_endpoint_update
 from guavamast.relay.heartbeat_messages import MalformedBeat, decode_message
 from guavamast.relay.scheduling_wire import (
-    SCHEDULING_MARK,
+    SCHEDULING_PREFIX,
     MalformedScheduling,
     decode_scheduling,
 )
@@ -73,7 +73,7 @@
     def datagram_received(self, data: bytes, addr: tuple[str, int]) -> None:
         """Decode and dispatch a datagram; count those that are malformed."""
         try:
-            if data.startswith(SCHEDULING_MARK):
+            if data.startswith(SCHEDULING_PREFIX):
                 self._on_scheduling_message(decode_scheduling(data), addr)
             elif data.startswith(CATALOG_PREFIX):
                 self._on_catalog_update(decode_catalog_update(data), data)
--- a/src/guavamast/relay/placing.py
+++ b/src/guavamast/relay/placer.py
@@ -38,16 +38,16 @@
 
 
 @dataclass(frozen=True, slots=True, kw_only=True)
-class Placed:
+class PlacementDecision:
     """Decision on a request."""
 
     choice: Choice | None
     """Endpoint; None if there is none."""
-    later: ComeBack | None = None
+    rejection: ComeBack | None = None
     """Rejection with the retry delay, if no endpoint has capacity in time."""
     work: PlacedRequest | None = None
     """Handle that reports progress to the scheduler; None where no scheduler is involved."""
-    scheduled: ScheduledReply | None = None
+    scheduler_reply: ScheduledReply | None = None
     """Reply of the scheduler that decided, which knows all work there."""
 
 
@@ -55,11 +55,11 @@
     """Selects endpoints for requests."""
 
     @abstractmethod
-    async def place(self, request: CallerRequest, progress: RequestProgress) -> Placed:
+    async def place(self, request: CallerRequest, progress: RequestProgress) -> PlacementDecision:
         """Return the next endpoint for a request, or its rejection."""
 
 
-class OwnPlacer(Placer):
+class LocalPlacer(Placer):
     """Places requests by this instance's own state, without a scheduler.
 
     Args:
@@ -67,7 +67,7 @@
         chooser: Selects endpoints.
         demand: Work requested in each length bucket.
         profiles: Speed of the engines.
-        refusals: Recently rejected requests.
+        rejections: Recently rejected requests.
         random: Spreads retry delays.
         read_time: Local clock.
     """
@@ -81,7 +81,7 @@
         chooser: EndpointChooser,
         demand: PromptDemand,
         profiles: EngineProfiles,
-        refusals: RefusalHistory,
+        rejections: RefusalHistory,
         random: Random,
         read_time: Callable[[], float],
     ) -> None:
@@ -89,14 +89,14 @@
         self._chooser = chooser
         self._demand = demand
         self._profiles = profiles
-        self._admission = AdmissionControl(history=refusals, random=random)
+        self._admission = AdmissionControl(history=rejections, random=random)
         self._read_time = read_time
 
-    async def place(self, request: CallerRequest, progress: RequestProgress) -> Placed:
+    async def place(self, request: CallerRequest, progress: RequestProgress) -> PlacementDecision:
         """Return the endpoint with the least cost, or a rejection."""
         return self.decide(request, progress)
 
-    def decide(self, request: CallerRequest, progress: RequestProgress) -> Placed:
+    def decide(self, request: CallerRequest, progress: RequestProgress) -> PlacementDecision:
         """Return the endpoint with the least cost, or a rejection."""
         now = self._read_time()
         wait_parameters = WaitTerms(
@@ -118,7 +118,7 @@
             ),
         )
         if choice is None or progress.sent > 0 or choice.forecast is None:
-            return Placed(choice=choice)
+            return PlacementDecision(choice=choice)
         rejection = self._admission.admit(
             choice.forecast,
             wait_parameters,
@@ -126,7 +126,7 @@
             urgency=progress.admitted.urgency,
             now=now,
         )
-        return Placed(choice=choice, later=rejection)
+        return PlacementDecision(choice=choice, rejection=rejection)
 
     def _build_placement(
         self, request: CallerRequest, progress: RequestProgress, *, now: float
@@ -155,7 +155,7 @@
     request is then placed by this instance's own state and reported to the scheduler.
 
     Args:
-        own: Places requests without a scheduler.
+        local_placer: Places requests without a scheduler.
         client: Queries schedulers.
         groups: Endpoints of each group.
         knowledge: Endpoints and other instances.
@@ -168,25 +168,25 @@
     def __init__(
         self,
         *,
-        own: OwnPlacer,
+        local_placer: LocalPlacer,
         client: SchedulingClient,
         groups: EndpointGroups,
         knowledge: FleetState,
         loads: EndpointLoads,
         read_time: Callable[[], float],
     ) -> None:
-        self._local_placer = own
+        self._local_placer = local_placer
         self._client = client
         self._groups = groups
         self._knowledge = knowledge
         self._loads = loads
         self._read_time = read_time
 
-    async def place(self, request: CallerRequest, progress: RequestProgress) -> Placed:
+    async def place(self, request: CallerRequest, progress: RequestProgress) -> PlacementDecision:
         """Return the next endpoint for a request, or its rejection."""
         if not self._knowledge.peers.aggregated:
             return self._local_placer.decide(request, progress)
-        rejected: Placed | None = None
+        rejected: PlacementDecision | None = None
         key = request.shared_part or request.request_id
         for group in self._groups.rank(progress.service, key)[:MAX_GROUPS]:
             query = self._build_query(request, progress, group)
@@ -198,7 +198,7 @@
             )
             if placed is None:
                 return self._decide_locally(request, progress)
-            if placed.later is None:
+            if placed.rejection is None:
                 return placed
             rejected = _select_earlier_retry(rejected, placed)
         return rejected or self._decide_locally(request, progress)
@@ -207,22 +207,22 @@
         self, request: CallerRequest, progress: RequestProgress, group: str
     ) -> PlacementQuery:
         return PlacementQuery(
-            asker=self._client.asker,
+            requester=self._client.requester,
             number=self._client.next_number(),
             group=group,
             service=progress.service,
             prompt_parts=request.prompt_parts,
             prompt_tokens=request.prompt_tokens,
             output_tokens=request.output_tokens,
-            lane=progress.lane,
+            bucket=progress.lane,
             objective_s=progress.admitted.route.objective_s,
-            delicate=progress.delicate,
-            patient=progress.patient,
-            first=progress.first,
+            pause_sensitive=progress.delicate,
+            latency_tolerant=progress.patient,
+            most_urgent=progress.first,
             urgency=progress.admitted.urgency,
             failure_domain=self._knowledge.failure_domain,
             excluded=self._list_excluded(progress),
-            refusable=progress.sent == 0,
+            rejectable=progress.sent == 0,
         )
 
     def _list_excluded(self, progress: RequestProgress) -> tuple[str, ...]:
@@ -231,7 +231,7 @@
 
     def _apply_reply(
         self, request: CallerRequest, query: PlacementQuery, scheduled_reply: ScheduledReply
-    ) -> Placed | None:
+    ) -> PlacementDecision | None:
         """Return the decision in a reply; None if it names no usable endpoint."""
         reply = scheduled_reply.reply
         record = self._knowledge.endpoints.find(reply.endpoint_id)
@@ -250,20 +250,26 @@
         )
         if reply.verdict is Verdict.REFUSED:
             rejection = ComeBack(retry_after_s=reply.retry_after_s)
-            return Placed(choice=choice, later=rejection, scheduled=scheduled_reply)
-        work = _build_work(request, choice, number=query.number, pause_sensitive=query.delicate)
+            return PlacementDecision(
+                choice=choice, rejection=rejection, scheduler_reply=scheduled_reply
+            )
+        work = _build_work(
+            request, choice, number=query.number, pause_sensitive=query.pause_sensitive
+        )
         tracked = self._client.track(query.group, work, granted=True)
-        return Placed(choice=choice, work=tracked, scheduled=scheduled_reply)
+        return PlacementDecision(choice=choice, work=tracked, scheduler_reply=scheduled_reply)
 
-    def _decide_locally(self, request: CallerRequest, progress: RequestProgress) -> Placed:
+    def _decide_locally(
+        self, request: CallerRequest, progress: RequestProgress
+    ) -> PlacementDecision:
         placed = self._local_placer.decide(request, progress)
-        if placed.choice is None or placed.later is not None:
+        if placed.choice is None or placed.rejection is not None:
             return placed
         number = self._client.next_number()
         work = _build_work(request, placed.choice, number=number, pause_sensitive=progress.delicate)
         group = self._groups.find_group(placed.choice.record)
         tracked = self._client.track(group, work, granted=False)
-        return Placed(choice=placed.choice, work=tracked)
+        return PlacementDecision(choice=placed.choice, work=tracked)
 
 
 def _build_forecast(query: PlacementQuery, reply: PlacementReply) -> Forecast | None:
@@ -289,8 +295,10 @@
     )
 
 
-def _select_earlier_retry(one: Placed | None, other: Placed) -> Placed:
+def _select_earlier_retry(
+    one: PlacementDecision | None, other: PlacementDecision
+) -> PlacementDecision:
     """Return the rejection with the shorter retry delay."""
-    if one is None or one.later is None or other.later is None:
+    if one is None or one.rejection is None or other.rejection is None:
         return other
-    return one if one.later.retry_after_s <= other.later.retry_after_s else other
+    return one if one.rejection.retry_after_s <= other.rejection.retry_after_s else other
--- a/src/guavamast/relay/relayer.py
+++ b/src/guavamast/relay/relayer.py
@@ -21,7 +21,7 @@
     from guavamast.relay.exchange import Exchanger
     from guavamast.relay.fleet_state import FleetState
     from guavamast.relay.messages import CallerRequest, HeaderCodec, ResponseWriter
-    from guavamast.relay.placing import Placed, Placer
+    from guavamast.relay.placer import PlacementDecision, Placer
     from guavamast.relay.prompt_lanes import PromptDemand
     from guavamast.relay.request_notes import RequestNotes
     from guavamast.relay.request_progress import RequestProgress
@@ -161,7 +161,7 @@
                     request, writer, progress, status=502, reason="no endpoint"
                 )
                 return
-            if placed.later is not None:
+            if placed.rejection is not None:
                 await self._reject_for_capacity(request, writer, progress, placed)
                 return
             record = placed.choice.record
@@ -237,16 +237,16 @@
         request: CallerRequest,
         writer: ResponseWriter,
         progress: RequestProgress,
-        placed: Placed,
+        placed: PlacementDecision,
     ) -> None:
-        assert placed.later is not None and placed.choice is not None
-        headers = self._codec.write_refusal(request.request_id, placed.later.retry_after_s)
+        assert placed.rejection is not None and placed.choice is not None
+        headers = self._codec.write_refusal(request.request_id, placed.rejection.retry_after_s)
         await writer.send(503, headers, b"")
         self._recorder.record_capacity_rejection(
             request,
-            placed.later,
+            placed.rejection,
             placed.choice,
-            scheduled=placed.scheduled,
+            scheduled=placed.scheduler_reply,
             admitted=progress.admitted,
             now=self._read_time(),
         )
--- a/src/guavamast/relay/request_path.py
+++ b/src/guavamast/relay/request_path.py
@@ -9,7 +9,7 @@
 from guavamast.relay.caller_gate import CallerGate
 from guavamast.relay.endpoint_choice import EndpointChooser
 from guavamast.relay.exchange import Exchanger
-from guavamast.relay.placing import OwnPlacer, ScheduledPlacer
+from guavamast.relay.placer import LocalPlacer, ScheduledPlacer
 from guavamast.relay.relayer import Relayer
 
 if TYPE_CHECKING:
@@ -21,12 +21,12 @@
     from guavamast.relay.fleet_state import FleetState
     from guavamast.relay.messages import HeaderCodec
     from guavamast.relay.node_settings import NodeSettings
-    from guavamast.relay.placing import Placer
+    from guavamast.relay.placer import Placer
     from guavamast.relay.request_notes import RequestNotes
     from guavamast.relay.scheduling import Scheduling
     from guavamast.relay.staleness import StalenessBounds
     from guavamast.relay.store_reader import StoreReader
-    from guavamast.relay.work_knowledge import WorkKnowledge
+    from guavamast.relay.work_state import WorkState
 
 
 def make_relayer(
@@ -34,7 +34,7 @@
     settings: NodeSettings,
     codec: HeaderCodec,
     knowledge: FleetState,
-    work: WorkKnowledge,
+    work: WorkState,
     bounds: StalenessBounds,
     reader: StoreReader,
     pool: ConnectionPool,
@@ -105,22 +105,22 @@
 def _build_placer(
     *,
     knowledge: FleetState,
-    work: WorkKnowledge,
+    work: WorkState,
     scheduling: Scheduling,
     random: Random,
     read_time: Callable[[], float],
 ) -> Placer:
-    own_placer = OwnPlacer(
+    own_placer = LocalPlacer(
         knowledge=knowledge,
         chooser=EndpointChooser(loads=work.loads, cache=work.cache, random=random),
         demand=work.demand,
         profiles=work.profiles,
-        refusals=work.refusals,
+        rejections=work.rejections,
         random=random,
         read_time=read_time,
     )
     return ScheduledPlacer(
-        own=own_placer,
+        local_placer=own_placer,
         client=scheduling.client,
         groups=scheduling.groups,
         knowledge=knowledge,
--- a/src/guavamast/relay/scheduled_work.py
+++ b/src/guavamast/relay/scheduled_work.py
@@ -13,9 +13,9 @@
     from guavamast.relay.endpoint_choice import Choice
     from guavamast.relay.endpoint_load import Work
     from guavamast.relay.scheduling_messages import (
-        Asker,
         PlacedWork,
         PlacementQuery,
+        Requester,
         WorkReport,
         WorkUpdate,
     )
@@ -67,11 +67,11 @@
     def __init__(self) -> None:
         self.loads = EndpointLoads()
         self.cache = PromptCache()
-        self._grants: dict[Asker, dict[int, _Grant]] = {}
+        self._grants: dict[Requester, dict[int, _Grant]] = {}
         self._grants_by_endpoint: dict[str, list[_Grant]] = {}
-        self._received_at: dict[Asker, float] = {}
+        self._received_at: dict[Requester, float] = {}
 
-    def renew_lease(self, requester: Asker, *, now: float) -> None:
+    def renew_lease(self, requester: Requester, *, now: float) -> None:
         """Record a message from a process."""
         self._received_at[requester] = now
 
@@ -99,20 +99,20 @@
             endpoint_id,
             prefill_tokens=choice.unread_tokens,
             memory_tokens=query.prompt_tokens + query.output_tokens,
-            delicate=query.delicate and choice.own_lane,
+            delicate=query.pause_sensitive and choice.own_lane,
         )
         grant = _Grant(endpoint_id=endpoint_id, work=work, granted_at=now)
-        self._grants.setdefault(query.asker, {})[query.number] = grant
+        self._grants.setdefault(query.requester, {})[query.number] = grant
         self._record_prefill(endpoint_id, grant)
 
-    def take_update(self, update: WorkUpdate, *, now: float) -> EndedStream | None:
+    def apply_update(self, update: WorkUpdate, *, now: float) -> EndedStream | None:
         """Record that a request has begun to run or has ended.
 
         Returns:
             Pauses and prefill load of the stream, if one has ended.
         """
-        self._received_at[update.asker] = now
-        grants = self._grants.get(update.asker, {})
+        self._received_at[update.requester] = now
+        grants = self._grants.get(update.requester, {})
         grant = grants.get(update.number)
         if grant is None:
             return None
@@ -133,9 +133,9 @@
 
     def apply_report(self, report: WorkReport, *, now: float) -> None:
         """Replace the known work of an instance by its own report."""
-        self._received_at[report.asker] = now
-        self._drop_earlier_incarnations(report.asker)
-        grants = self._grants.setdefault(report.asker, {})
+        self._received_at[report.requester] = now
+        self._drop_earlier_incarnations(report.requester)
+        grants = self._grants.setdefault(report.requester, {})
         reported = {work.number for work in report.works}
         for number, grant in list(grants.items()):
             if number not in reported and now - grant.granted_at > UNCONFIRMED_GRANT_S:
@@ -194,7 +194,7 @@
         else:
             self.loads.record_success(endpoint_id, now=now)
 
-    def _drop_earlier_incarnations(self, requester: Asker) -> None:
+    def _drop_earlier_incarnations(self, requester: Requester) -> None:
         """Drop the work of earlier processes of an instance."""
         earlier = [
             one
@@ -204,7 +204,7 @@
         for one in earlier:
             self._drop(one)
 
-    def _drop(self, requester: Asker) -> int:
+    def _drop(self, requester: Requester) -> int:
         grants = self._grants.pop(requester, {})
         dropped = len(grants)
         for number in list(grants):
--- a/src/guavamast/relay/scheduler.py
+++ b/src/guavamast/relay/scheduler.py
@@ -31,11 +31,11 @@
 
 
 @dataclass(frozen=True, slots=True, kw_only=True)
-class ServiceFacts:
+class ServiceParameters:
     """Properties that all endpoints of a group's service share."""
 
     profile: EngineProfile
-    memory_tokens: int
+    kv_capacity_tokens: int
     """Capacity of an engine's KV cache in tokens; 0 for plain services."""
     shortest_pause_s: float
 
@@ -74,7 +74,7 @@
         self,
         query: PlacementQuery,
         candidates: list[EndpointRecord],
-        facts: ServiceFacts,
+        parameters: ServiceParameters,
         *,
         now: float,
     ) -> PlacementReply:
@@ -83,12 +83,12 @@
         Args:
             query: The request.
             candidates: Endpoints of the group that accept requests.
-            facts: Parameters that all of them share.
+            parameters: Parameters that all of them share.
             now: Current time.
         """
-        self.work.renew_lease(query.asker, now=now)
+        self.work.renew_lease(query.requester, now=now)
         learning = self.is_learning(now=now)
-        placement = self._build_placement(query, facts, learning=learning, now=now)
+        placement = self._build_placement(query, parameters, learning=learning, now=now)
         wait_parameters = self._build_wait_parameters(query, learning=learning, now=now)
         choice = self._chooser.choose(
             placement,
@@ -110,11 +110,11 @@
         return _build_reply(query, choice, Verdict.GRANTED, learning=learning)
 
     def _build_placement(
-        self, query: PlacementQuery, facts: ServiceFacts, *, learning: bool, now: float
+        self, query: PlacementQuery, facts: ServiceParameters, *, learning: bool, now: float
     ) -> Placement:
         if query.prompt_tokens:
             self._demand.record(
-                query.lane,
+                query.bucket,
                 prompt_tokens=query.prompt_tokens,
                 output_tokens=query.output_tokens,
                 profile=facts.profile,
@@ -124,13 +124,13 @@
             prompt_parts=query.prompt_parts,
             prompt_tokens=query.prompt_tokens,
             failure_domain=query.failure_domain,
-            lane=query.lane,
+            lane=query.bucket,
             lane_shares=self._demand.compute_shares(),
             output_tokens=query.output_tokens,
-            memory_tokens=facts.memory_tokens,
+            memory_tokens=facts.kv_capacity_tokens,
             profile=facts.profile,
             objective_s=query.objective_s,
-            delicate=query.delicate,
+            delicate=query.pause_sensitive,
             shortest_pause_s=facts.shortest_pause_s,
             memory_limit=_select_memory_limit(query, learning=learning),
             loads_late=learning,
@@ -141,8 +141,8 @@
     ) -> WaitTerms:
         return WaitTerms(
             objective_s=query.objective_s,
-            patient=query.patient,
-            first=query.first,
+            patient=query.latency_tolerant,
+            first=query.most_urgent,
             old_news=learning,
             fresh=not self._expected_retries.recall(query, now=now),
         )
@@ -151,7 +151,7 @@
         self, query: PlacementQuery, choice: Choice, wait_parameters: WaitTerms, *, now: float
     ) -> float | None:
         """Return the seconds after which to retry a rejected request; None if it is admitted."""
-        if choice.forecast is None or not query.refusable:
+        if choice.forecast is None or not query.rejectable:
             return None
         rejection = self._admission.admit(
             choice.forecast, wait_parameters, service=query.service, urgency=query.urgency, now=now
@@ -165,7 +165,7 @@
 def _select_memory_limit(query: PlacementQuery, *, learning: bool) -> MemoryLimit:
     if learning:
         return LATE_LIMIT
-    return FIRST_LIMIT if query.first else PATIENT_LIMIT
+    return FIRST_LIMIT if query.most_urgent else PATIENT_LIMIT
 
 
 def _build_reply(
--- a/src/guavamast/relay/scheduler_host.py
+++ b/src/guavamast/relay/scheduler_host.py
@@ -4,7 +4,7 @@
 
 from typing import TYPE_CHECKING
 
-from guavamast.relay.scheduler import GroupScheduler, ServiceFacts
+from guavamast.relay.scheduler import GroupScheduler, ServiceParameters
 from guavamast.relay.scheduling_messages import PlacementReply, Verdict
 
 if TYPE_CHECKING:
@@ -55,9 +55,9 @@
         candidates = self._groups.list_members(query.service, query.group)
         if not candidates:
             return PlacementReply(number=query.number, verdict=Verdict.UNKNOWN)
-        facts = ServiceFacts(
+        facts = ServiceParameters(
             profile=self._profiles.find(query.service, now=now),
-            memory_tokens=self._knowledge.find_kv_capacity_tokens(query.service),
+            kv_capacity_tokens=self._knowledge.find_kv_capacity_tokens(query.service),
             shortest_pause_s=self._knowledge.find_shortest_pause(query.service),
         )
         scheduler = self._get_or_create(query.group, now=now)
@@ -70,7 +70,7 @@
         scheduler = self._schedulers.get(update.group)
         if scheduler is None:
             return
-        ended = scheduler.work.take_update(update, now=now)
+        ended = scheduler.work.apply_update(update, now=now)
         record = self._knowledge.endpoints.find(ended.endpoint_id) if ended is not None else None
         if ended is not None and record is not None:
             self._profiles.record_pause(
--- a/src/guavamast/relay/scheduling.py
+++ b/src/guavamast/relay/scheduling.py
@@ -9,9 +9,9 @@
 from guavamast.relay.scheduler_host import SchedulerHost
 from guavamast.relay.scheduling_client import SchedulingClient
 from guavamast.relay.scheduling_messages import (
-    Asker,
     PlacementQuery,
     PlacementReply,
+    Requester,
     WorkReport,
     WorkUpdate,
 )
@@ -70,7 +70,7 @@
         )
         """Schedules groups for all instances."""
         self.client = SchedulingClient(
-            asker=Asker(instance=record.name, incarnation=incarnation),
+            requester=Requester(instance=record.name, incarnation=incarnation),
             record=record,
             directory=SchedulerDirectory(record=record, peers=knowledge.peers),
             host=self.host,
@@ -80,7 +80,7 @@
         )
         """Queries the schedulers of groups."""
 
-    def take(self, message: SchedulingMessage, source: tuple[str, int]) -> None:
+    def receive(self, message: SchedulingMessage, source: tuple[str, int]) -> None:
         """Receive a message from another instance.
 
         Args:
@@ -97,7 +97,7 @@
         elif isinstance(message, WorkReport):
             self.host.apply_report(message, now=now)
 
-    def keep_house(self, *, endpoint_ids: set[str], now: float) -> None:
+    def clean_up(self, *, endpoint_ids: set[str], now: float) -> None:
         """Drop work that is no longer confirmed.
 
         Args:
--- a/src/guavamast/relay/scheduling_client.py
+++ b/src/guavamast/relay/scheduling_client.py
@@ -7,9 +7,9 @@
 from typing import TYPE_CHECKING, Final
 
 from guavamast.relay.scheduling_messages import (
-    Asker,
     PlacedWork,
     PlacementReply,
+    Requester,
     WorkPhase,
     WorkReport,
     WorkUpdate,
@@ -84,7 +84,7 @@
         self._begun = False
         self._ended = False
 
-    def is_void(self, *, now: float) -> bool:
+    def is_expired(self, *, now: float) -> bool:
         """Return whether the grant is too old to send the request."""
         return now - self._granted_at > GRANT_VALID_S
 
@@ -116,7 +116,7 @@
     """Queries schedulers and reports this instance's work to them.
 
     Args:
-        asker: Identity of this process.
+        requester: Identity of this process.
         record: This instance.
         directory: Selects schedulers.
         host: Groups that this instance schedules itself.
@@ -143,7 +143,7 @@
     def __init__(
         self,
         *,
-        asker: Asker,
+        requester: Requester,
         record: InstanceRecord,
         directory: SchedulerDirectory,
         host: SchedulerHost,
@@ -151,7 +151,7 @@
         counters: Counters,
         read_time: Callable[[], float],
     ) -> None:
-        self._requester = asker
+        self._requester = requester
         self._record = record
         self.directory = directory
         """Selects schedulers."""
@@ -167,7 +167,7 @@
         """Name of the scheduler that this instance's work was reported to, by group."""
 
     @property
-    def asker(self) -> Asker:
+    def requester(self) -> Requester:
         """Identity of this process in messages to schedulers."""
         return self._requester
 
@@ -267,7 +267,7 @@
         if phase is WorkPhase.ENDED:
             tracked.ended_at = self._read_time()
         update = WorkUpdate(
-            asker=self._requester,
+            requester=self._requester,
             group=tracked.group,
             number=number,
             phase=phase,
@@ -309,7 +309,7 @@
             for one in self._tracked.values()
             if one.group == group and (with_ended or one.ended_at is None)
         )
-        return WorkReport(asker=self._requester, group=group, works=works)
+        return WorkReport(requester=self._requester, group=group, works=works)
 
     def _expire_ended(self, *, now: float) -> None:
         self._tracked = {
@@ -331,7 +331,7 @@
 
     def _withdraw(self, query: PlacementQuery, scheduler: InstanceRecord) -> None:
         update = WorkUpdate(
-            asker=self._requester, group=query.group, number=query.number, phase=WorkPhase.ENDED
+            requester=self._requester, group=query.group, number=query.number, phase=WorkPhase.ENDED
         )
         self._deliver(update, scheduler)
 
--- a/src/guavamast/relay/scheduling_messages.py
+++ b/src/guavamast/relay/scheduling_messages.py
@@ -16,7 +16,7 @@
 
 
 @dataclass(frozen=True, slots=True, kw_only=True)
-class Asker:
+class Requester:
     """One process of an instance that queries schedulers."""
 
     instance: str
@@ -27,7 +27,7 @@
 class PlacementQuery:
     """A request that needs an endpoint."""
 
-    asker: Asker
+    requester: Requester
     number: int
     """Increases within the requester's process; identifies the request in later messages."""
     group: str
@@ -35,18 +35,18 @@
     prompt_parts: tuple[PromptPart, ...]
     prompt_tokens: int
     output_tokens: int
-    lane: int
+    bucket: int
     objective_s: float
-    delicate: bool
-    patient: bool
-    first: bool
+    pause_sensitive: bool
+    latency_tolerant: bool
+    most_urgent: bool
     urgency: int
     """0 is the most urgent."""
     failure_domain: str
     """Failure domain of the requester."""
     excluded: tuple[str, ...]
     """Ids of endpoints that must not be selected."""
-    refusable: bool
+    rejectable: bool
     """Whether it may be rejected; false once it was sent to another endpoint."""
 
 
@@ -96,7 +96,7 @@
 class WorkUpdate:
     """Progress of one request."""
 
-    asker: Asker
+    requester: Requester
     group: str
     number: int
     phase: WorkPhase
@@ -129,6 +129,6 @@
     work that is already running.
     """
 
-    asker: Asker
+    requester: Requester
     group: str
     works: tuple[PlacedWork, ...]
--- a/src/guavamast/relay/scheduling_wire.py
+++ b/src/guavamast/relay/scheduling_wire.py
@@ -7,17 +7,17 @@
 
 from guavamast.relay.messages import PromptPart
 from guavamast.relay.scheduling_messages import (
-    Asker,
     PlacedWork,
     PlacementQuery,
     PlacementReply,
+    Requester,
     Verdict,
     WorkPhase,
     WorkReport,
     WorkUpdate,
 )
 
-SCHEDULING_MARK: Final = b"s"
+SCHEDULING_PREFIX: Final = b"s"
 """Prefix of scheduling datagrams."""
 WIRE_VERSION: Final = 2
 """Rank of the datagram format; datagrams of any other version are rejected."""
@@ -38,7 +38,7 @@
     """Encode a message as a datagram."""
     encode = _ENCODERS[type(message)]
     fields = [WIRE_VERSION, *encode(message)]
-    return SCHEDULING_MARK + json.dumps(fields, separators=(",", ":")).encode()
+    return SCHEDULING_PREFIX + json.dumps(fields, separators=(",", ":")).encode()
 
 
 def decode_scheduling(data: bytes) -> SchedulingMessage:
@@ -48,7 +48,7 @@
         MalformedScheduling: It is not a valid scheduling message.
     """
     try:
-        version, kind, *fields = json.loads(data[len(SCHEDULING_MARK) :])
+        version, kind, *fields = json.loads(data[len(SCHEDULING_PREFIX) :])
         if version != WIRE_VERSION:
             raise MalformedScheduling(f"unsupported wire version {version}")
         return _DECODERS[kind](*fields)
@@ -59,17 +59,22 @@
 def _encode_query(query: PlacementQuery) -> list[Any]:
     return [
         "q",
-        query.asker.instance,
-        query.asker.incarnation,
+        query.requester.instance,
+        query.requester.incarnation,
         query.number,
         query.group,
         query.service,
         [[part.part_id, part.tokens] for part in query.prompt_parts],
         query.prompt_tokens,
         query.output_tokens,
-        query.lane,
+        query.bucket,
         query.objective_s,
-        [int(query.delicate), int(query.patient), int(query.first), int(query.refusable)],
+        [
+            int(query.pause_sensitive),
+            int(query.latency_tolerant),
+            int(query.most_urgent),
+            int(query.rejectable),
+        ],
         query.urgency,
         query.failure_domain,
         query.excluded,
@@ -94,7 +99,7 @@
 ) -> PlacementQuery:
     delicate, patient, first, refusable = map(bool, flags)
     return PlacementQuery(
-        asker=Asker(instance=str(instance), incarnation=int(incarnation)),
+        requester=Requester(instance=str(instance), incarnation=int(incarnation)),
         number=int(number),
         group=str(group),
         service=str(service),
@@ -103,12 +108,12 @@
         ),
         prompt_tokens=int(prompt_tokens),
         output_tokens=int(output_tokens),
-        lane=int(lane),
+        bucket=int(lane),
         objective_s=float(objective_s),
-        delicate=delicate,
-        patient=patient,
-        first=first,
-        refusable=refusable,
+        pause_sensitive=delicate,
+        latency_tolerant=patient,
+        most_urgent=first,
+        rejectable=refusable,
         urgency=int(urgency),
         failure_domain=str(failure_domain),
         excluded=tuple(str(one) for one in excluded),
@@ -166,8 +171,8 @@
 def _encode_update(update: WorkUpdate) -> list[Any]:
     return [
         "u",
-        update.asker.instance,
-        update.asker.incarnation,
+        update.requester.instance,
+        update.requester.incarnation,
         update.group,
         update.number,
         _PHASES[update.phase],
@@ -186,7 +191,7 @@
     longest_pause_s: float,
 ) -> WorkUpdate:
     return WorkUpdate(
-        asker=Asker(instance=str(instance), incarnation=int(incarnation)),
+        requester=Requester(instance=str(instance), incarnation=int(incarnation)),
         group=str(group),
         number=int(number),
         phase=_PHASE_LIST[phase],
@@ -208,14 +213,14 @@
         ]
         for work in report.works
     ]
-    return ["w", report.asker.instance, report.asker.incarnation, report.group, works]
+    return ["w", report.requester.instance, report.requester.incarnation, report.group, works]
 
 
 def _decode_report(
     instance: str, incarnation: int, group: str, works: list[list[Any]]
 ) -> WorkReport:
     return WorkReport(
-        asker=Asker(instance=str(instance), incarnation=int(incarnation)),
+        requester=Requester(instance=str(instance), incarnation=int(incarnation)),
         group=str(group),
         works=tuple(_decode_work(*fields) for fields in works),
     )
--- a/src/guavamast/relay/work_knowledge.py
+++ b/src/guavamast/relay/work_state.py
@@ -18,33 +18,33 @@
 """Prefix of the name of a source that is a failure domain."""
 
 
-class WorkKnowledge:
+class WorkState:
     """Loads, cached prompts, demand, engine speeds and rejections, from the same heartbeats."""
 
-    __slots__ = ("cache", "demand", "loads", "profiles", "refusals")
+    __slots__ = ("cache", "demand", "loads", "profiles", "rejections")
 
     def __init__(self) -> None:
         self.loads = EndpointLoads()
         self.cache = PromptCache()
         self.demand = PromptDemand()
         self.profiles = EngineProfiles()
-        self.refusals = RefusalHistory()
+        self.rejections = RefusalHistory()
 
-    def take_beat(self, beat: Heartbeat, *, now: float) -> None:
+    def apply_heartbeat(self, beat: Heartbeat, *, now: float) -> None:
         """Replace the previous state of an instance by that in its heartbeat."""
         name = beat.record.name
         self.loads.take_peer(name, beat.loads)
         self.demand.take_peer(name, beat.demand)
         self.profiles.take_peer(name, beat.profiles)
-        self.refusals.take_peer(name, beat.rejections, now=now)
+        self.rejections.take_peer(name, beat.rejections, now=now)
         self.cache.take_peer(name, beat.incarnation, beat.sends)
 
-    def take_bundle(self, bundle: AggregatedHeartbeat) -> None:
+    def apply_aggregated_heartbeat(self, bundle: AggregatedHeartbeat) -> None:
         """Replace the previous engine profiles of failure domains."""
         for domain, profiles in bundle.profiles.items():
             self.profiles.take_peer(_format_domain_source(domain), profiles)
 
-    def sum_up_profiles(
+    def aggregate_profiles(
         self, domain: str, instances: list[str], *, now: float
     ) -> dict[str, dict[str, ProfileEstimates]]:
         """Return the engine profiles by failure domain.
@@ -62,18 +62,18 @@
         domains[domain] = self.profiles.combine(instances, now=now)
         return domains
 
-    def take_notice(self, notice: LoadUpdate) -> None:
+    def apply_load_update(self, notice: LoadUpdate) -> None:
         """Apply an instance's load update for some endpoints."""
         self.loads.update_peer(notice.instance, notice.loads)
         self.cache.take_peer(notice.instance, notice.incarnation, notice.sends)
 
-    def keep_only(self, *, endpoint_ids: set[str], instances: set[str]) -> None:
+    def retain(self, *, endpoint_ids: set[str], instances: set[str]) -> None:
         """Drop the endpoints and instances that no longer exist."""
         self.loads.keep_only(endpoint_ids)
         self.cache.keep_only(endpoint_ids)
         self.loads.keep_peers(instances)
         self.demand.keep_peers(instances)
-        self.refusals.keep_peers(instances)
+        self.rejections.keep_peers(instances)
         domains = {one for one in self.profiles.list_peers() if one.startswith(DOMAIN_PREFIX)}
         self.profiles.keep_peers(instances | domains)
 
--- a/tests/burst_world.py
+++ b/tests/burst_world.py
@@ -16,16 +16,16 @@
 from guavamast.relay.fleet_state import FleetState
 from guavamast.relay.freshness import StoreClock
 from guavamast.relay.peers import Peers
-from guavamast.relay.placing import OwnPlacer
+from guavamast.relay.placer import LocalPlacer
 from guavamast.relay.prompt_cache import PromptCache
 from guavamast.relay.prompt_lanes import PromptDemand, find_lane, is_patient
 from guavamast.relay.refusal_history import RefusalHistory
 from guavamast.relay.request_progress import begin_progress
-from guavamast.relay.scheduler import LEARNING_S, GroupScheduler, ServiceFacts
+from guavamast.relay.scheduler import LEARNING_S, GroupScheduler, ServiceParameters
 from guavamast.relay.scheduling_messages import PlacementQuery, Verdict, WorkPhase, WorkUpdate
 from guavamast.relay.store import CatalogSnapshot, EndpointSnapshot
 from tests.relay_facts import LIMITS, PROFILE, make_endpoint, make_request, make_route
-from tests.scheduling_world import GROUP, POOL, make_query
+from tests.scheduling_simulation import GROUP, POOL, make_query
 
 if TYPE_CHECKING:
     from guavamast.relay.endpoint_table import EndpointRecord
@@ -34,7 +34,7 @@
 SLOTS = 16
 MEMORY_TOKENS = 600_000
 OUTPUT_TOKENS = 100
-FACTS = ServiceFacts(profile=PROFILE, memory_tokens=MEMORY_TOKENS, shortest_pause_s=0.6)
+FACTS = ServiceParameters(profile=PROFILE, kv_capacity_tokens=MEMORY_TOKENS, shortest_pause_s=0.6)
 BEGIN_S = LEARNING_S + 1.0
 INSTANCES = 6
 HEARTBEAT_INTERVAL_S = 0.25
@@ -165,9 +165,9 @@
 
     def report(self, event: Event) -> None:
         assert event.phase is not None
-        asker = self.make_query(event).asker
-        update = WorkUpdate(asker=asker, group=GROUP, number=event.number, phase=event.phase)
-        self.scheduler.work.take_update(update, now=event.due)
+        asker = self.make_query(event).requester
+        update = WorkUpdate(requester=asker, group=GROUP, number=event.number, phase=event.phase)
+        self.scheduler.work.apply_update(update, now=event.due)
 
 
 def make_catalog(kinds: list[Kind]) -> Catalog:
@@ -226,13 +226,13 @@
         self.last_exchange = 0.0
         self.placers = [self.build_placer(history, seed=seed) for history in self.rejections]
 
-    def build_placer(self, history: RefusalHistory, *, seed: int) -> OwnPlacer:
-        return OwnPlacer(
+    def build_placer(self, history: RefusalHistory, *, seed: int) -> LocalPlacer:
+        return LocalPlacer(
             knowledge=self.knowledge,
             chooser=EndpointChooser(loads=self.loads, cache=PromptCache(), random=Random(seed)),
             demand=self.demand,
             profiles=self.profiles,
-            refusals=history,
+            rejections=history,
             random=Random(seed),
             read_time=lambda: self.now,
         )
@@ -270,8 +270,8 @@
         )
         placed = self.random.choice(self.placers).decide(request, progress)
         assert placed.choice is not None
-        if placed.later is not None:
-            return Decision(retry_after_s=placed.later.retry_after_s)
+        if placed.rejection is not None:
+            return Decision(retry_after_s=placed.rejection.retry_after_s)
         endpoint_id = placed.choice.record.endpoint_id
         self.works[event.number] = self.loads.begin(
             endpoint_id,
--- a/tests/scheduling_world.py
+++ b/tests/scheduling_simulation.py
@@ -16,7 +16,7 @@
 from guavamast.relay.peers import FULL_MESH_INSTANCES, Peers
 from guavamast.relay.prompt_lanes import NO_DEMAND
 from guavamast.relay.scheduling import Scheduling
-from guavamast.relay.scheduling_messages import Asker, PlacementQuery
+from guavamast.relay.scheduling_messages import PlacementQuery, Requester
 from guavamast.relay.scheduling_wire import decode_scheduling
 from guavamast.relay.store import CatalogSnapshot, EndpointSnapshot, InstanceRecord
 from tests.relay_facts import LIMITS, make_endpoint, make_route
@@ -56,10 +56,10 @@
     )
 
 
-def make_query(number: int, *, asker: str = "i1", **changes: Any) -> PlacementQuery:
+def make_query(number: int, *, requester: str = "i1", **changes: Any) -> PlacementQuery:
     """Return a query for a short prompt; keyword arguments replace its fields."""
     values: dict[str, Any] = {
-        "asker": Asker(instance=asker, incarnation=1),
+        "asker": Requester(instance=requester, incarnation=1),
         "number": number,
         "group": GROUP,
         "service": POOL,
@@ -156,7 +156,7 @@
             held.append((message, source))
             return
         scheduling = self.instances[receiver].scheduling
-        asyncio.get_running_loop().call_soon(scheduling.take, message, source)
+        asyncio.get_running_loop().call_soon(scheduling.receive, message, source)
 
     def pause(self, name: str) -> None:
         """Pause an instance; datagrams to it wait in its socket."""
@@ -165,7 +165,7 @@
     def resume(self, name: str) -> None:
         """Resume an instance; it receives the datagrams that arrived meanwhile."""
         for message, source in self._held_messages.pop(name):
-            self.instances[name].scheduling.take(message, source)
+            self.instances[name].scheduling.receive(message, source)
 
     def find_scheduler(self, requester: str, group: str = GROUP) -> str:
         """Return the name of the instance that a requester selects as the scheduler of a group."""
--- a/tests/test_relay_decisions.py
+++ b/tests/test_relay_decisions.py
@@ -9,7 +9,7 @@
 from hypothesis import strategies as st
 
 from guavamast.relay.attempt_budget import AttemptBudget, BudgetTerms
-from guavamast.relay.caller_addresses import CallerPlace, choose_addresses
+from guavamast.relay.caller_addresses import CallerLocation, choose_addresses
 from guavamast.relay.caller_gate import Admitted, CallerGate, Denied
 from guavamast.relay.catalog import CallerOrganisation, Catalog, WeightedService
 from guavamast.relay.endpoint_load import Load
@@ -397,8 +397,8 @@
 
     def test_near_instances_first_and_never_none(self) -> None:
         records = [build_record("1", "a"), build_record("2", "a"), build_record("3", "b")]
-        near = CallerPlace(region="r", failure_domain="a")
-        alone = CallerPlace(region="r", failure_domain="b")
+        near = CallerLocation(region="r", failure_domain="a")
+        alone = CallerLocation(region="r", failure_domain="b")
         self.assertEqual(choose_addresses(near, records, []), ["1:80", "2:80"])
         self.assertEqual(choose_addresses(alone, records, []), ["1:80", "2:80", "3:80"])
         self.assertEqual(choose_addresses(alone, [], records[:1]), ["1:80"])
--- a/tests/test_relay_exchange.py
+++ b/tests/test_relay_exchange.py
@@ -22,7 +22,7 @@
 from guavamast.relay.exchange import Exchanger
 from guavamast.relay.loop_delay import LoopDelay
 from guavamast.relay.messages import ResponseWriter
-from guavamast.relay.placing import OwnPlacer, Placed
+from guavamast.relay.placer import LocalPlacer, PlacementDecision
 from guavamast.relay.prompt_cache import PromptCache
 from guavamast.relay.prompt_lanes import PromptDemand
 from guavamast.relay.refusal_history import RefusalHistory
@@ -101,12 +101,12 @@
         )
         choice = Choice(record=self.record, forecast=None, unread_tokens=0)
         writer = mock.create_autospec(ResponseWriter, instance=True, started=False)
-        await self.exchanger.run(request, writer, progress, Placed(choice=choice))
+        await self.exchanger.run(request, writer, progress, PlacementDecision(choice=choice))
         return progress
 
-    def make_placer(self) -> OwnPlacer:
+    def make_placer(self) -> LocalPlacer:
         """Return a placer that uses this instance's own data."""
-        return OwnPlacer(
+        return LocalPlacer(
             knowledge=self.world.knowledge,
             chooser=EndpointChooser(
                 loads=EndpointLoads(),
@@ -115,7 +115,7 @@
             ),
             demand=PromptDemand(),
             profiles=EngineProfiles(),
-            refusals=RefusalHistory(),
+            rejections=RefusalHistory(),
             random=Random(1),
             read_time=lambda: self.world.now,
         )
--- a/tests/test_relay_scheduler.py
+++ b/tests/test_relay_scheduler.py
@@ -9,20 +9,22 @@
 from guavamast.relay.endpoint_load import Load
 from guavamast.relay.endpoint_table import EndpointTable
 from guavamast.relay.scheduled_work import LEASE_S, UNCONFIRMED_GRANT_S
-from guavamast.relay.scheduler import LEARNING_S, GroupScheduler, ServiceFacts
+from guavamast.relay.scheduler import LEARNING_S, GroupScheduler, ServiceParameters
 from guavamast.relay.scheduling_messages import (
-    Asker,
     PlacedWork,
     PlacementReply,
+    Requester,
     Verdict,
     WorkPhase,
     WorkReport,
     WorkUpdate,
 )
 from tests.relay_facts import PROFILE, make_endpoint
-from tests.scheduling_world import GROUP, KV_CAPACITY_TOKENS, POOL, make_query
+from tests.scheduling_simulation import GROUP, KV_CAPACITY_TOKENS, POOL, make_query
 
-FACTS = ServiceFacts(profile=PROFILE, memory_tokens=KV_CAPACITY_TOKENS, shortest_pause_s=0.6)
+FACTS = ServiceParameters(
+    profile=PROFILE, kv_capacity_tokens=KV_CAPACITY_TOKENS, shortest_pause_s=0.6
+)
 BEGAN = 50.0
 NOW = 100.0
 
@@ -40,17 +42,19 @@
 
     def update(self, number: int, phase: WorkPhase, *, asker: str = "i1", **changes: float) -> None:
         update = WorkUpdate(
-            asker=Asker(instance=asker, incarnation=1),
+            requester=Requester(instance=asker, incarnation=1),
             group=GROUP,
             number=number,
             phase=phase,
             **changes,
         )
-        self.scheduler.work.take_update(update, now=NOW)
+        self.scheduler.work.apply_update(update, now=NOW)
 
     def report(self, *works: PlacedWork, now: float = NOW, incarnation: int = 1) -> None:
-        asker = Asker(instance="i1", incarnation=incarnation)
-        self.scheduler.work.apply_report(WorkReport(asker=asker, group=GROUP, works=works), now=now)
+        asker = Requester(instance="i1", incarnation=incarnation)
+        self.scheduler.work.apply_report(
+            WorkReport(requester=asker, group=GROUP, works=works), now=now
+        )
 
     def sum_loads(self) -> Load:
         total = Load()
@@ -58,7 +62,7 @@
             total.add(self.scheduler.work.loads.sum_up(engine.endpoint_id))
         return total
 
-    def test_requests_of_unlike_instances_at_the_same_moment_spread(self) -> None:
+    def test_simultaneous_requests_of_many_instances_spread(self) -> None:
         """Forty prompts without a shared part arrive at forty instances within a millisecond."""
         self.engines = [make_endpoint(f"e{one}", service=POOL, slots=64) for one in range(4)]
         for number in range(40):
@@ -78,7 +82,7 @@
         self.update(1, WorkPhase.ENDED)
         self.assertEqual(self.sum_loads(), Load())
 
-    def test_a_refused_request_is_not_counted(self) -> None:
+    def test_rejected_request_is_not_counted(self) -> None:
         number = 0
         reply = self.decide(number, prompt_tokens=20_000, prompt_parts=())
         while reply.verdict is Verdict.GRANTED:
@@ -88,7 +92,7 @@
         self.assertGreater(reply.retry_after_s, 0.0)
         self.assertEqual(self.sum_loads().requests, number)
 
-    def test_an_asker_that_dies_holds_nothing_for_long(self) -> None:
+    def test_lease_of_a_dead_requester_expires(self) -> None:
         """Callers are not rejected because of grants that are never used.
 
         A process ends between the grant and the send; its grants are dropped after the lease.
@@ -98,12 +102,12 @@
         self.assertEqual(self.scheduler.work.drop_expired(now=NOW + LEASE_S + 0.1), 1)
         self.assertEqual(self.sum_loads().requests, 1)
 
-    def test_the_next_process_of_an_asker_replaces_its_work(self) -> None:
+    def test_next_incarnation_of_a_requester_replaces_its_work(self) -> None:
         self.decide(1)
         self.report(incarnation=2)
         self.assertEqual(self.sum_loads(), Load())
 
-    def test_a_lost_end_is_made_up_by_the_next_report(self) -> None:
+    def test_report_corrects_a_lost_end(self) -> None:
         self.decide(1)
         self.report(now=NOW + 0.5)
         self.assertEqual(self.sum_loads().requests, 1, "the report may have crossed the grant")
@@ -138,7 +142,7 @@
         self.update(7, WorkPhase.ENDED)
         self.assertEqual(self.sum_loads().requests, 2)
 
-    def test_parts_that_a_reported_prompt_has_left_are_known(self) -> None:
+    def test_report_restores_cached_prompt_parts(self) -> None:
         """A prompt goes to the engine with its cached parts although its scheduler has changed."""
         work = PlacedWork(
             number=7,
@@ -153,12 +157,12 @@
         self.assertEqual(self.sum_loads(), Load())
         self.assertEqual(self.decide(8, asker="i2").endpoint_id, "e2")
 
-    def test_failures_that_one_instance_has_met_keep_others_away(self) -> None:
+    def test_failure_of_one_instance_affects_requests_of_others(self) -> None:
         first = self.decide(1).endpoint_id
         self.update(1, WorkPhase.ENDED, failure_weight=6.0)
         self.assertNotEqual(self.decide(2, asker="i2").endpoint_id, first)
 
-    def test_one_instance_cannot_close_an_endpoint_for_all(self) -> None:
+    def test_failures_of_one_instance_do_not_exclude_an_endpoint(self) -> None:
         """Requests still go to an engine that only one instance cannot reach.
 
         That instance is cut off from all engines and reports a failure of each. Its reports weigh
@@ -170,7 +174,7 @@
             self.assertLessEqual(self.scheduler.work.loads.read_failures(endpoint_id, now=NOW), 8.0)
         self.assertIs(self.decide(99, asker="i2").verdict, Verdict.GRANTED)
 
-    def test_no_endpoint_left_is_said_so(self) -> None:
+    def test_verdict_is_unknown_without_candidates(self) -> None:
         excluded = tuple(one.endpoint_id for one in self.engines)
         self.assertIs(self.decide(1, excluded=excluded).verdict, Verdict.UNKNOWN)
 
@@ -178,7 +182,7 @@
 class UrgencyTest(unittest.TestCase):
     """Less urgent requests leave KV cache for the most urgent ones."""
 
-    def test_long_prompts_do_not_take_the_last_memory(self) -> None:
+    def test_long_prompts_leave_kv_cache_for_urgent_requests(self) -> None:
         """An urgent short prompt starts although long prompts fill the engines.
 
         Long prompts are granted until their share of the KV cache is used, and rejected from then
@@ -198,12 +202,14 @@
             number += 1
             query = make_query(number, first=False, **long_prompt)
             verdict = scheduler.decide(query, [engine], FACTS, now=NOW).verdict
-            scheduler.work.take_update(
-                WorkUpdate(asker=query.asker, group=GROUP, number=number, phase=WorkPhase.RUNNING),
+            scheduler.work.apply_update(
+                WorkUpdate(
+                    requester=query.requester, group=GROUP, number=number, phase=WorkPhase.RUNNING
+                ),
                 now=NOW,
             )
         self.assertIs(verdict, Verdict.REFUSED)
-        urgent = scheduler.decide(make_query(999, asker="i2"), [engine], FACTS, now=NOW)
+        urgent = scheduler.decide(make_query(999, requester="i2"), [engine], FACTS, now=NOW)
         self.assertIs(urgent.verdict, Verdict.GRANTED)
         self.assertLessEqual(scheduler.work.loads.sum_up("e").memory_tokens, KV_CAPACITY_TOKENS)
 
@@ -235,7 +241,7 @@
         assert record is not None
         self.assertIn("e7", groups[self.groups.find_group(record)])
 
-    def test_another_endpoint_moves_no_other(self) -> None:
+    def test_added_endpoint_moves_no_other(self) -> None:
         before = self.list_groups(100)
         after = self.list_groups(101)
         for name, members in before.items():
--- a/tests/test_relay_scheduler_properties.py
+++ b/tests/test_relay_scheduler_properties.py
@@ -10,7 +10,7 @@
 from hypothesis import strategies as st
 
 from guavamast.relay.engine_model import FIRST_MEMORY_SHARE, PATIENT_MEMORY_SHARE
-from guavamast.relay.scheduler import LEARNING_S, GroupScheduler, ServiceFacts
+from guavamast.relay.scheduler import LEARNING_S, GroupScheduler, ServiceParameters
 from guavamast.relay.scheduling_messages import (
     PlacementQuery,
     Verdict,
@@ -24,10 +24,12 @@
     encode_scheduling,
 )
 from tests.relay_facts import PROFILE, make_endpoint
-from tests.scheduling_world import GROUP, KV_CAPACITY_TOKENS, POOL, make_query
+from tests.scheduling_simulation import GROUP, KV_CAPACITY_TOKENS, POOL, make_query
 
 EXAMPLES = int(os.environ.get("GUAVAMAST_EXAMPLES", "100"))
-FACTS = ServiceFacts(profile=PROFILE, memory_tokens=KV_CAPACITY_TOKENS, shortest_pause_s=0.6)
+FACTS = ServiceParameters(
+    profile=PROFILE, kv_capacity_tokens=KV_CAPACITY_TOKENS, shortest_pause_s=0.6
+)
 ENGINES = [make_endpoint(f"e{number}", service=POOL, slots=8) for number in range(2)]
 
 event_lists = st.lists(
@@ -49,7 +51,7 @@
 
     @settings(max_examples=EXAMPLES, deadline=None)
     @given(event_lists)
-    def test_never_more_is_granted_than_an_engine_has(self, events: list) -> None:
+    def test_grants_never_exceed_kv_cache(self, events: list) -> None:
         """Requests of three instances arrive, run, end and are reported in any order.
 
         The granted requests count as running, so no generated report omits any of them: an instance
@@ -64,7 +66,7 @@
                 number += 1
                 query = make_query(
                     number,
-                    asker=f"i{number % 3}",
+                    requester=f"i{number % 3}",
                     prompt_parts=(),
                     prompt_tokens=value,
                     first=first,
@@ -84,8 +86,10 @@
                 query, _ = running[value]
                 ended = kind == "end"
                 phase = WorkPhase.ENDED if ended else WorkPhase.RUNNING
-                update = WorkUpdate(asker=query.asker, group=GROUP, number=value, phase=phase)
-                scheduler.work.take_update(update, now=now)
+                update = WorkUpdate(
+                    requester=query.requester, group=GROUP, number=value, phase=phase
+                )
+                scheduler.work.apply_update(update, now=now)
                 if ended:
                     del running[value]
 
@@ -107,9 +111,9 @@
         instance_number: int,
         now: float,
     ) -> None:
-        from guavamast.relay.scheduling_messages import Asker, PlacedWork
+        from guavamast.relay.scheduling_messages import PlacedWork, Requester
 
-        asker = Asker(instance=f"i{instance_number}", incarnation=1)
+        asker = Requester(instance=f"i{instance_number}", incarnation=1)
         works = tuple(
             PlacedWork(
                 number=number,
@@ -121,9 +125,9 @@
                 pause_sensitive=False,
             )
             for number, (query, endpoint_id) in running.items()
-            if query.asker == asker
+            if query.requester == asker
         )
-        report = WorkReport(asker=asker, group=GROUP, works=works)
+        report = WorkReport(requester=asker, group=GROUP, works=works)
         decoded = decode_scheduling(encode_scheduling(report))
         self.assertEqual(decoded, report)
         scheduler.work.apply_report(report, now=now)
@@ -133,11 +137,11 @@
     """Messages survive encoding; any other datagram is rejected."""
 
     @given(data=st.binary(max_size=100))
-    def test_garbage_is_refused(self, data: bytes) -> None:
+    def test_malformed_datagram_is_rejected(self, data: bytes) -> None:
         with self.assertRaises(MalformedScheduling):
             decode_scheduling(b"s" + data)
 
-    def test_queries_and_replies_survive_the_wire(self) -> None:
+    def test_messages_round_trip(self) -> None:
         scheduler = GroupScheduler(random=Random(1), now=0.0)
         query = make_query(5, excluded=("e1",), first=False)
         self.assertEqual(decode_scheduling(encode_scheduling(query)), query)
@@ -147,7 +151,7 @@
             (decoded.number, decoded.verdict, decoded.endpoint_id),
             (reply.number, reply.verdict, reply.endpoint_id),
         )
-        update = WorkUpdate(asker=query.asker, group=GROUP, number=5, phase=WorkPhase.ENDED)
+        update = WorkUpdate(requester=query.requester, group=GROUP, number=5, phase=WorkPhase.ENDED)
         self.assertEqual(decode_scheduling(encode_scheduling(update)), update)
 
 
--- a/tests/test_relay_scheduling.py
+++ b/tests/test_relay_scheduling.py
@@ -11,7 +11,7 @@
 from guavamast.relay.caller_gate import Admitted
 from guavamast.relay.endpoint_choice import EndpointChooser
 from guavamast.relay.endpoint_load import EndpointLoads
-from guavamast.relay.placing import OwnPlacer, Placed, ScheduledPlacer
+from guavamast.relay.placer import LocalPlacer, PlacementDecision, ScheduledPlacer
 from guavamast.relay.prompt_cache import PromptCache
 from guavamast.relay.prompt_lanes import PromptDemand
 from guavamast.relay.refusal_history import RefusalHistory
@@ -20,11 +20,11 @@
 from guavamast.relay.scheduler_directory import BACKOFF_S, TIMEOUTS_BEFORE_BACKOFF
 from guavamast.relay.scheduling_client import GRANT_VALID_S, MAX_TIMEOUT_S
 from tests.relay_facts import PROFILE, make_request
-from tests.scheduling_world import GROUP, POOL, PROMPT_PARTS, SchedulingSimulation
+from tests.scheduling_simulation import GROUP, POOL, PROMPT_PARTS, SchedulingSimulation
 
 if TYPE_CHECKING:
     from guavamast.relay.messages import CallerRequest
-    from tests.scheduling_world import SimulatedInstance
+    from tests.scheduling_simulation import SimulatedInstance
 
 REQUESTER = "i30"
 OTHER = "i31"
@@ -40,17 +40,17 @@
 
     def build_placer(self, instance: SimulatedInstance) -> ScheduledPlacer:
         loads = EndpointLoads()
-        own = OwnPlacer(
+        own = LocalPlacer(
             knowledge=instance.knowledge,
             chooser=EndpointChooser(loads=loads, cache=PromptCache(), random=Random(1)),
             demand=PromptDemand(),
             profiles=instance.profiles,
-            refusals=RefusalHistory(),
+            rejections=RefusalHistory(),
             random=Random(1),
             read_time=lambda: self.simulation.now,
         )
         return ScheduledPlacer(
-            own=own,
+            local_placer=own,
             client=instance.scheduling.client,
             groups=instance.scheduling.groups,
             knowledge=instance.knowledge,
@@ -70,7 +70,7 @@
             request, admitted, service=POOL, shortest_s=0.3, profile=PROFILE, first=True
         )
 
-    async def place(self, name: str = REQUESTER, **changes: object) -> Placed:
+    async def place(self, name: str = REQUESTER, **changes: object) -> PlacementDecision:
         """Place a short prompt at an instance."""
         instance = self.simulation.instances[name]
         values = {"prompt_parts": PROMPT_PARTS, "prompt_tokens": 1_000, "output_tokens": 200}
@@ -89,7 +89,7 @@
         host.clean_up(endpoint_ids=set(), now=self.simulation.now)
         return host.count_grants(GROUP)
 
-    async def test_all_instances_ask_the_same_one(self) -> None:
+    async def test_all_instances_select_the_same_scheduler(self) -> None:
         found = {self.simulation.find_scheduler(name) for name in self.simulation.instances}
         self.assertEqual(found, {self.scheduler})
         self.assertEqual(self.simulation.instances[self.scheduler].record.processor_share, 2.0)
@@ -139,7 +139,7 @@
         await self.place()
         self.assertEqual(self.count_grants(successor), TIMEOUTS_BEFORE_BACKOFF + 1)
 
-    async def test_a_scheduler_that_is_back_is_asked_again(self) -> None:
+    async def test_recovered_scheduler_is_used_again(self) -> None:
         self.simulation.silent = {self.scheduler}
         for _ in range(TIMEOUTS_BEFORE_BACKOFF):
             await self.place()
@@ -147,7 +147,7 @@
         self.simulation.now += BACKOFF_S
         self.assertEqual(self.simulation.find_scheduler(REQUESTER), self.scheduler)
 
-    async def test_a_late_grant_holds_nothing(self) -> None:
+    async def test_late_grant_is_released(self) -> None:
         """A stalled scheduler replies seconds later; its grant does not stay counted.
 
         It receives the query and then the update that ends it from its socket, in this order.
@@ -162,7 +162,7 @@
         counters = self.simulation.instances[REQUESTER].counters.render()
         self.assertIn("late_replies_total 1", counters)
 
-    async def test_a_new_scheduler_knows_what_runs(self) -> None:
+    async def test_new_scheduler_receives_running_work(self) -> None:
         """Engines are not overloaded when the scheduler dies.
 
         Requests that it granted still run. The instances that sent them report them to its
@@ -202,7 +202,7 @@
         await self.deliver_datagrams()
         self.assertEqual([self.count_grants(name) for name in (self.scheduler, second)], [0, 0])
 
-    async def test_an_endpoint_that_the_asker_does_not_list_is_not_used(self) -> None:
+    async def test_endpoint_unknown_to_the_requester_is_not_used(self) -> None:
         """No request goes to an engine that is missing from the requester's endpoint table.
 
         The scheduler has not read the newer table yet and grants the removed engine.
@@ -220,7 +220,7 @@
         await self.deliver_datagrams()
         self.assertEqual(self.count_grants(self.scheduler), 2, "the refused grant is given back")
 
-    async def test_a_caller_that_leaves_while_the_scheduler_is_asked_holds_nothing(self) -> None:
+    async def test_cancelled_query_releases_its_grant(self) -> None:
         asking = asyncio.create_task(self.place())
         await asyncio.sleep(0)
         asking.cancel()
@@ -228,15 +228,15 @@
         await self.deliver_datagrams()
         self.assertEqual(self.count_grants(self.scheduler), 0)
 
-    async def test_a_frozen_asker_sends_by_no_old_grant(self) -> None:
+    async def test_stalled_requester_does_not_use_an_expired_grant(self) -> None:
         """An engine is not overloaded by an instance that resumes after its grants were dropped."""
         placed = await self.place()
         assert placed.work is not None
-        self.assertFalse(placed.work.is_void(now=self.simulation.now + GRANT_VALID_S))
+        self.assertFalse(placed.work.is_expired(now=self.simulation.now + GRANT_VALID_S))
         self.assertLess(GRANT_VALID_S, LEASE_S)
-        self.assertTrue(placed.work.is_void(now=self.simulation.now + LEASE_S))
+        self.assertTrue(placed.work.is_expired(now=self.simulation.now + LEASE_S))
 
-    async def test_a_third_that_reaches_no_scheduler_still_serves(self) -> None:
+    async def test_instances_without_a_reachable_scheduler_still_place_requests(self) -> None:
         self.simulation.silent = {name for name in self.simulation.instances if int(name[1:]) < 20}
         placed = await self.place()
         self.assertIsNotNone(placed.choice)
@@ -249,11 +249,11 @@
         await self.deliver_datagrams()
         self.assertEqual(self.count_grants(self.scheduler), 0)
 
-    async def test_a_full_group_sends_back(self) -> None:
+    async def test_full_group_rejects(self) -> None:
         placed = await self.place(prompt_parts=(), prompt_tokens=40_000)
-        while placed.later is None:
+        while placed.rejection is None:
             placed = await self.place(prompt_parts=(), prompt_tokens=40_000)
-        self.assertIsInstance(placed.later, ComeBack)
+        self.assertIsInstance(placed.rejection, ComeBack)
 
 
 if __name__ == "__main__":
