--- a/src/guavamast/platform/questions.py
+++ b/src/guavamast/platform/questions.py
@@ -9,7 +9,7 @@
 from guavamast.relay.boot_clock import read_boot_time
 from guavamast.relay.caller_addresses import VALIDITY_S, CallerLocation, choose_addresses
 from guavamast.relay.heartbeat_messages import InstanceState
-from guavamast.relay.listener import Question
+from guavamast.relay.listener import QueryHandler
 
 if TYPE_CHECKING:
     from guavamast.relay.node import Node
@@ -18,7 +18,7 @@
 _TEXT = "text/plain"
 
 
-class NodeQuestion(Question):
+class NodeQuestion(QueryHandler):
     """A question about one instance.
 
     Args:
@@ -32,7 +32,7 @@
 class AddressQuestion(NodeQuestion):
     """``GET /v1/resolve``: addresses for a caller."""
 
-    def answer(self, path: str, query: str) -> tuple[int, str, str] | None:
+    def handle(self, path: str, query: str) -> tuple[int, str, str] | None:
         """Return the addresses for the caller's place."""
         if path != "/v1/resolve":
             return None
@@ -49,7 +49,7 @@
 class ReadinessQuestion(NodeQuestion):
     """``GET /v1/ready``: whether this instance takes new work."""
 
-    def answer(self, path: str, query: str) -> tuple[int, str, str] | None:
+    def handle(self, path: str, query: str) -> tuple[int, str, str] | None:
         """Return 200 when callers may come."""
         del query
         if path != "/v1/ready":
@@ -61,7 +61,7 @@
 class MetricsQuestion(NodeQuestion):
     """``GET /metrics``."""
 
-    def answer(self, path: str, query: str) -> tuple[int, str, str] | None:
+    def handle(self, path: str, query: str) -> tuple[int, str, str] | None:
         """Return all metrics as text."""
         del query
         if path != "/metrics":
--- a/src/guavamast/relay/attempt.py
+++ b/src/guavamast/relay/attempt.py
@@ -13,7 +13,12 @@
     from guavamast.relay.connection_pool import ConnectionPool
     from guavamast.relay.endpoint_table import EndpointRecord
     from guavamast.relay.event_framing import EventFraming, StreamEvent
-    from guavamast.relay.messages import AnswerHead, CallerRequest, HeaderCodec, SendTerms
+    from guavamast.relay.messages import (
+        CallerRequest,
+        EndpointResponseHead,
+        HeaderCodec,
+        SendParameters,
+    )
 
 MAX_RESPONSE_BYTES: Final = 16_777_216
 """Bytes of a response body that may be buffered before it is forwarded."""
@@ -79,7 +84,7 @@
         return FAILURE_WEIGHTS[self.kind]
 
     @property
-    def unrun(self) -> bool:
+    def not_run(self) -> bool:
         """Whether the endpoint certainly did not run the request and will not."""
         return self.kind in _NOT_EXECUTED_KINDS
 
@@ -88,7 +93,7 @@
 class CompleteResponse:
     """A response that was read to its end."""
 
-    head: AnswerHead
+    head: EndpointResponseHead
     body: bytes
 
 
@@ -120,7 +125,7 @@
         self._pool = pool
         self._idle_limit = idle_limit
         self._connection: HttpConnection | None = None
-        self.head: AnswerHead | None = None
+        self.head: EndpointResponseHead | None = None
         """The response head, once received."""
 
     async def connect(self, *, now: float) -> bool:
@@ -140,14 +145,14 @@
             raise AttemptFailed(FailureKind.NOT_CONNECTED, str(error)) from error
         return True
 
-    async def send(self, terms: SendTerms) -> AnswerHead:
+    async def send(self, terms: SendParameters) -> EndpointResponseHead:
         """Send the request and return the validated head of its response.
 
         Raises:
             AttemptFailed: There is no response, or it does not belong to this request.
         """
         assert self._connection is not None
-        headers = self._codec.write_request(self._request, terms)
+        headers = self._codec.encode_request(self._request, terms)
         if self._request.has_body:
             headers.append(("Content-Length", str(len(self._request.body))))
         try:
@@ -159,7 +164,7 @@
             raise AttemptFailed(FailureKind.LOST, str(error)) from error
         except MalformedAnswer as error:
             raise AttemptFailed(FailureKind.INVALID, str(error)) from error
-        self.head = self._codec.read_answer(received.status, received.headers)
+        self.head = self._codec.decode_response(received.status, received.headers)
         await self._check_head(self.head)
         return self.head
 
@@ -187,7 +192,7 @@
         if chunk is None:
             return None
         try:
-            return framing.feed(chunk)
+            return framing.append(chunk)
         except ValueError as error:
             raise AttemptFailed(FailureKind.INVALID, str(error)) from error
 
@@ -195,7 +200,7 @@
         """Return the connection to the pool for another request, after a complete response."""
         if self._connection is None or self.head is None:
             return
-        keep_alive_s = None if self.head.closes else self.head.keep_alive_s
+        keep_alive_s = None if self.head.closes_connection else self.head.keep_alive_s
         self._pool.release(
             self.record.endpoint_id,
             self._connection,
@@ -220,16 +225,16 @@
         except MalformedAnswer as error:
             raise AttemptFailed(FailureKind.INVALID, str(error)) from error
 
-    async def _check_head(self, head: AnswerHead) -> None:
+    async def _check_head(self, head: EndpointResponseHead) -> None:
         """Raise unless the head belongs to this request and may be forwarded."""
-        if head.refused_unrun:
+        if head.not_run:
             await self.read_response()
             misdirected = head.status == 421
             kind = FailureKind.MISDIRECTED if misdirected else FailureKind.REFUSED
             raise AttemptFailed(kind, f"status {head.status}")
         if head.request_id != self._request.request_id:
             raise AttemptFailed(FailureKind.INVALID, "response belongs to another request")
-        if head.status < 300 and not head.sealed:
+        if head.status < 300 and not head.signed:
             raise AttemptFailed(FailureKind.INVALID, "response is not signed by the endpoint")
         if head.encoded:
             raise AttemptFailed(FailureKind.INVALID, "response has a content encoding")
--- a/src/guavamast/relay/cleanup_loop.py
+++ b/src/guavamast/relay/cleanup_loop.py
@@ -10,7 +10,7 @@
 
     from guavamast.relay.connection_pool import ConnectionPool
     from guavamast.relay.fleet_state import FleetState
-    from guavamast.relay.request_notes import RequestNotes
+    from guavamast.relay.request_recorder import RequestRecorder
     from guavamast.relay.scheduling import Scheduling
     from guavamast.relay.store_reader import StoreReader
     from guavamast.relay.work_state import WorkState
@@ -51,7 +51,7 @@
         work: WorkState,
         pool: ConnectionPool,
         reader: StoreReader,
-        notes: RequestNotes,
+        notes: RequestRecorder,
         scheduling: Scheduling,
         unregister: Callable[[str], Awaitable[None]],
         read_time: Callable[[], float],
@@ -92,7 +92,7 @@
     def _drop_gone(self, *, now: float) -> None:
         known = {record.endpoint_id for record in self._fleet_state.endpoints.list_all()}
         live = {peer.record.name for peer in self._fleet_state.peers.list_live(now=now)}
-        self._pool.keep_only(known, now=now)
+        self._pool.retain(known, now=now)
         self._work.retain(endpoint_ids=known, instances=live)
         self._scheduling.clean_up(endpoint_ids=known, now=now)
 
@@ -101,4 +101,4 @@
         for service in catalog.services.values() if catalog is not None else ():
             if service.kv_capacity_tokens is not None:
                 profile = self._work.profiles.find(service.name, now=now)
-                self._notes.note_profile(service.name, profile)
+                self._notes.record_profile(service.name, profile)
--- a/src/guavamast/relay/connection_pool.py
+++ b/src/guavamast/relay/connection_pool.py
@@ -73,7 +73,7 @@
             return
         idle.append(_IdleConnection(connection=connection, usable_until=now + usable_s))
 
-    def keep_only(self, endpoint_ids: set[str], *, now: float) -> None:
+    def retain(self, endpoint_ids: set[str], *, now: float) -> None:
         """Close the connections to endpoints that are gone and those that can't be reused."""
         for endpoint_id in list(self._idle):
             idle = self._idle[endpoint_id]
--- a/src/guavamast/relay/event_framing.py
+++ b/src/guavamast/relay/event_framing.py
@@ -34,7 +34,7 @@
         """Whether the buffer holds an incomplete event."""
         return bool(self._pending)
 
-    def feed(self, chunk: bytes) -> list[StreamEvent]:
+    def append(self, chunk: bytes) -> list[StreamEvent]:
         """Return the events that the chunk completes, in order."""
         self._pending += chunk
         events = []
@@ -50,7 +50,7 @@
             raise ValueError("event exceeds the size limit")
         return events
 
-    def take_rest(self) -> bytes:
+    def drain(self) -> bytes:
         """Return and clear the bytes after the last complete event."""
         rest = bytes(self._pending)
         self._pending.clear()
--- a/src/guavamast/relay/exchange.py
+++ b/src/guavamast/relay/exchange.py
@@ -10,15 +10,14 @@
 from guavamast.relay.catalog import RouteKind
 from guavamast.relay.connection_pool import compute_idle_limit
 from guavamast.relay.endpoint_load import Load
-from guavamast.relay.messages import SendTerms
-from guavamast.relay.sent_stream import StreamSampler
+from guavamast.relay.messages import SendParameters
 from guavamast.relay.stream_relay import relay_events
+from guavamast.relay.stream_sampler import StreamSampler
 
 if TYPE_CHECKING:
     from collections.abc import Callable
 
     from guavamast.relay.attempt import CompleteResponse
-    from guavamast.relay.attempt_budget import AttemptBudget
     from guavamast.relay.caller_admission import CallerAdmission
     from guavamast.relay.connection_pool import ConnectionPool
     from guavamast.relay.endpoint_choice import Choice
@@ -29,8 +28,9 @@
     from guavamast.relay.messages import CallerRequest, HeaderCodec, ResponseWriter
     from guavamast.relay.placer import PlacementDecision
     from guavamast.relay.prompt_cache import PromptCache
-    from guavamast.relay.request_notes import RequestNotes
     from guavamast.relay.request_progress import RequestProgress
+    from guavamast.relay.request_recorder import RequestRecorder
+    from guavamast.relay.retry_budget import RetryBudget
 
 RESPONSE_TIMEOUT_SHARE: Final = 0.6
 """Share of the objective after which a repeatable call without a response is retried at another
@@ -99,10 +99,10 @@
         knowledge: FleetState,
         loads: EndpointLoads,
         cache: PromptCache,
-        budget: AttemptBudget,
+        budget: RetryBudget,
         codec: HeaderCodec,
         pool: ConnectionPool,
-        recorder: RequestNotes,
+        recorder: RequestRecorder,
         profiles: EngineProfiles,
         publish_load: PublishLoad,
         read_time: Callable[[], float],
@@ -177,7 +177,7 @@
             memory_tokens=request.prompt_tokens + request.output_tokens,
             # Outside its own length bucket, among long prompts, the stream is late anyway, so long
             # prompts need not avoid the engine because of it.
-            delicate=progress.delicate and choice.own_lane,
+            delicate=progress.pause_sensitive and choice.own_lane,
         )
         self._publish_load(endpoint_id, more=True)
         return work
@@ -198,7 +198,7 @@
         self._admission.check_send(progress.admitted, attempt.record, now=now)
         terms = self._build_send_terms(progress, attempt.record, now=now)
         timeout_s = self._compute_attempt_timeout(progress, now=now)
-        progress.sent += 1
+        progress.sends += 1
         progress.possible_runs += 1
         load = self._read_load(send)
         self._record_send(request, progress, attempt.record, terms, send, load=load, now=now)
@@ -226,7 +226,7 @@
                 FailureKind.SILENT, "nothing received within the attempt timeout"
             ) from error
         except AttemptFailed as failure:
-            progress.possible_runs -= failure.unrun
+            progress.possible_runs -= failure.not_run
             raise
         await self._forward_response(request, writer, progress, attempt.record, response)
 
@@ -311,7 +311,7 @@
         request: CallerRequest,
         progress: RequestProgress,
         record: EndpointRecord,
-        terms: SendTerms,
+        terms: SendParameters,
         send: _Send,
         *,
         load: Load,
@@ -321,7 +321,7 @@
             request,
             record,
             terms,
-            sends=progress.sent,
+            sends=progress.sends,
             load=load,
             scheduled=send.placed.scheduler_reply,
             admitted=progress.admitted,
@@ -330,13 +330,13 @@
 
     def _build_send_terms(
         self, progress: RequestProgress, record: EndpointRecord, *, now: float
-    ) -> SendTerms:
+    ) -> SendParameters:
         admitted = progress.admitted
         engine = self._knowledge.find_kv_capacity_tokens(record.service) > 0
-        return SendTerms(
+        return SendParameters(
             endpoint_id=record.endpoint_id,
             organisation=admitted.organisation.name if admitted.organisation else None,
-            time_left_s=progress.deadline - now,
+            remaining_s=progress.deadline - now,
             urgency=admitted.urgency if engine else None,
             resume_after=progress.last_event_id,
         )
@@ -348,7 +348,7 @@
         request.
         """
         route = progress.admitted.route
-        if not route.repeatable or progress.sent + 1 >= route.max_endpoints:
+        if not route.repeatable or progress.sends + 1 >= route.max_endpoints:
             return None
         instances = self._knowledge.count_instances()
         if not self._budget.has_room(progress.service, instances=instances, now=now):
--- a/src/guavamast/relay/listener.py
+++ b/src/guavamast/relay/listener.py
@@ -144,7 +144,7 @@
     def _reject(self, status: int) -> None:
         """Reject a request that is too large; its unread rest ends the connection."""
         self._rejected = True
-        self._listener.note_rejection(status)
+        self._listener.on_rejection(status)
         writer = _TornadoWriter(self._connection)
         self._task = asyncio.create_task(writer.send(status, [], b""))
 
@@ -156,8 +156,8 @@
         relayer: Relays them.
         codec: Encodes and decodes headers.
         read_time: Reads the local clock.
-        note_rejection: Called with the status of each request that exceeds a limit.
-        note_fault: Called with an unexpected error raised while a request was relayed.
+        on_rejection: Called with the status of each request that exceeds a limit.
+        on_error: Called with an unexpected error raised while a request was relayed.
     """
 
     def __init__(
@@ -166,14 +166,14 @@
         relayer: Relayer,
         codec: HeaderCodec,
         read_time: Callable[[], float],
-        note_rejection: Callable[[int], None],
-        note_fault: Callable[[CallerRequest, Exception], None],
+        on_rejection: Callable[[int], None],
+        on_error: Callable[[CallerRequest, Exception], None],
     ) -> None:
         self._relayer = relayer
         self._codec = codec
         self._read_time = read_time
-        self.note_rejection = note_rejection
-        self._note_fault = note_fault
+        self.on_rejection = on_rejection
+        self._note_fault = on_error
         self.limits: CallerLimits | None = None
         """Limits on requests; None before the first configuration."""
         self._server = HTTPServer(
@@ -193,7 +193,7 @@
         self.limits = limits
         self._server.conn_params.header_timeout = limits.close_idle_after_s
 
-    def close_after_answers(self) -> None:
+    def disable_keep_alive(self) -> None:
         """Close each connection after the response to its next request."""
         self._server.conn_params.no_keep_alive = True
 
@@ -212,7 +212,7 @@
         self, start: httputil.RequestStartLine, headers: list[Header], body: bytes
     ) -> CallerRequest:
         """Decode a request."""
-        return self._codec.read_request(
+        return self._codec.decode_request(
             method=start.method,
             target=start.path,
             headers=headers,
@@ -229,23 +229,23 @@
             writer.abort()
 
 
-class Question(ABC):
+class QueryHandler(ABC):
     """Handles one kind of query on a small listener."""
 
     @abstractmethod
-    def answer(self, path: str, query: str) -> tuple[int, str, str] | None:
+    def handle(self, path: str, query: str) -> tuple[int, str, str] | None:
         """Return status, content type and body; None if the path is not handled."""
 
 
-class QuestionListener:
+class QueryListener:
     """A small HTTP listener for queries that are answered from memory.
 
     Args:
-        questions: Handlers, tried in order.
+        handlers: Handlers, tried in order.
     """
 
-    def __init__(self, *, questions: list[Question]) -> None:
-        self._questions = questions
+    def __init__(self, *, handlers: list[QueryHandler]) -> None:
+        self._questions = handlers
         self._server = HTTPServer(self._handle)
 
     def listen(self, ip: str, port: int) -> None:
@@ -259,7 +259,7 @@
     def _handle(self, request: httputil.HTTPServerRequest) -> None:
         status, content_type, text = 404, "text/plain", "not found\n"
         for question in self._questions:
-            response = question.answer(request.path or "", request.query)
+            response = question.handle(request.path or "", request.query)
             if response is not None:
                 status, content_type, text = response
                 break
--- a/src/guavamast/relay/messages.py
+++ b/src/guavamast/relay/messages.py
@@ -32,13 +32,13 @@
     body: bytes
     has_body: bool
     api_key: str | None
-    patience_s: float | None
+    timeout_s: float | None
     """The caller's timeout in seconds, counted from ``arrived``."""
     prompt_parts: tuple[PromptPart, ...]
     prompt_tokens: int
     output_tokens: int
     """Maximum tokens of the response; 0 when not stated."""
-    arrived: float
+    received_at: float
     """Local time at which the request had been received completely, in seconds."""
 
     @property
@@ -53,13 +53,13 @@
 
 
 @dataclass(frozen=True, slots=True, kw_only=True)
-class SendTerms:
+class SendParameters:
     """Parameters that the relay sets on a request to an endpoint."""
 
     endpoint_id: str
     """Any other endpoint at the same address rejects the request."""
     organisation: str | None
-    time_left_s: float | None
+    remaining_s: float | None
     urgency: int | None
     """Set for engines only."""
     resume_after: str | None
@@ -67,23 +67,23 @@
 
 
 @dataclass(frozen=True, slots=True, kw_only=True)
-class AnswerHead:
+class EndpointResponseHead:
     """Status and headers of an endpoint's response, decoded."""
 
     status: int
     headers: tuple[Header, ...]
     """Headers that may be forwarded to the caller, in order, without the length of the body."""
     request_id: str | None
-    sealed: bool
+    signed: bool
     """Whether the response carries the endpoint's signature."""
-    refused_unrun: bool
+    not_run: bool
     """Whether the endpoint states that it did not run the request."""
     encoded: bool
     """Whether the body is compressed or otherwise not the endpoint's original bytes."""
     event_stream: bool
     keep_alive_s: float | None
     """Seconds after which the endpoint closes the idle connection, if stated."""
-    closes: bool
+    closes_connection: bool
     """Whether the endpoint closes the connection after this response."""
 
 
@@ -91,7 +91,7 @@
     """Decodes and encodes the headers of requests and responses as one deployment names them."""
 
     @abstractmethod
-    def read_request(
+    def decode_request(
         self,
         *,
         method: str,
@@ -103,15 +103,15 @@
         """Return a caller's request without the headers that only the relay may set."""
 
     @abstractmethod
-    def write_request(self, request: CallerRequest, terms: SendTerms) -> list[Header]:
+    def encode_request(self, request: CallerRequest, terms: SendParameters) -> list[Header]:
         """Return all headers of a request to an endpoint, except those that frame the body."""
 
     @abstractmethod
-    def read_answer(self, status: int, headers: list[Header]) -> AnswerHead:
+    def decode_response(self, status: int, headers: list[Header]) -> EndpointResponseHead:
         """Return the decoded head of an endpoint's response."""
 
     @abstractmethod
-    def write_refusal(self, request_id: str, retry_after_s: float | None) -> list[Header]:
+    def encode_rejection(self, request_id: str, retry_after_s: float | None) -> list[Header]:
         """Return the headers of a response that the relay itself generates."""
 
 
--- a/src/guavamast/relay/node.py
+++ b/src/guavamast/relay/node.py
@@ -29,14 +29,14 @@
     encode_load_update,
 )
 from guavamast.relay.heartbeat_topology import HeartbeatTopology
-from guavamast.relay.listener import CallerListener, Question, QuestionListener
+from guavamast.relay.listener import CallerListener, QueryHandler, QueryListener
 from guavamast.relay.load_update_sender import LoadUpdateSender
 from guavamast.relay.loop_delay import LoopDelay
 from guavamast.relay.peer_socket import PeerSocket
 from guavamast.relay.peers import Peers, compute_heartbeat_interval
 from guavamast.relay.prompt_lanes import NO_DEMAND
-from guavamast.relay.request_notes import RequestNotes
-from guavamast.relay.request_path import make_relayer
+from guavamast.relay.relayer_factory import build_relayer
+from guavamast.relay.request_recorder import RequestRecorder
 from guavamast.relay.scheduling import Scheduling
 from guavamast.relay.staleness import StalenessBounds
 from guavamast.relay.store import InstanceRecord
@@ -128,7 +128,7 @@
         self._exchange = self._build_exchange()
         self._reader = self._build_reader()
         self._watch = self._build_watch()
-        self._notes = RequestNotes(
+        self._notes = RequestRecorder(
             log=self.log,
             counters=self.counters,
             knowledge=self.fleet_state,
@@ -140,8 +140,8 @@
             relayer=self._relayer,
             codec=codec,
             read_time=read_boot_time,
-            note_rejection=self._record_rejection,
-            note_fault=self._record_fault,
+            on_rejection=self._record_rejection,
+            on_error=self._record_fault,
         )
 
     def _build_load_updates(self) -> LoadUpdateSender:
@@ -229,7 +229,7 @@
         )
 
     def _build_relayer(self, codec: HeaderCodec) -> Relayer:
-        return make_relayer(
+        return build_relayer(
             settings=self.settings,
             codec=codec,
             knowledge=self.fleet_state,
@@ -237,9 +237,9 @@
             bounds=self._bounds,
             reader=self._reader,
             pool=self._pool,
-            notes=self._notes,
+            recorder=self._notes,
             scheduling=self._scheduling,
-            tell_load=self._load_updates.record_change,
+            publish_load=self._load_updates.record_change,
             random=self._random,
             read_time=read_boot_time,
         )
@@ -267,9 +267,9 @@
     async def run(
         self,
         *,
-        directory: Question,
-        readiness: Question,
-        metrics: Question,
+        directory: QueryHandler,
+        readiness: QueryHandler,
+        metrics: QueryHandler,
     ) -> None:
         """Serve until SIGTERM."""
         settings = self.settings
@@ -300,10 +300,10 @@
         self.log.write("stopped", now=read_boot_time(), in_flight=self._relayer.in_flight)
 
     def _open_listeners(
-        self, directory: Question, readiness: Question, metrics: Question
-    ) -> list[QuestionListener]:
+        self, directory: QueryHandler, readiness: QueryHandler, metrics: QueryHandler
+    ) -> list[QueryListener]:
         settings = self.settings
-        queries: list[tuple[SocketAddress | None, Question]] = [
+        queries: list[tuple[SocketAddress | None, QueryHandler]] = [
             (settings.directory, directory),
             (settings.readiness, readiness),
             (settings.metrics, metrics),
@@ -312,7 +312,7 @@
         for address, query in queries:
             if address is None:
                 continue
-            listener = QuestionListener(questions=[query])
+            listener = QueryListener(handlers=[query])
             listener.listen(address.ip, address.port)
             listeners.append(listener)
         return listeners
@@ -321,7 +321,7 @@
         """Keep serving while callers may still connect, then stop when no request is in flight."""
         requested_at = read_boot_time()
         self._leaving = True
-        self._listener.close_after_answers()
+        self._listener.disable_keep_alive()
         self._exchange.announce_to_all()
         self.log.write("leaving", now=requested_at, in_flight=self._relayer.in_flight)
         addresses_expired_at = requested_at + ADDRESS_CACHE_FACTOR * VALIDITY_S + LEAVE_MARGIN_S
--- a/src/guavamast/relay/placer.py
+++ b/src/guavamast/relay/placer.py
@@ -101,8 +101,8 @@
         now = self._read_time()
         wait_parameters = WaitTerms(
             objective_s=progress.admitted.route.objective_s,
-            patient=progress.patient,
-            first=progress.first,
+            patient=progress.latency_tolerant,
+            first=progress.most_urgent,
             old_news=self._knowledge.peers.aggregated,
         )
         choice = self._chooser.choose(
@@ -117,7 +117,7 @@
                 now=now,
             ),
         )
-        if choice is None or progress.sent > 0 or choice.forecast is None:
+        if choice is None or progress.sends > 0 or choice.forecast is None:
             return PlacementDecision(choice=choice)
         rejection = self._admission.admit(
             choice.forecast,
@@ -135,13 +135,13 @@
             prompt_parts=request.prompt_parts,
             prompt_tokens=request.prompt_tokens,
             failure_domain=self._knowledge.failure_domain,
-            lane=progress.lane,
+            lane=progress.bucket,
             lane_shares=self._demand.compute_shares(),
             output_tokens=request.output_tokens,
             memory_tokens=self._knowledge.find_kv_capacity_tokens(progress.service),
             profile=self._profiles.find(progress.service, now=now),
             objective_s=progress.admitted.route.objective_s,
-            delicate=progress.delicate,
+            delicate=progress.pause_sensitive,
             shortest_pause_s=self._knowledge.find_shortest_pause(progress.service),
             memory_limit=LATE_LIMIT if self._knowledge.peers.aggregated else RECENT_LIMIT,
             loads_late=self._knowledge.peers.aggregated,
@@ -214,15 +214,15 @@
             prompt_parts=request.prompt_parts,
             prompt_tokens=request.prompt_tokens,
             output_tokens=request.output_tokens,
-            bucket=progress.lane,
+            bucket=progress.bucket,
             objective_s=progress.admitted.route.objective_s,
-            pause_sensitive=progress.delicate,
-            latency_tolerant=progress.patient,
-            most_urgent=progress.first,
+            pause_sensitive=progress.pause_sensitive,
+            latency_tolerant=progress.latency_tolerant,
+            most_urgent=progress.most_urgent,
             urgency=progress.admitted.urgency,
             failure_domain=self._knowledge.failure_domain,
             excluded=self._list_excluded(progress),
-            rejectable=progress.sent == 0,
+            rejectable=progress.sends == 0,
         )
 
     def _list_excluded(self, progress: RequestProgress) -> tuple[str, ...]:
@@ -266,7 +266,9 @@
         if placed.choice is None or placed.rejection is not None:
             return placed
         number = self._client.next_number()
-        work = _build_work(request, placed.choice, number=number, pause_sensitive=progress.delicate)
+        work = _build_work(
+            request, placed.choice, number=number, pause_sensitive=progress.pause_sensitive
+        )
         group = self._groups.find_group(placed.choice.record)
         tracked = self._client.track(group, work, granted=False)
         return PlacementDecision(choice=placed.choice, work=tracked)
--- a/src/guavamast/relay/relayer.py
+++ b/src/guavamast/relay/relayer.py
@@ -12,7 +12,6 @@
 if TYPE_CHECKING:
     from collections.abc import Callable
 
-    from guavamast.relay.attempt_budget import AttemptBudget
     from guavamast.relay.caller_admission import CallerAdmission
     from guavamast.relay.caller_gate import Admitted
     from guavamast.relay.endpoint_load import EndpointLoads
@@ -23,8 +22,9 @@
     from guavamast.relay.messages import CallerRequest, HeaderCodec, ResponseWriter
     from guavamast.relay.placer import PlacementDecision, Placer
     from guavamast.relay.prompt_lanes import PromptDemand
-    from guavamast.relay.request_notes import RequestNotes
     from guavamast.relay.request_progress import RequestProgress
+    from guavamast.relay.request_recorder import RequestRecorder
+    from guavamast.relay.retry_budget import RetryBudget
 
 RETRY_AFTER_REJECTION_S: Final = 0.1
 """Seconds until a caller retries after a rejection for lack of capacity: about when a slot becomes
@@ -73,9 +73,9 @@
         knowledge: FleetState,
         admission: CallerAdmission,
         loads: EndpointLoads,
-        budget: AttemptBudget,
+        budget: RetryBudget,
         codec: HeaderCodec,
-        recorder: RequestNotes,
+        recorder: RequestRecorder,
         placer: Placer,
         exchanger: Exchanger,
         demand: PromptDemand,
@@ -131,9 +131,9 @@
             request,
             admitted,
             service=service,
-            shortest_s=self._knowledge.find_shortest_objective(service),
+            shortest_objective_s=self._knowledge.find_shortest_objective(service),
             profile=self._profiles.find(service, now=now),
-            first=self._knowledge.is_most_urgent(admitted.route, service),
+            most_urgent=self._knowledge.is_most_urgent(admitted.route, service),
         )
 
     def _record_demand(
@@ -144,7 +144,7 @@
             return
         profile = self._profiles.find(progress.service, now=now)
         self._demand.record(
-            progress.lane,
+            progress.bucket,
             prompt_tokens=request.prompt_tokens,
             output_tokens=request.output_tokens,
             profile=profile,
@@ -189,12 +189,12 @@
         Failures to connect are limited by their number; any other retry is spent from the budget.
         """
         route = progress.admitted.route
-        if progress.sent >= route.max_endpoints:
+        if progress.sends >= route.max_endpoints:
             return False
         if failure.kind is FailureKind.NOT_CONNECTED:
             progress.connect_failures += 1
             return progress.connect_failures < MAX_CONNECT_FAILURES
-        if not failure.unrun and not route.repeatable:
+        if not failure.not_run and not route.repeatable:
             return False
         instances = self._knowledge.count_instances()
         return self._budget.try_spend(progress.service, instances=instances, now=now)
@@ -228,7 +228,7 @@
         return True
 
     async def _reject(self, request: CallerRequest, writer: ResponseWriter, denied: Denied) -> None:
-        headers = self._codec.write_refusal(request.request_id, denied.retry_after_s)
+        headers = self._codec.encode_rejection(request.request_id, denied.retry_after_s)
         await writer.send(denied.status, headers, b"")
         self._recorder.record_rejection(request, denied, now=self._read_time())
 
@@ -240,7 +240,7 @@
         placed: PlacementDecision,
     ) -> None:
         assert placed.rejection is not None and placed.choice is not None
-        headers = self._codec.write_refusal(request.request_id, placed.rejection.retry_after_s)
+        headers = self._codec.encode_rejection(request.request_id, placed.rejection.retry_after_s)
         await writer.send(503, headers, b"")
         self._recorder.record_capacity_rejection(
             request,
@@ -275,8 +275,8 @@
             if progress.possible_runs == 0:
                 status = 503
                 retry_after_s = (
-                    RETRY_AFTER_REJECTION_S if progress.sent else RETRY_AFTER_UNREACHABLE_S
+                    RETRY_AFTER_REJECTION_S if progress.sends else RETRY_AFTER_UNREACHABLE_S
                 )
-            headers = self._codec.write_refusal(request.request_id, retry_after_s)
+            headers = self._codec.encode_rejection(request.request_id, retry_after_s)
             await writer.send(status, headers, b"")
         self._recorder.record_end(request, outcome="failed", status=status, reason=reason, now=now)
--- a/src/guavamast/relay/request_path.py
+++ b/src/guavamast/relay/relayer_factory.py
@@ -4,13 +4,13 @@
 
 from typing import TYPE_CHECKING
 
-from guavamast.relay.attempt_budget import AttemptBudget, BudgetTerms
 from guavamast.relay.caller_admission import CallerAdmission
 from guavamast.relay.caller_gate import CallerGate
 from guavamast.relay.endpoint_choice import EndpointChooser
 from guavamast.relay.exchange import Exchanger
 from guavamast.relay.placer import LocalPlacer, ScheduledPlacer
 from guavamast.relay.relayer import Relayer
+from guavamast.relay.retry_budget import RetryBudget, RetryBudgetSettings
 
 if TYPE_CHECKING:
     from collections.abc import Callable
@@ -22,14 +22,14 @@
     from guavamast.relay.messages import HeaderCodec
     from guavamast.relay.node_settings import NodeSettings
     from guavamast.relay.placer import Placer
-    from guavamast.relay.request_notes import RequestNotes
+    from guavamast.relay.request_recorder import RequestRecorder
     from guavamast.relay.scheduling import Scheduling
     from guavamast.relay.staleness import StalenessBounds
     from guavamast.relay.store_reader import StoreReader
     from guavamast.relay.work_state import WorkState
 
 
-def make_relayer(
+def build_relayer(
     *,
     settings: NodeSettings,
     codec: HeaderCodec,
@@ -38,9 +38,9 @@
     bounds: StalenessBounds,
     reader: StoreReader,
     pool: ConnectionPool,
-    notes: RequestNotes,
+    recorder: RequestRecorder,
     scheduling: Scheduling,
-    tell_load: PublishLoad,
+    publish_load: PublishLoad,
     random: Random,
     read_time: Callable[[], float],
 ) -> Relayer:
@@ -54,9 +54,9 @@
         bounds: Maximum ages of configuration and endpoint data.
         reader: Reads the store.
         pool: Idle connections to endpoints.
-        notes: Log lines and metrics of requests.
+        recorder: Log lines and metrics of requests.
         scheduling: Queries the schedulers of endpoints.
-        tell_load: Called when this instance's work at an endpoint has changed.
+        publish_load: Called when this instance's work at an endpoint has changed.
         random: Source of all jitter and random choices.
         read_time: Reads the local clock.
     """
@@ -67,7 +67,7 @@
         reader=reader,
         read_time=read_time,
     )
-    budget = AttemptBudget(terms=_build_budget_terms(settings))
+    budget = RetryBudget(settings=_build_budget_terms(settings))
     exchanger = Exchanger(
         admission=admission,
         knowledge=knowledge,
@@ -76,9 +76,9 @@
         budget=budget,
         codec=codec,
         pool=pool,
-        recorder=notes,
+        recorder=recorder,
         profiles=work.profiles,
-        publish_load=tell_load,
+        publish_load=publish_load,
         read_time=read_time,
     )
     return Relayer(
@@ -87,7 +87,7 @@
         loads=work.loads,
         budget=budget,
         codec=codec,
-        recorder=notes,
+        recorder=recorder,
         placer=_build_placer(
             knowledge=knowledge,
             work=work,
@@ -129,8 +129,8 @@
     )
 
 
-def _build_budget_terms(settings: NodeSettings) -> BudgetTerms:
-    return BudgetTerms(
+def _build_budget_terms(settings: NodeSettings) -> RetryBudgetSettings:
+    return RetryBudgetSettings(
         ratio=settings.retry_ratio,
         slack=settings.retry_slack,
         window_s=settings.retry_window_s,
--- a/src/guavamast/relay/request_progress.py
+++ b/src/guavamast/relay/request_progress.py
@@ -24,19 +24,19 @@
     service: str
     deadline: float
     """Local time at which the response must be complete."""
-    lane: int
+    bucket: int
     """Length bucket of its prompt, which determines the preferred engines."""
-    patient: bool
+    latency_tolerant: bool
     """Whether it has far more time than the most urgent requests of its service."""
-    first: bool
+    most_urgent: bool
     """Whether no stream of its service takes precedence over it."""
-    delicate: bool
+    pause_sensitive: bool
     """Whether it would be late if its engine prefills long prompts at the same time."""
     timing: StreamTiming
     """Timing of the forwarded events, from any endpoint."""
     tried: set[str] = field(default_factory=set)
     """Ids of the endpoints that were selected for it."""
-    sent: int = 0
+    sends: int = 0
     """Number of endpoints to which the request was sent."""
     possible_runs: int = 0
     """Number of sends that the endpoint may have run."""
@@ -55,10 +55,10 @@
         """
         self.admitted = readmitted.admitted
         self.service = readmitted.service
-        self.lane = readmitted.lane
-        self.patient = readmitted.patient
-        self.first = readmitted.first
-        self.delicate = readmitted.delicate
+        self.bucket = readmitted.bucket
+        self.latency_tolerant = readmitted.latency_tolerant
+        self.most_urgent = readmitted.most_urgent
+        self.pause_sensitive = readmitted.pause_sensitive
         self.tried.discard(unsent_id)
 
 
@@ -69,8 +69,8 @@
         request: The request.
         timeout_s: The route's timeout.
     """
-    caller_timeout_s = request.patience_s if request.patience_s is not None else float("inf")
-    return request.arrived + min(timeout_s, caller_timeout_s)
+    caller_timeout_s = request.timeout_s if request.timeout_s is not None else float("inf")
+    return request.received_at + min(timeout_s, caller_timeout_s)
 
 
 def begin_progress(
@@ -78,9 +78,9 @@
     admitted: Admitted,
     *,
     service: str,
-    shortest_s: float,
+    shortest_objective_s: float,
     profile: EngineProfile,
-    first: bool,
+    most_urgent: bool,
 ) -> RequestProgress:
     """Return the initial state of an admitted request.
 
@@ -88,23 +88,26 @@
         request: The request.
         admitted: Its route.
         service: The one of the route's services that it goes to.
-        shortest_s: Shortest objective of that service's streams.
+        shortest_objective_s: Shortest objective of that service's streams.
         profile: Speed of the service's engines.
-        first: Whether no stream of that service takes precedence over it.
+        most_urgent: Whether no stream of that service takes precedence over it.
     """
     objective_s = admitted.route.objective_s
     delicate = is_delicate(admitted.route, profile)
     lane = find_lane(
-        request.prompt_tokens, objective_s=objective_s, shortest_s=shortest_s, profile=profile
+        request.prompt_tokens,
+        objective_s=objective_s,
+        shortest_s=shortest_objective_s,
+        profile=profile,
     )
     return RequestProgress(
         admitted=admitted,
         service=service,
         deadline=compute_deadline(request, timeout_s=admitted.route.timeout_s),
         # Beside long prompts its pauses would be too long, however short its own prefill.
-        lane=0 if delicate else lane,
-        first=first,
-        delicate=delicate,
-        patient=is_patient(objective_s, shortest_s=shortest_s),
-        timing=StreamTiming(received_at=request.arrived),
+        bucket=0 if delicate else lane,
+        most_urgent=most_urgent,
+        pause_sensitive=delicate,
+        latency_tolerant=is_patient(objective_s, shortest_s=shortest_objective_s),
+        timing=StreamTiming(received_at=request.received_at),
     )
--- a/src/guavamast/relay/request_notes.py
+++ b/src/guavamast/relay/request_recorder.py
@@ -16,12 +16,12 @@
     from guavamast.relay.engine_profile import EngineProfile
     from guavamast.relay.fleet_state import FleetState
     from guavamast.relay.loop_delay import LoopDelay
-    from guavamast.relay.messages import CallerRequest, SendTerms
+    from guavamast.relay.messages import CallerRequest, SendParameters
     from guavamast.relay.request_progress import RequestProgress
     from guavamast.relay.scheduling_client import ScheduledReply
 
 
-class RequestNotes:
+class RequestRecorder:
     """Records each decision on a request together with its inputs.
 
     Args:
@@ -54,7 +54,7 @@
         self,
         request: CallerRequest,
         record: EndpointRecord,
-        terms: SendTerms,
+        terms: SendParameters,
         *,
         sends: int,
         load: Load,
@@ -86,8 +86,8 @@
             scheduled_s=round(scheduled.took_s, 4) if scheduled is not None else None,
             scheduler_learning=scheduled.reply.learning if scheduled is not None else None,
             resume_after=terms.resume_after,
-            time_left_s=round(terms.time_left_s or 0.0, 3),
-            waited_s=round(now - request.arrived, 4),
+            time_left_s=round(terms.remaining_s or 0.0, 3),
+            waited_s=round(now - request.received_at, 4),
             config_version=self._knowledge.catalog_version,
             config_age_s=ages.config_s,
             endpoints_version=self._knowledge.endpoints.digest,
@@ -97,7 +97,7 @@
 
     def record_first_event(self, request: CallerRequest, choice: Choice, *, now: float) -> None:
         """Record the time to the first event, together with the forecast."""
-        took_s = now - request.arrived
+        took_s = now - request.received_at
         expected_s = choice.forecast.first_event_ms / 1000.0 if choice.forecast else None
         self._counters.observe("first_event_seconds", took_s)
         if expected_s is not None:
@@ -110,7 +110,7 @@
             expected_s=round(expected_s, 4) if expected_s is not None else None,
         )
 
-    def note_profile(self, service: str, profile: EngineProfile) -> None:
+    def record_profile(self, service: str, profile: EngineProfile) -> None:
         """Set the gauges of a service's engine profile."""
         self._counters.set(
             f'engine_read_tokens_per_ms{{service="{service}"}}', profile.read_tokens_per_ms
@@ -137,7 +137,7 @@
             endpoint=record.endpoint_id,
             kind=str(failure.kind),
             detail=failure.detail,
-            after_s=round(now - request.arrived, 4),
+            after_s=round(now - request.received_at, 4),
         )
 
     def record_rejection(self, request: CallerRequest, denied: Denied, *, now: float) -> None:
@@ -200,7 +200,7 @@
     ) -> None:
         """Record a response that was forwarded completely, and whether and why it was late."""
         timing = progress.timing
-        took_s = now - request.arrived
+        took_s = now - request.received_at
         late = timing.classify_lateness(progress.admitted.route, took_s=took_s)
         if late is not None:
             self._counters.add(f'late_answers_total{{cause="{late}"}}')
@@ -232,7 +232,7 @@
         reason: str | None = None,
     ) -> None:
         """Record how a request ended."""
-        took_s = now - request.arrived
+        took_s = now - request.received_at
         self._count_end(outcome, took_s)
         self._log.write(
             "ended",
--- a/src/guavamast/relay/attempt_budget.py
+++ b/src/guavamast/relay/retry_budget.py
@@ -12,7 +12,7 @@
 
 
 @dataclass(frozen=True, slots=True, kw_only=True)
-class BudgetTerms:
+class RetryBudgetSettings:
     """The deployment's retry allowance for one service."""
 
     ratio: float
@@ -22,7 +22,7 @@
     window_s: float
 
 
-class AttemptBudget:
+class RetryBudget:
     """The part of the retry allowance that one instance may use, separately for each service.
 
     Without this, when endpoints fail, each instance retries their requests and the retries overload
@@ -30,13 +30,13 @@
     part of the slack, so the sum over all instances stays within the allowance.
 
     Args:
-        terms: The allowance over all instances.
+        settings: The allowance over all instances.
     """
 
     __slots__ = ("_retries", "_requests", "_settings")
 
-    def __init__(self, *, terms: BudgetTerms) -> None:
-        self._settings = terms
+    def __init__(self, *, settings: RetryBudgetSettings) -> None:
+        self._settings = settings
         self._requests: dict[str, deque[float]] = {}
         self._retries: dict[str, deque[float]] = {}
 
--- a/src/guavamast/relay/stream_relay.py
+++ b/src/guavamast/relay/stream_relay.py
@@ -39,7 +39,7 @@
         _ensure_started(attempt, writer)
         await writer.write(b"".join(event.data for event in events))
     _ensure_started(attempt, writer)
-    remainder = framing.take_rest()
+    remainder = framing.drain()
     if remainder:
         await writer.write(remainder)
     await writer.end()
--- a/tests/burst_world.py
+++ b/tests/burst_world.py
@@ -264,9 +264,9 @@
                 urgency=kind.urgency,
             ),
             service=POOL,
-            shortest_s=self.knowledge.find_shortest_objective(POOL),
+            shortest_objective_s=self.knowledge.find_shortest_objective(POOL),
             profile=PROFILE,
-            first=kind.urgency == 0,
+            most_urgent=kind.urgency == 0,
         )
         placed = self.random.choice(self.placers).decide(request, progress)
         assert placed.choice is not None
--- a/tests/test_http_connection.py
+++ b/tests/test_http_connection.py
@@ -55,19 +55,19 @@
         self.assertEqual(await self.read_body(), b"ok")
         self.assertFalse(self.connection.reusable)
 
-    async def test_a_reset_is_no_end(self) -> None:
+    async def test_a_reset_does_not_end_the_response(self) -> None:
         self.connection.data_received(RESPONSE_WITHOUT_LENGTH)
         self.connection.connection_lost(ConnectionResetError())
         with self.assertRaises(ConnectionLost):
             await self.read_body()
 
-    async def test_an_answer_that_is_cut_is_not_whole(self) -> None:
+    async def test_a_truncated_response_is_incomplete(self) -> None:
         self.connection.data_received(RESPONSE[:-1])
         self.connection.eof_received()
         with self.assertRaises(ConnectionLost):
             await self.read_body()
 
-    async def test_bytes_that_are_no_answer_are_told_from_a_lost_connection(self) -> None:
+    async def test_malformed_bytes_are_distinguished_from_a_lost_connection(self) -> None:
         self.connection.data_received(b"\x00\x01 no answer\r\n\r\n")
         with self.assertRaises(MalformedAnswer):
             await self.read_body()
--- a/tests/test_relay_caller_admission.py
+++ b/tests/test_relay_caller_admission.py
@@ -201,7 +201,7 @@
             self.simulation.admission.check_send(self.admitted, record, now=self.simulation.now)
         except AttemptFailed as failure:
             self.assertEqual(failure.kind, FailureKind.OUTDATED)
-            self.assertTrue(failure.unrun)
+            self.assertTrue(failure.not_run)
             return failure.detail
         return ""
 
--- a/tests/test_relay_decisions.py
+++ b/tests/test_relay_decisions.py
@@ -8,7 +8,6 @@
 from hypothesis import given
 from hypothesis import strategies as st
 
-from guavamast.relay.attempt_budget import AttemptBudget, BudgetTerms
 from guavamast.relay.caller_addresses import CallerLocation, choose_addresses
 from guavamast.relay.caller_gate import Admitted, CallerGate, Denied
 from guavamast.relay.catalog import CallerOrganisation, Catalog, WeightedService
@@ -42,6 +41,7 @@
     ReadSchedule,
 )
 from guavamast.relay.refusal_history import RefusalCount
+from guavamast.relay.retry_budget import RetryBudget, RetryBudgetSettings
 from guavamast.relay.store import InstanceRecord
 from guavamast.rendezvous import rank
 from tests.relay_facts import BOUNDS, make_catalog, make_endpoint, make_request, make_route
@@ -200,8 +200,8 @@
     def test_every_window_keeps_the_allowance(
         self, instances: int, requests: list[float], tries: list[float]
     ) -> None:
-        terms = BudgetTerms(ratio=0.2, slack=20.0, window_s=10.0)
-        budget = AttemptBudget(terms=terms)
+        terms = RetryBudgetSettings(ratio=0.2, slack=20.0, window_s=10.0)
+        budget = RetryBudget(settings=terms)
         events = sorted([(at, False) for at in requests] + [(at, True) for at in tries])
         spent = []
         for at, is_retry in events:
@@ -418,11 +418,11 @@
         framing = EventFraming()
         found = []
         for cut in [*cuts, len(data)]:
-            found.extend(framing.feed(data[:cut]))
+            found.extend(framing.append(data[:cut]))
             data = data[cut:]
         self.assertEqual([event.data for event in found], whole)
         self.assertEqual([event.event_id for event in found], [str(n) for n in range(len(whole))])
-        self.assertEqual(framing.take_rest(), b"id: 99\nda")
+        self.assertEqual(framing.drain(), b"id: 99\nda")
 
 
 if __name__ == "__main__":
--- a/tests/test_relay_exchange.py
+++ b/tests/test_relay_exchange.py
@@ -11,7 +11,6 @@
 from guavamast.platform.request_headers import PlatformHeaders
 from guavamast.platform.standins.engine import EngineStandIn
 from guavamast.relay.attempt import AttemptFailed, FailureKind
-from guavamast.relay.attempt_budget import AttemptBudget, BudgetTerms
 from guavamast.relay.caller_gate import Admitted
 from guavamast.relay.connection_pool import ConnectionPool
 from guavamast.relay.counters import Counters
@@ -27,8 +26,9 @@
 from guavamast.relay.prompt_lanes import PromptDemand
 from guavamast.relay.refusal_history import RefusalHistory
 from guavamast.relay.relayer import Relayer
-from guavamast.relay.request_notes import RequestNotes
 from guavamast.relay.request_progress import RequestProgress, begin_progress
+from guavamast.relay.request_recorder import RequestRecorder
+from guavamast.relay.retry_budget import RetryBudget, RetryBudgetSettings
 from tests.relay_facts import PROFILE, make_endpoint, make_request, make_route
 from tests.test_relay_caller_admission import AdmissionSimulation
 
@@ -79,10 +79,10 @@
             knowledge=knowledge,
             loads=EndpointLoads(),
             cache=PromptCache(),
-            budget=AttemptBudget(terms=BudgetTerms(ratio=0.2, slack=20.0, window_s=10.0)),
+            budget=RetryBudget(settings=RetryBudgetSettings(ratio=0.2, slack=20.0, window_s=10.0)),
             codec=PlatformHeaders(),
             pool=self.pool,
-            recorder=RequestNotes(
+            recorder=RequestRecorder(
                 log=log, counters=counters, knowledge=knowledge, loop_delay=LoopDelay()
             ),
             profiles=EngineProfiles(),
@@ -97,7 +97,12 @@
         headers = (("Host", "portal.example"), ("X-Attempt-Id", "r1"))
         request = make_request(arrived=self.world.now, headers=headers)
         progress = begin_progress(
-            request, admitted, service="portal", shortest_s=0.3, profile=PROFILE, first=True
+            request,
+            admitted,
+            service="portal",
+            shortest_objective_s=0.3,
+            profile=PROFILE,
+            most_urgent=True,
         )
         choice = Choice(record=self.record, forecast=None, unread_tokens=0)
         writer = mock.create_autospec(ResponseWriter, instance=True, started=False)
@@ -141,7 +146,7 @@
         await relayer.relay(request, writer)
         return writer
 
-    async def test_a_request_that_was_held_up_goes_by_the_new_route(self) -> None:
+    async def test_a_delayed_request_uses_the_new_route(self) -> None:
         """Guards against a request failing because its data went stale before the send.
 
         While its connection is acquired, the route moves to another service and the staleness bound
@@ -159,7 +164,7 @@
         self.assertEqual(writer.send.call_args.args[0], 200)
         self.assertEqual((len(self.engine.runs), len(annex.runs)), (0, 1))
 
-    async def test_a_request_whose_route_is_gone_by_then_is_refused_as_not_run(self) -> None:
+    async def test_a_delayed_request_without_route_is_rejected_as_not_run(self) -> None:
         self.world.replace_routes(make_route(timeout_s=30.0))
         other = make_route(path_prefix="/other/")
         self.pool.on_acquire.append(lambda: self.world.replace_routes(other))
@@ -169,10 +174,10 @@
         self.assertEqual(self.engine.runs, [])
 
     async def test_a_request_is_sent(self) -> None:
-        self.assertEqual((await self.run_attempt()).sent, 1)
+        self.assertEqual((await self.run_attempt()).sends, 1)
         self.assertEqual(len(self.engine.runs), 1)
 
-    async def test_a_request_held_up_on_its_way_is_not_sent_by_old_knowledge(self) -> None:
+    async def test_a_delayed_request_is_not_sent_with_stale_data(self) -> None:
         """Guards against a send to an endpoint that was selected too long ago.
 
         Acquiring the connection takes longer than the staleness bound, in which the endpoint may
@@ -183,7 +188,7 @@
             with self.assertRaises(AttemptFailed) as caught:
                 await self.run_attempt()
             self.assertEqual(caught.exception.kind, FailureKind.OUTDATED)
-            self.assertTrue(caught.exception.unrun)
+            self.assertTrue(caught.exception.not_run)
         self.assertEqual(self.engine.runs, [])
 
 
--- a/tests/test_relay_scheduling.py
+++ b/tests/test_relay_scheduling.py
@@ -67,7 +67,12 @@
         assert route is not None
         admitted = Admitted(catalog=catalog, route=route, organisation=None, urgency=0)
         return begin_progress(
-            request, admitted, service=POOL, shortest_s=0.3, profile=PROFILE, first=True
+            request,
+            admitted,
+            service=POOL,
+            shortest_objective_s=0.3,
+            profile=PROFILE,
+            most_urgent=True,
         )
 
     async def place(self, name: str = REQUESTER, **changes: object) -> PlacementDecision:
--- a/tests/test_relay_stream_timing.py
+++ b/tests/test_relay_stream_timing.py
@@ -25,7 +25,7 @@
         self.assertIsNone(self.timing.classify_lateness(self.route, took_s=0.41))
         self.assertAlmostEqual(self.timing.first_event_s or 0.0, 0.2)
 
-    def test_a_long_pause_is_named_with_what_was_read_meanwhile(self) -> None:
+    def test_a_long_pause_is_the_cause_and_records_uncached_tokens(self) -> None:
         self.record_events(10.1, 10.2, 10.35, 10.4)
         self.assertEqual(self.timing.classify_lateness(self.route, took_s=0.4), Lateness.PAUSE)
         self.assertAlmostEqual(self.timing.longest_pause_s, 0.15)
