--- a/bench/fleet_ways.py
+++ b/bench/fleet_ways.py
@@ -8,21 +8,21 @@
 
 from bench.fleet_world import LENGTH_S
 from bench.relay_policies import SERVICE, is_delicate_kind, make_record
-from guavamast.relay.admission import WaitTerms
+from guavamast.relay.admission import WaitParameters
 from guavamast.relay.admission_control import AdmissionControl
 from guavamast.relay.endpoint_choice import EndpointChooser
 from guavamast.relay.endpoint_load import EndpointLoads, Load
 from guavamast.relay.engine_profile import EngineProfiles
+from guavamast.relay.length_buckets import Demand, PromptDemand, find_bucket, is_latency_tolerant
 from guavamast.relay.placement import Placement
 from guavamast.relay.prompt_cache import PromptCache, PromptSend
-from guavamast.relay.prompt_lanes import Demand, PromptDemand, find_lane, is_patient
-from guavamast.relay.refusal_history import RefusalHistory
+from guavamast.relay.rejection_history import RejectionHistory
 from guavamast.rendezvous import compute_weight
 
 if TYPE_CHECKING:
     from bench.fleet_world import FleetWorld
     from bench.relay_engines import ReadingEngine, Request
-    from guavamast.relay.admission import ComeBack
+    from guavamast.relay.admission import Rejection
     from guavamast.relay.endpoint_choice import Choice
     from guavamast.relay.endpoint_load import Work
     from guavamast.relay.endpoint_table import EndpointRecord
@@ -62,7 +62,7 @@
         loads = EndpointLoads()
         cache = PromptCache()
         chooser = EndpointChooser(loads=loads, cache=cache, random=world.random)
-        admission = AdmissionControl(history=RefusalHistory(), random=world.random)
+        admission = AdmissionControl(history=RejectionHistory(), random=world.random)
         return cls(
             loads=loads,
             cache=cache,
@@ -119,21 +119,23 @@
 
     def choose(
         self, request: Request, place: Knowledge, records: list[EndpointRecord], *, late: bool
-    ) -> tuple[Choice, ComeBack | None]:
+    ) -> tuple[Choice, Rejection | None]:
         """Return what a place decides on a request among some engines."""
         placement = self._describe(request, place, late=late)
         now = self.world.now
         kinds = self.world.fleet.kinds
         shortest_s = min(kind.objective_s for kind in kinds)
-        terms = WaitTerms(
+        terms = WaitParameters(
             objective_s=request.kind.objective_s,
-            patient=is_patient(request.kind.objective_s, shortest_s=shortest_s),
-            first=request.kind.objective_s == shortest_s,
-            old_news=late,
-            fresh=not late and not request.returned,
+            latency_tolerant=is_latency_tolerant(request.kind.objective_s, shortest_s=shortest_s),
+            most_urgent=request.kind.objective_s == shortest_s,
+            loads_stale=late,
+            first_attempt=not late and not request.returned,
         )
         urgency = sum(kind.objective_s < request.kind.objective_s for kind in kinds)
-        has_room = place.admission.find_filter(terms, service=SERVICE, urgency=urgency, now=now)
+        has_room = place.admission.create_room_filter(
+            terms, service=SERVICE, urgency=urgency, now=now
+        )
         choice = place.chooser.choose(
             placement, records, exclude=frozenset(), now=now, has_room=has_room
         )
@@ -149,13 +151,13 @@
         engine = world.engines[choice.record.endpoint_id]
         engine.serve(request, world.now, world.read_anywhere)
         part_id = request.parts[-2].part_id
-        place.cache.record(engine.name, part_id, choice.unread_tokens, now=world.now)
+        place.cache.record(engine.name, part_id, choice.uncached_tokens, now=world.now)
         profile = self.profiles.find(SERVICE, now=world.now)
         work = place.loads.begin(
             engine.name,
-            prefill_tokens=choice.unread_tokens,
-            memory_tokens=request.prompt_tokens + request.output_tokens,
-            delicate=is_delicate_kind(request.kind, profile) and choice.own_lane,
+            prefill_tokens=choice.uncached_tokens,
+            kv_tokens=request.prompt_tokens + request.output_tokens,
+            pause_sensitive=is_delicate_kind(request.kind, profile) and choice.own_bucket,
         )
         known = place.loads.sum_up(engine.name).prefill_tokens
         sent = Sent(request=request, engine=engine, place=place, work=work, known_tokens=known)
@@ -165,7 +167,7 @@
         self.note_change(sent)
         return sent
 
-    def send_back(self, request: Request, later: ComeBack) -> None:
+    def send_back(self, request: Request, later: Rejection) -> None:
         """Refuse a request; it comes back once."""
         if request.returned:
             self.refused_wrongly += self._has_room(request)
@@ -191,7 +193,7 @@
         assert request.first_event is not None
         self.profiles.record_first_event(
             SERVICE,
-            unread_tokens=sent.known_tokens,
+            uncached_tokens=sent.known_tokens,
             took_ms=(request.first_event - request.sent) * 1000.0,
             now=self.world.now,
         )
@@ -207,7 +209,7 @@
         self.profiles.record_run(SERVICE, output_tokens=output_tokens, run_ms=run_ms, now=now)
         self.profiles.record_pause(
             SERVICE,
-            unread_tokens=sent.place.loads.sum_up(sent.engine.name).prefill_tokens,
+            uncached_tokens=sent.place.loads.sum_up(sent.engine.name).prefill_tokens,
             pause_ms=sent.engine.measure_pause(request) * 1000.0,
             now=now,
         )
@@ -217,7 +219,7 @@
         kinds = self.world.fleet.kinds
         profile = self.profiles.find(SERVICE, now=self.world.now)
         delicate = is_delicate_kind(request.kind, profile)
-        lane = find_lane(
+        lane = find_bucket(
             request.prompt_tokens,
             objective_s=request.kind.objective_s,
             shortest_s=min(kind.objective_s for kind in kinds),
@@ -235,15 +237,15 @@
             prompt_parts=request.parts,
             prompt_tokens=request.prompt_tokens,
             failure_domain="a",
-            lane=lane,
-            lane_shares=place.demand.compute_shares(),
+            bucket=lane,
+            bucket_shares=place.demand.compute_shares(),
             output_tokens=request.output_tokens,
-            memory_tokens=self.world.fleet.memory_tokens,
+            kv_capacity_tokens=self.world.fleet.memory_tokens,
             profile=profile,
             objective_s=request.kind.objective_s,
-            delicate=delicate,
+            pause_sensitive=delicate,
             shortest_pause_s=min(kind.longest_pause_s for kind in kinds),
-            loads_late=late,
+            loads_stale=late,
         )
 
 
@@ -303,7 +305,7 @@
         for number in instances:
             self._places[number] = Knowledge.begin(self.world)
         for place in self._places:
-            place.loads.keep_peers(left)
+            place.loads.retain_peers(left)
 
     def note_change(self, sent: Sent) -> None:
         """Tell all others soon where there are few."""
@@ -323,7 +325,7 @@
             for other in self._places:
                 if other is not place and not self.world.loses():
                     other.loads.update_peer(str(number), dict(told))
-                    other.cache.take_peer(str(number), 1, sends)
+                    other.cache.apply_peer_sends(str(number), 1, sends)
 
         self.world.call_at(self.world.now + delay_s, hear)
 
@@ -332,7 +334,7 @@
         for number, demand in enumerate(told):
             for other_number, other in enumerate(self._places):
                 if other_number != number:
-                    other.demand.take_peer(str(number), demand)
+                    other.demand.replace_peer(str(number), demand)
 
     def _beat(self, number: int) -> None:
         now = self.world.now
@@ -360,9 +362,9 @@
     ) -> None:
         for place in self._places[domain :: self.world.fleet.domains]:
             if place is not self._places[number] and not self.world.loses():
-                place.loads.take_peer(str(number), dict(loads))
-                place.cache.take_peer(str(number), 1, sends)
-                place.demand.take_peer(str(number), demand)
+                place.loads.replace_peer(str(number), dict(loads))
+                place.cache.apply_peer_sends(str(number), 1, sends)
+                place.demand.replace_peer(str(number), demand)
 
 
 class SubsetNotices(OwnChoice):
@@ -468,7 +470,7 @@
         for at in range(0, len(self._groups), 3):
             self._silent_until[at] = self.world.now + 0.6
 
-    def _ask_next(self, request: Request, order: list[int], later: ComeBack | None) -> None:
+    def _ask_next(self, request: Request, order: list[int], later: Rejection | None) -> None:
         if not order:
             assert later is not None
             self.send_back(request, later)
@@ -484,7 +486,7 @@
         when = self.world.now + HOP_S
         self.world.call_at(when, lambda: self._decide(request, order, later))
 
-    def _decide(self, request: Request, order: list[int], later: ComeBack | None) -> None:
+    def _decide(self, request: Request, order: list[int], later: Rejection | None) -> None:
         at = order[0]
         place = self._placers[at]
         choice, refusal = self.choose(request, place, self._groups[at], late=False)
--- a/bench/pretended_fleet.py
+++ b/bench/pretended_fleet.py
@@ -18,9 +18,9 @@
 from guavamast.relay.heartbeat_exchange import HeartbeatExchange
 from guavamast.relay.heartbeat_messages import Heartbeat, InstanceState, encode_heartbeat
 from guavamast.relay.heartbeat_topology import AGGREGATORS_PER_DOMAIN, HeartbeatTopology
+from guavamast.relay.length_buckets import Demand
 from guavamast.relay.peers import FULL_MESH_INSTANCES, Peers, compute_heartbeat_interval
 from guavamast.relay.prompt_cache import PromptSend
-from guavamast.relay.prompt_lanes import Demand
 from guavamast.relay.store import InstanceRecord
 
 if TYPE_CHECKING:
@@ -132,8 +132,7 @@
             ),
             endpoints=FreshnessStamp(version=self._compute_digest(), store_time=reading),
             loads={
-                name: Load(requests=2, prefill_tokens=9_500, memory_tokens=14_000)
-                for name in engines
+                name: Load(requests=2, prefill_tokens=9_500, kv_tokens=14_000) for name in engines
             },
             demand=Demand(work_ms=(120.5, 310.2, 840.9)),
             profiles={"pool": _ESTIMATES},
--- a/bench/relay_policies.py
+++ b/bench/relay_policies.py
@@ -7,16 +7,16 @@
 from typing import TYPE_CHECKING, Final
 
 from bench.relay_world import INSTANCES, LENGTH_S
-from guavamast.relay.admission import WaitTerms, admit
+from guavamast.relay.admission import WaitParameters, admit
 from guavamast.relay.catalog import Route, RouteKind, WeightedService
-from guavamast.relay.disturbance import is_delicate
 from guavamast.relay.endpoint_choice import EndpointChooser
 from guavamast.relay.endpoint_load import EndpointLoads, Load
 from guavamast.relay.endpoint_table import EndpointRecord
 from guavamast.relay.engine_profile import PRIOR, EngineProfile, EngineProfiles
+from guavamast.relay.length_buckets import PromptDemand, find_bucket, is_latency_tolerant
 from guavamast.relay.placement import Placement
+from guavamast.relay.prefill_interference import is_pause_sensitive
 from guavamast.relay.prompt_cache import PromptCache
-from guavamast.relay.prompt_lanes import PromptDemand, find_lane, is_patient
 from guavamast.rendezvous import compute_weight
 
 if TYPE_CHECKING:
@@ -150,7 +150,9 @@
         records = [make_record(engine) for engine in alive.values()]
         choice = one.chooser.choose(placement, records, exclude=frozenset(), now=now)
         assert choice is not None and choice.forecast is not None
-        terms = WaitTerms(objective_s=request.kind.objective_s, patient=self._is_patient(request))
+        terms = WaitParameters(
+            objective_s=request.kind.objective_s, latency_tolerant=self._is_patient(request)
+        )
         refusal = admit(choice.forecast, terms, random=self.world.random)
         if refusal is not None:
             return refusal.retry_after_s
@@ -161,14 +163,14 @@
         one = self._instances[request.instance]
         now = self.world.now
         unread = request.prompt_tokens - one.cache.count_cached(
-            engine.name, request.parts[:-1], memory_tokens=engine.memory_tokens
+            engine.name, request.parts[:-1], kv_capacity_tokens=engine.memory_tokens
         )
         one.cache.record(engine.name, request.parts[-2].part_id, unread, now=now)
         work = one.loads.begin(
             engine.name,
             prefill_tokens=unread,
-            memory_tokens=request.prompt_tokens + request.output_tokens,
-            delicate=is_delicate_kind(request.kind, one.profiles.find(SERVICE, now=now)),
+            kv_tokens=request.prompt_tokens + request.output_tokens,
+            pause_sensitive=is_delicate_kind(request.kind, one.profiles.find(SERVICE, now=now)),
         )
         known = one.loads.sum_up(engine.name).prefill_tokens
         self._tell(one, engine)
@@ -185,7 +187,7 @@
     ) -> None:
         work.finish_prefill()
         one.profiles.record_first_event(
-            SERVICE, unread_tokens=known, took_ms=took_ms, now=self.world.now
+            SERVICE, uncached_tokens=known, took_ms=took_ms, now=self.world.now
         )
         self._tell(one, engine)
 
@@ -200,7 +202,7 @@
         )
         one.profiles.record_pause(
             SERVICE,
-            unread_tokens=one.loads.sum_up(engine.name).prefill_tokens,
+            uncached_tokens=one.loads.sum_up(engine.name).prefill_tokens,
             pause_ms=engine.measure_pause(request) * 1000.0,
             now=self.world.now,
         )
@@ -209,7 +211,7 @@
     def _describe(self, request: Request, one: _Instance, profile: EngineProfile) -> Placement:
         kinds = self.world.shape.kinds
         delicate = is_delicate_kind(request.kind, profile)
-        lane = find_lane(
+        lane = find_bucket(
             request.prompt_tokens,
             objective_s=request.kind.objective_s,
             shortest_s=min(kind.objective_s for kind in kinds),
@@ -227,19 +229,19 @@
             prompt_parts=request.parts,
             prompt_tokens=request.prompt_tokens,
             failure_domain="a",
-            lane=lane,
-            lane_shares=one.demand.compute_shares(),
+            bucket=lane,
+            bucket_shares=one.demand.compute_shares(),
             output_tokens=request.output_tokens,
-            memory_tokens=next(iter(self.world.engines.values())).memory_tokens,
+            kv_capacity_tokens=next(iter(self.world.engines.values())).memory_tokens,
             profile=profile,
             objective_s=request.kind.objective_s,
-            delicate=delicate,
+            pause_sensitive=delicate,
             shortest_pause_s=min(kind.longest_pause_s for kind in kinds),
         )
 
     def _is_patient(self, request: Request) -> bool:
         shortest_s = min(kind.objective_s for kind in self.world.shape.kinds)
-        return is_patient(request.kind.objective_s, shortest_s=shortest_s)
+        return is_latency_tolerant(request.kind.objective_s, shortest_s=shortest_s)
 
     def _tell(self, one: _Instance, engine: ReadingEngine) -> None:
         load = one.loads.list_own().get(engine.name, Load())
@@ -249,7 +251,7 @@
         def hear() -> None:
             for other in self._list_heard_by(one):
                 other.loads.update_peer(one.name, told)
-                other.cache.take_peer(one.name, 1, sends)
+                other.cache.apply_peer_sends(one.name, 1, sends)
 
         self.world.call_at(self.world.now + TOLD_S, hear)
 
@@ -257,8 +259,8 @@
         now = self.world.now
         for one in self._instances:
             for other in self._list_heard_by(one):
-                other.profiles.take_peer(one.name, one.profiles.list_own(now=now))
-                other.demand.take_peer(one.name, one.demand.read_own(now=now))
+                other.profiles.replace_peer(one.name, one.profiles.list_own(now=now))
+                other.demand.replace_peer(one.name, one.demand.read_own(now=now))
 
     def _list_heard_by(self, one: _Instance) -> list[_Instance]:
         if one.cut_off:
@@ -303,7 +305,7 @@
         needs_key=False,
         resumable=False,
     )
-    return is_delicate(route, profile)
+    return is_pause_sensitive(route, profile)
 
 
 POLICIES: Final[dict[str, type[Policy]]] = {
--- a/src/guavamast/relay/admission.py
+++ b/src/guavamast/relay/admission.py
@@ -8,7 +8,7 @@
 if TYPE_CHECKING:
     from random import Random
 
-    from guavamast.relay.engine_model import Forecast
+    from guavamast.relay.engine_forecast import Forecast
 
 URGENT_WAITING_SHARE: Final = 0.75
 """Share of the objective for which a request that isn't latency-tolerant may wait. What is queued
@@ -37,29 +37,29 @@
 
 
 @dataclass(frozen=True, slots=True, kw_only=True)
-class ComeBack:
+class Rejection:
     """The rejection of a request, with the delay before its retry."""
 
     retry_after_s: float
 
 
 @dataclass(frozen=True, slots=True, kw_only=True)
-class WaitTerms:
+class WaitParameters:
     """The properties of a request that determine how long it may wait."""
 
     objective_s: float
     """Promised time to the first event."""
-    patient: bool = False
+    latency_tolerant: bool = False
     """Whether the request is latency-tolerant: its objective far exceeds its service's shortest."""
-    first: bool = False
+    most_urgent: bool = False
     """Whether no stream of its service is more urgent."""
-    old_news: bool = False
+    loads_stale: bool = False
     """Whether forecasts use stale loads, from late updates."""
-    fresh: bool = False
+    first_attempt: bool = False
     """Whether the request is known not to be a retry."""
 
 
-def compute_allowed_wait(forecast: Forecast, terms: WaitTerms) -> float:
+def compute_allowed_wait(forecast: Forecast, terms: WaitParameters) -> float:
     """Return the milliseconds that a request may wait.
 
     Failure: under overload the queue grows up to the allowed wait, and half of the requests
@@ -71,17 +71,19 @@
         terms: Its objective and what the forecast is based on.
     """
     objective_ms = terms.objective_s * 1000.0
-    share = LATENCY_TOLERANT_WAITING_SHARE if terms.patient else URGENT_WAITING_SHARE
-    if terms.old_news:
-        return share * objective_ms * (MOST_URGENT_FACTOR if terms.first else STALE_LOADS_FACTOR)
+    share = LATENCY_TOLERANT_WAITING_SHARE if terms.latency_tolerant else URGENT_WAITING_SHARE
+    if terms.loads_stale:
+        return (
+            share * objective_ms * (MOST_URGENT_FACTOR if terms.most_urgent else STALE_LOADS_FACTOR)
+        )
     allowed_ms = share * objective_ms
-    in_time_ms = IN_TIME_SHARE * objective_ms - forecast.start_ms - forecast.reading_ms
+    in_time_ms = IN_TIME_SHARE * objective_ms - forecast.start_ms - forecast.prefill_ms
     if in_time_ms > 0.0:
         allowed_ms = min(allowed_ms, in_time_ms)
-    return allowed_ms * FIRST_ATTEMPT_SHARE if terms.fresh else allowed_ms
+    return allowed_ms * FIRST_ATTEMPT_SHARE if terms.first_attempt else allowed_ms
 
 
-def admit(forecast: Forecast, terms: WaitTerms, *, random: Random) -> ComeBack | None:
+def admit(forecast: Forecast, terms: WaitParameters, *, random: Random) -> Rejection | None:
     """Reject a request that would wait too long even at the best engine.
 
     Failure: under overload every request is queued, and after some seconds every answer is late,
@@ -101,7 +103,7 @@
     return admit_within(allowed_ms, forecast, random=random)
 
 
-def admit_within(allowed_ms: float, forecast: Forecast, *, random: Random) -> ComeBack | None:
+def admit_within(allowed_ms: float, forecast: Forecast, *, random: Random) -> Rejection | None:
     """Reject a request that would wait longer than is allowed.
 
     Args:
@@ -116,4 +118,4 @@
         return None
     excess_s = (forecast.waiting_ms - allowed_ms) / 1000.0
     retry_after_s = min(MAX_RETRY_S, MIN_RETRY_S + excess_s)
-    return ComeBack(retry_after_s=retry_after_s * (1.0 + RETRY_JITTER * random.random()))
+    return Rejection(retry_after_s=retry_after_s * (1.0 + RETRY_JITTER * random.random()))
--- a/src/guavamast/relay/admission_control.py
+++ b/src/guavamast/relay/admission_control.py
@@ -10,9 +10,9 @@
     from collections.abc import Callable
     from random import Random
 
-    from guavamast.relay.admission import ComeBack, WaitTerms
-    from guavamast.relay.engine_model import Forecast
-    from guavamast.relay.refusal_history import RefusalHistory, RejectionPressure
+    from guavamast.relay.admission import Rejection, WaitParameters
+    from guavamast.relay.engine_forecast import Forecast
+    from guavamast.relay.rejection_history import RejectionHistory, RejectionPressure
 
 LESS_URGENT_CREDIT_SHARE: Final = 1 / 4
 """Share of the prefill time of admitted requests that is credited to less urgent ones that yield
@@ -31,15 +31,15 @@
 
     __slots__ = ("_credits_ms", "_history", "_random")
 
-    def __init__(self, *, history: RefusalHistory, random: Random) -> None:
+    def __init__(self, *, history: RejectionHistory, random: Random) -> None:
         self._history = history
         self._random = random
         self._credits_ms: dict[tuple[str, int], float] = {}
         """Prefill time that requests which yield may still use, by service and urgency."""
 
     def admit(
-        self, forecast: Forecast, terms: WaitTerms, *, service: str, urgency: int, now: float
-    ) -> ComeBack | None:
+        self, forecast: Forecast, terms: WaitParameters, *, service: str, urgency: int, now: float
+    ) -> Rejection | None:
         """Reject a request that would wait too long or take capacity that more urgent ones need.
 
         Args:
@@ -56,20 +56,20 @@
         pressures = self._history.list_pressures(service, urgency, now=now)
         allowed_ms = reduce_wait_for_urgent(own_ms, forecast, pressures)
         yields = allowed_ms < forecast.waiting_ms <= own_ms
-        if yields and self._spend_credit(service, urgency, forecast.reading_ms):
+        if yields and self._spend_credit(service, urgency, forecast.prefill_ms):
             allowed_ms = own_ms
         rejection = admit_within(allowed_ms, forecast, random=self._random)
         if rejection is None:
-            self._add_credit(service, urgency, forecast.reading_ms)
+            self._add_credit(service, urgency, forecast.prefill_ms)
         # Less urgent requests don't yield to one that would be late even at an idle engine.
         if _may_be_in_time(forecast, terms):
             self._history.record(
-                service, urgency, sent_back=rejection is not None, wait_ms=own_ms, now=now
+                service, urgency, rejected=rejection is not None, wait_ms=own_ms, now=now
             )
         return rejection
 
-    def find_filter(
-        self, terms: WaitTerms, *, service: str, urgency: int, now: float
+    def create_room_filter(
+        self, terms: WaitParameters, *, service: str, urgency: int, now: float
     ) -> Callable[[Forecast], bool] | None:
         """Return a predicate for engines that would admit a request; None if any engine may do.
 
@@ -83,7 +83,7 @@
             urgency: Its urgency; 0 is the most urgent.
             now: The present time.
         """
-        if not terms.first or not self._history.exceeds_tolerance(service, urgency, now=now):
+        if not terms.most_urgent or not self._history.exceeds_tolerance(service, urgency, now=now):
             return None
         return lambda forecast: forecast.waiting_ms <= compute_allowed_wait(forecast, terms)
 
@@ -104,9 +104,9 @@
                 self._credits_ms[key] = min(MAX_CREDIT_MS, raised_ms)
 
 
-def _may_be_in_time(forecast: Forecast, terms: WaitTerms) -> bool:
+def _may_be_in_time(forecast: Forecast, terms: WaitParameters) -> bool:
     """Return whether a request would be in time at an idle engine."""
-    return forecast.start_ms + forecast.reading_ms <= terms.objective_s * 1000.0
+    return forecast.start_ms + forecast.prefill_ms <= terms.objective_s * 1000.0
 
 
 def reduce_wait_for_urgent(
@@ -126,7 +126,7 @@
     """
     reduced_ms = allowed_ms
     for pressure in pressures:
-        room_ms = max(0.0, pressure.wait_ms - forecast.reading_ms)
+        room_ms = max(0.0, pressure.wait_ms - forecast.prefill_ms)
         if room_ms < allowed_ms:
             reduced_ms = min(reduced_ms, allowed_ms + pressure.weight * (room_ms - allowed_ms))
     return reduced_ms
--- a/src/guavamast/relay/choice_costs.py
+++ b/src/guavamast/relay/choice_costs.py
@@ -7,13 +7,13 @@
 
 from typing import TYPE_CHECKING, Final
 
-from guavamast.relay.disturbance import estimate_delayed_share
-from guavamast.relay.engine_model import estimate_late_share
+from guavamast.relay.engine_forecast import estimate_late_share
+from guavamast.relay.prefill_interference import estimate_delayed_share
 
 if TYPE_CHECKING:
     from guavamast.relay.endpoint_load import Load
     from guavamast.relay.endpoint_table import EndpointRecord
-    from guavamast.relay.engine_model import Forecast
+    from guavamast.relay.engine_forecast import Forecast
     from guavamast.relay.placement import Placement
 
 RECOMPUTE_WEIGHT: Final = 4.5
@@ -84,8 +84,8 @@
     A long prompt delays the short ones that run or arrive at the engine, the more the busier it is.
     At an idle engine, a long prompt costs less than in a queue.
     """
-    if bucket >= placement.lane:
-        return LONGER_BUCKET_COST_MS * (bucket - placement.lane)
+    if bucket >= placement.bucket:
+        return LONGER_BUCKET_COST_MS * (bucket - placement.bucket)
     delayed = DELAYED_ARRIVALS + DELAYED_RUNNING_SHARE * load.requests
     return delayed * placement.profile.compute_prefill_ms(placement.prompt_tokens)
 
@@ -100,15 +100,15 @@
     """
     compute_prefill_ms = placement.profile.compute_prefill_ms
     pause_s = placement.shortest_pause_s
-    if placement.delicate:
-        if bucket > placement.lane:
+    if placement.pause_sensitive:
+        if bucket > placement.bucket:
             return LATE_COST_MS
         prefill_ms = compute_prefill_ms(load.prefill_tokens)
         return LATE_COST_MS * estimate_delayed_share(prefill_ms, pause_s=pause_s)
-    if load.delicate == 0:
+    if load.pause_sensitive == 0:
         return 0.0
     late_share = estimate_delayed_share(compute_prefill_ms(uncached_tokens), pause_s=pause_s)
-    return LATE_COST_MS * load.delicate * late_share
+    return LATE_COST_MS * load.pause_sensitive * late_share
 
 
 def compute_affinity_discount(placement: Placement, uncached_tokens: int) -> float:
@@ -119,7 +119,7 @@
     affinity endpoint has probably received the part already, so the discount for tokens not known
     to be there is weighted by that probability.
     """
-    if not placement.loads_late:
+    if not placement.loads_stale:
         return AFFINITY_DISCOUNT_MS
     cached_tokens = placement.prompt_tokens - uncached_tokens
     missing_tokens = max(0, placement.shared_tokens - cached_tokens)
--- a/src/guavamast/relay/endpoint_choice.py
+++ b/src/guavamast/relay/endpoint_choice.py
@@ -16,9 +16,9 @@
     compute_plain_load_cost,
 )
 from guavamast.relay.endpoint_load import Load
-from guavamast.relay.engine_model import Forecast, forecast
-from guavamast.relay.late_loads import blend_loads
-from guavamast.relay.prompt_lanes import assign_buckets
+from guavamast.relay.engine_forecast import Forecast, forecast
+from guavamast.relay.length_buckets import assign_buckets
+from guavamast.relay.stale_loads import blend_loads
 from guavamast.rendezvous import compute_weight
 
 if TYPE_CHECKING:
@@ -48,9 +48,9 @@
     record: EndpointRecord
     forecast: Forecast | None
     """None for plain services."""
-    unread_tokens: int
+    uncached_tokens: int
     """Tokens of its prompt that the endpoint has to prefill."""
-    own_lane: bool = True
+    own_bucket: bool = True
     """Whether the endpoint belongs to the prompt's length bucket."""
     load: Load = field(default_factory=Load)
     """Work at the endpoint before this request, as known when it was chosen."""
@@ -73,8 +73,8 @@
         return Choice(
             record=self.record,
             forecast=self.expected,
-            unread_tokens=self.uncached_tokens,
-            own_lane=self.bucket is None or self.bucket == placement.lane,
+            uncached_tokens=self.uncached_tokens,
+            own_bucket=self.bucket is None or self.bucket == placement.bucket,
             load=self.load,
         )
 
@@ -119,13 +119,13 @@
         """
         buckets: dict[str, int] = {}
         if placement.prompt_tokens > 0:
-            buckets = assign_buckets(candidates, placement.lane_shares)
+            buckets = assign_buckets(candidates, placement.bucket_shares)
         others = [record for record in candidates if record.endpoint_id not in exclude]
         affinity_endpoint = _find_affinity_endpoint(placement, others, buckets)
         compared = others
-        if placement.loads_late:
+        if placement.loads_stale:
             compared = self._sample(placement, others, buckets, affinity_endpoint)
-        if placement.loads_late and buckets:
+        if placement.loads_stale and buckets:
             # The mean load of a bucket covers all its engines, not only those compared.
             loads = blend_loads(self._sum_loads(others), buckets)
         else:
@@ -195,10 +195,10 @@
             return records
         # Plain endpoints have no buckets; all of them count as the prompt's own.
         bucket_by_id = {
-            one.endpoint_id: buckets.get(one.endpoint_id, placement.lane) for one in records
+            one.endpoint_id: buckets.get(one.endpoint_id, placement.bucket) for one in records
         }
-        own_bucket = [one for one in records if bucket_by_id[one.endpoint_id] == placement.lane]
-        others = [one for one in records if bucket_by_id[one.endpoint_id] != placement.lane]
+        own_bucket = [one for one in records if bucket_by_id[one.endpoint_id] == placement.bucket]
+        others = [one for one in records if bucket_by_id[one.endpoint_id] != placement.bucket]
         sampled = {
             one.endpoint_id
             for pool, most in ((own_bucket, SAMPLED_ENGINES), (others, SAMPLED_OTHERS))
@@ -214,7 +214,9 @@
 
     def _count_cached(self, placement: Placement, record: EndpointRecord) -> int:
         return self._cache.count_cached(
-            record.endpoint_id, placement.shared_parts, memory_tokens=placement.memory_tokens
+            record.endpoint_id,
+            placement.shared_parts,
+            kv_capacity_tokens=placement.kv_capacity_tokens,
         )
 
 
@@ -230,8 +232,8 @@
         uncached_tokens=uncached_tokens,
         kv_tokens=placement.prompt_tokens + placement.output_tokens,
         slots=record.slots,
-        kv_capacity_tokens=placement.memory_tokens,
-        kv_limit=placement.memory_limit,
+        kv_capacity_tokens=placement.kv_capacity_tokens,
+        kv_limit=placement.kv_limit,
     )
 
 
@@ -243,7 +245,7 @@
         return None
     key = placement.shared_parts[-1].part_id
     own_bucket = [
-        record for record in candidates if buckets.get(record.endpoint_id) == placement.lane
+        record for record in candidates if buckets.get(record.endpoint_id) == placement.bucket
     ]
     best = max(own_bucket or candidates, key=lambda record: compute_weight(key, record.endpoint_id))
     return best.endpoint_id
--- a/src/guavamast/relay/endpoint_load.py
+++ b/src/guavamast/relay/endpoint_load.py
@@ -23,24 +23,24 @@
     requests: int = 0
     prefill_tokens: int = 0
     """Prompt tokens that are to be prefilled before the first events of their requests."""
-    memory_tokens: int = 0
+    kv_tokens: int = 0
     """Tokens that the requests take in the KV cache at their ends."""
-    delicate: int = 0
+    pause_sensitive: int = 0
     """Pause-sensitive requests: concurrent prefills would make their pauses too long."""
 
     def add(self, other: Load) -> None:
         """Add other work."""
         self.requests += other.requests
         self.prefill_tokens += other.prefill_tokens
-        self.memory_tokens += other.memory_tokens
-        self.delicate += other.delicate
+        self.kv_tokens += other.kv_tokens
+        self.pause_sensitive += other.pause_sensitive
 
     def subtract(self, other: Load) -> None:
         """Subtract work that was added before."""
         self.requests -= other.requests
         self.prefill_tokens -= other.prefill_tokens
-        self.memory_tokens -= other.memory_tokens
-        self.delicate -= other.delicate
+        self.kv_tokens -= other.kv_tokens
+        self.pause_sensitive -= other.pause_sensitive
 
 
 _NO_LOAD: Final = Load()
@@ -68,8 +68,8 @@
         self._ended = False
         load.requests += 1
         load.prefill_tokens += prefill_tokens
-        load.memory_tokens += kv_tokens
-        load.delicate += pause_sensitive
+        load.kv_tokens += kv_tokens
+        load.pause_sensitive += pause_sensitive
 
     def finish_prefill(self) -> bool:
         """Count the prompt as prefilled; return whether prefill tokens were still counted."""
@@ -84,8 +84,8 @@
             return
         self._ended = True
         self.finish_prefill()
-        self._load.memory_tokens -= self._kv_tokens
-        self._load.delicate -= self._pause_sensitive
+        self._load.kv_tokens -= self._kv_tokens
+        self._load.pause_sensitive -= self._pause_sensitive
         self._load.requests -= 1
 
 
@@ -122,23 +122,23 @@
         endpoint_id: str,
         *,
         prefill_tokens: int,
-        memory_tokens: int,
-        delicate: bool = False,
+        kv_tokens: int,
+        pause_sensitive: bool = False,
     ) -> Work:
         """Add a request that is being sent; the work returned removes it again.
 
         Args:
             endpoint_id: Its endpoint.
             prefill_tokens: Prompt tokens that are to be prefilled.
-            memory_tokens: Tokens that it takes in the KV cache at its end.
-            delicate: Whether it is pause-sensitive: concurrent prefills would make it late.
+            kv_tokens: Tokens that it takes in the KV cache at its end.
+            pause_sensitive: Whether it is pause-sensitive: concurrent prefills would make it late.
         """
         load = self._own.setdefault(endpoint_id, Load())
         return Work(
             load=load,
             prefill_tokens=prefill_tokens,
-            kv_tokens=memory_tokens,
-            pause_sensitive=delicate,
+            kv_tokens=kv_tokens,
+            pause_sensitive=pause_sensitive,
         )
 
     def list_own(self) -> dict[str, Load]:
@@ -146,7 +146,7 @@
         self._own = {key: load for key, load in self._own.items() if load.requests}
         return self._own
 
-    def take_peer(self, instance: str, loads: dict[str, Load]) -> None:
+    def replace_peer(self, instance: str, loads: dict[str, Load]) -> None:
         """Replace all loads of another instance."""
         self._drop_peer(instance)
         self._peers[instance] = dict(loads)
@@ -163,7 +163,7 @@
             known[endpoint_id] = load
             self._add_peer_load(endpoint_id, load)
 
-    def keep_peers(self, instances: set[str]) -> None:
+    def retain_peers(self, instances: set[str]) -> None:
         """Drop the loads of instances that are gone."""
         for instance in list(self._peers):
             if instance not in instances:
@@ -212,15 +212,15 @@
         failures = self._failures.get(endpoint_id)
         return failures.compute_decayed(now) if failures else 0.0
 
-    def list_failing(self, *, least: float, now: float) -> list[str]:
+    def list_failing(self, *, min_failures: float, now: float) -> list[str]:
         """Return the endpoints whose failure count is at least ``least``."""
         return [
             endpoint_id
             for endpoint_id, failures in self._failures.items()
-            if failures.compute_decayed(now) >= least
+            if failures.compute_decayed(now) >= min_failures
         ]
 
-    def keep_only(self, endpoint_ids: set[str]) -> None:
+    def retain(self, endpoint_ids: set[str]) -> None:
         """Drop the failure counts of endpoints that are gone."""
         for endpoint_id in list(self._failures):
             if endpoint_id not in endpoint_ids:
--- a/src/guavamast/relay/engine_model.py
+++ b/src/guavamast/relay/engine_forecast.py
@@ -23,10 +23,10 @@
 STALE_LOADS_KV_SHARE: Final = 0.75
 """Share of the KV cache that running requests may take where load updates are late; the rest is for
 requests of other instances that aren't reported yet."""
-PATIENT_MEMORY_SHARE: Final = 0.88
+LESS_URGENT_KV_SHARE: Final = 0.88
 """Share of the KV cache that a scheduler grants to all but the most urgent requests; the rest is
 for these, so that no engine has to preempt one of them."""
-FIRST_MEMORY_SHARE: Final = 0.97
+MOST_URGENT_KV_SHARE: Final = 0.97
 """Share of the KV cache that a scheduler grants in total."""
 KV_WAIT_MS: Final = 1_000.0
 """Milliseconds of wait for a request without room in the KV cache: a running one has to end."""
@@ -41,7 +41,7 @@
 
 
 @dataclass(frozen=True, slots=True, kw_only=True)
-class MemoryLimit:
+class KvLimit:
     """How much of an engine's KV cache running requests may take, and the wait beyond that."""
 
     share: float
@@ -49,13 +49,13 @@
     """Milliseconds until there is room for one more request."""
 
 
-RECENT_LIMIT: Final = MemoryLimit(share=KV_SHARE, wait_ms=KV_WAIT_MS)
+FRESH_LOADS_LIMIT: Final = KvLimit(share=KV_SHARE, wait_ms=KV_WAIT_MS)
 """Limit where load updates of other instances arrive soon."""
-LATE_LIMIT: Final = MemoryLimit(share=STALE_LOADS_KV_SHARE, wait_ms=KV_FULL_WAIT_MS)
+STALE_LOADS_LIMIT: Final = KvLimit(share=STALE_LOADS_KV_SHARE, wait_ms=KV_FULL_WAIT_MS)
 """Limit where load updates of other instances are late."""
-PATIENT_LIMIT: Final = MemoryLimit(share=PATIENT_MEMORY_SHARE, wait_ms=KV_FULL_WAIT_MS)
+LESS_URGENT_LIMIT: Final = KvLimit(share=LESS_URGENT_KV_SHARE, wait_ms=KV_FULL_WAIT_MS)
 """Limit of a scheduler, which knows all work, for all but the most urgent requests."""
-FIRST_LIMIT: Final = MemoryLimit(share=FIRST_MEMORY_SHARE, wait_ms=KV_FULL_WAIT_MS)
+MOST_URGENT_LIMIT: Final = KvLimit(share=MOST_URGENT_KV_SHARE, wait_ms=KV_FULL_WAIT_MS)
 """Limit of a scheduler, which knows all work, for the most urgent requests."""
 
 
@@ -67,13 +67,13 @@
     """Time to the first event of an idle engine without prefill."""
     waiting_ms: float
     """Wait for the work that is already at the engine."""
-    reading_ms: float
+    prefill_ms: float
     """Prefill time of its own prompt."""
 
     @property
     def first_event_ms(self) -> float:
         """Time to the first event."""
-        return self.start_ms + self.waiting_ms + self.reading_ms
+        return self.start_ms + self.waiting_ms + self.prefill_ms
 
 
 def estimate_late_share(first_event_ms: float, *, due_ms: float) -> float:
@@ -90,7 +90,7 @@
     kv_tokens: int,
     slots: int,
     kv_capacity_tokens: int,
-    kv_limit: MemoryLimit = RECENT_LIMIT,
+    kv_limit: KvLimit = FRESH_LOADS_LIMIT,
 ) -> Forecast:
     """Return the forecast of a request at an engine.
 
@@ -106,10 +106,10 @@
     waiting_ms = profile.compute_prefill_ms(load.prefill_tokens)
     slot_wait_ms = SLOT_WAIT_RUNS * profile.run_ms / max(1, slots)
     waiting_ms += slot_wait_ms * max(0, load.requests + 1 - slots)
-    if kv_capacity_tokens and load.memory_tokens + kv_tokens > kv_limit.share * kv_capacity_tokens:
+    if kv_capacity_tokens and load.kv_tokens + kv_tokens > kv_limit.share * kv_capacity_tokens:
         waiting_ms += kv_limit.wait_ms
     return Forecast(
         start_ms=profile.first_event_ms,
         waiting_ms=waiting_ms,
-        reading_ms=profile.compute_prefill_ms(uncached_tokens),
+        prefill_ms=profile.compute_prefill_ms(uncached_tokens),
     )
--- a/src/guavamast/relay/engine_profile.py
+++ b/src/guavamast/relay/engine_profile.py
@@ -154,25 +154,25 @@
         return cached.profile
 
     def record_first_event(
-        self, service: str, *, unread_tokens: int, took_ms: float, now: float
+        self, service: str, *, uncached_tokens: int, took_ms: float, now: float
     ) -> None:
         """Sample the time from a send to its first event.
 
         Args:
             service: The engine's service.
-            unread_tokens: Uncached prompt tokens that the engine had to prefill at the send,
+            uncached_tokens: Uncached prompt tokens that the engine had to prefill at the send,
                 including those of the request, as far as known.
             took_ms: Time from the send to the first event.
             now: The present time.
         """
         profile = self.find(service, now=now)
         samples = self._get_samples(service)
-        prefill_ms = profile.compute_prefill_ms(unread_tokens)
+        prefill_ms = profile.compute_prefill_ms(uncached_tokens)
         if prefill_ms < NEGLIGIBLE_PREFILL_MS:
             samples.first_event_ms.add(took_ms - prefill_ms, now=now)
         elif took_ms > SIGNIFICANT_PREFILL_FACTOR * profile.first_event_ms:
             rest_ms = took_ms - profile.first_event_ms
-            samples.read_tokens_per_ms.add(unread_tokens / rest_ms, now=now)
+            samples.read_tokens_per_ms.add(uncached_tokens / rest_ms, now=now)
 
     def record_run(self, service: str, *, output_tokens: int, run_ms: float, now: float) -> None:
         """Sample the time from a stream's first event to its end.
@@ -189,18 +189,18 @@
             samples.token_ms.add(run_ms / output_tokens, now=now)
 
     def record_pause(
-        self, service: str, *, unread_tokens: int, pause_ms: float, now: float
+        self, service: str, *, uncached_tokens: int, pause_ms: float, now: float
     ) -> None:
         """Sample a stream's longest pause if prefill can have caused it.
 
         Args:
             service: The engine's service.
-            unread_tokens: Uncached prompt tokens that the engine had to prefill then, as far as
+            uncached_tokens: Uncached prompt tokens that the engine had to prefill then, as far as
                 known.
             pause_ms: The longest pause.
             now: The present time.
         """
-        prefill_ms = self.find(service, now=now).compute_prefill_ms(unread_tokens)
+        prefill_ms = self.find(service, now=now).compute_prefill_ms(uncached_tokens)
         if prefill_ms >= MIN_PREFILL_PAUSE_SHARE * pause_ms:
             self._get_samples(service).reading_pause_ms.add(pause_ms, now=now)
 
@@ -221,11 +221,11 @@
             for service in services
         }
 
-    def take_peer(self, instance: str, estimates: dict[str, ProfileEstimates]) -> None:
+    def replace_peer(self, instance: str, estimates: dict[str, ProfileEstimates]) -> None:
         """Replace the estimates of another instance."""
         self._peers[instance] = estimates
 
-    def keep_peers(self, instances: set[str]) -> None:
+    def retain_peers(self, instances: set[str]) -> None:
         """Drop the estimates of instances that are gone."""
         self._peers = {key: value for key, value in self._peers.items() if key in instances}
 
--- a/src/guavamast/relay/exchange.py
+++ b/src/guavamast/relay/exchange.py
@@ -170,14 +170,14 @@
         endpoint_id = choice.record.endpoint_id
         if request.shared_part is not None:
             now = self._read_time()
-            self._cache.record(endpoint_id, request.shared_part, choice.unread_tokens, now=now)
+            self._cache.record(endpoint_id, request.shared_part, choice.uncached_tokens, now=now)
         work = self._loads.begin(
             endpoint_id,
-            prefill_tokens=choice.unread_tokens,
-            memory_tokens=request.prompt_tokens + request.output_tokens,
+            prefill_tokens=choice.uncached_tokens,
+            kv_tokens=request.prompt_tokens + request.output_tokens,
             # Outside its own length bucket, among long prompts, the stream is late anyway, so long
             # prompts need not avoid the engine because of it.
-            delicate=progress.pause_sensitive and choice.own_lane,
+            pause_sensitive=progress.pause_sensitive and choice.own_bucket,
         )
         self._publish_load(endpoint_id, more=True)
         return work
@@ -240,7 +240,7 @@
         if send.placed.scheduler_reply is not None:
             return Load(
                 requests=choice.load.requests + 1,
-                prefill_tokens=choice.load.prefill_tokens + choice.unread_tokens,
+                prefill_tokens=choice.load.prefill_tokens + choice.uncached_tokens,
             )
         return self._loads.sum_up(choice.record.endpoint_id)
 
--- a/src/guavamast/relay/expected_returns.py
+++ b/src/guavamast/relay/expected_retries.py
@@ -13,7 +13,7 @@
 """Requests that are remembered at most; the oldest are dropped first."""
 
 
-class ExpectedReturns:
+class ExpectedRetries:
     """Rejected requests, by which a retry is recognised on whichever instance it arrives.
 
     A caller's retry has another id and mostly reaches another instance, but has the same prompt,
@@ -25,7 +25,7 @@
     def __init__(self) -> None:
         self._rejected_at: dict[str, float] = {}
 
-    def note(self, query: PlacementQuery, *, now: float) -> None:
+    def record_rejection(self, query: PlacementQuery, *, now: float) -> None:
         """Record that a request is rejected."""
         if not query.prompt_parts:
             return
@@ -35,7 +35,7 @@
         if len(self._rejected_at) > MAX_EXPECTED:
             del self._rejected_at[next(iter(self._rejected_at))]
 
-    def recall(self, query: PlacementQuery, *, now: float) -> bool:
+    def is_retry(self, query: PlacementQuery, *, now: float) -> bool:
         """Return whether a request is a retry of a recently rejected one."""
         if not query.prompt_parts:
             return False
--- a/src/guavamast/relay/heartbeat_messages.py
+++ b/src/guavamast/relay/heartbeat_messages.py
@@ -15,9 +15,9 @@
 from guavamast.relay.endpoint_load import Load
 from guavamast.relay.engine_profile import PROFILE_QUANTITIES, Estimate, ProfileEstimates
 from guavamast.relay.freshness import FreshnessStamp
+from guavamast.relay.length_buckets import BUCKETS, Demand
 from guavamast.relay.prompt_cache import PromptSend
-from guavamast.relay.prompt_lanes import LANES, Demand
-from guavamast.relay.refusal_history import RefusalCount
+from guavamast.relay.rejection_history import RejectionCount
 from guavamast.relay.store import InstanceRecord
 
 AGGREGATE_PREFIX: Final = b"z"
@@ -70,7 +70,7 @@
     """Load that the instance places on each endpoint."""
     demand: Demand
     """Work in each length bucket that the instance has recently been asked for."""
-    rejections: list[RefusalCount]
+    rejections: list[RejectionCount]
     """Recent counts of requests and rejections at the instance."""
     profiles: dict[str, ProfileEstimates]
     """Recent estimates by the instance for the engines of each service."""
@@ -302,7 +302,7 @@
 
 def _encode_loads(loads: dict[str, Load]) -> dict[str, list[int]]:
     return {
-        key: [load.requests, load.prefill_tokens, load.memory_tokens, load.delicate]
+        key: [load.requests, load.prefill_tokens, load.kv_tokens, load.pause_sensitive]
         for key, load in loads.items()
     }
 
@@ -312,8 +312,8 @@
         str(key): Load(
             requests=int(entry[0]),
             prefill_tokens=int(entry[1]),
-            memory_tokens=int(entry[2]),
-            delicate=int(entry[3]),
+            kv_tokens=int(entry[2]),
+            pause_sensitive=int(entry[3]),
         )
         for key, entry in value.items()
     }
@@ -336,31 +336,31 @@
 
 
 def _decode_demand(value: list[float]) -> Demand:
-    if len(value) != LANES:
+    if len(value) != BUCKETS:
         raise MalformedBeat("other lanes")
     return Demand(work_ms=tuple(float(work) for work in value))
 
 
-def _encode_rejections(rejections: list[RefusalCount]) -> list[list[str | float]]:
+def _encode_rejections(rejections: list[RejectionCount]) -> list[list[str | float]]:
     return [
         [
             one.service,
             one.urgency,
-            round(one.asked, 2),
-            round(one.sent_back, 2),
+            round(one.requests, 2),
+            round(one.rejected, 2),
             round(one.wait_ms, 1),
         ]
         for one in rejections
     ]
 
 
-def _decode_rejections(value: list[list[Any]]) -> list[RefusalCount]:
+def _decode_rejections(value: list[list[Any]]) -> list[RejectionCount]:
     return [
-        RefusalCount(
+        RejectionCount(
             service=str(service),
             urgency=int(urgency),
-            asked=max(0.0, float(asked)),
-            sent_back=max(0.0, float(sent_back)),
+            requests=max(0.0, float(asked)),
+            rejected=max(0.0, float(sent_back)),
             wait_ms=max(0.0, float(wait_ms)),
         )
         for service, urgency, asked, sent_back, wait_ms in value
--- a/src/guavamast/relay/prompt_lanes.py
+++ b/src/guavamast/relay/length_buckets.py
@@ -21,7 +21,7 @@
 LATENCY_TOLERANT_FACTOR: Final = 3.3
 """Factor on the shortest objective; prompts that are due sooner never belong to the last length
 bucket, where they would wait behind prompts that have more time."""
-LANES: Final = len(BUCKET_PREFILL_SHARES) + 1
+BUCKETS: Final = len(BUCKET_PREFILL_SHARES) + 1
 BUCKET_CAPACITY_FACTORS: Final = (1.5, 1.3, 1.0)
 """Factor on each length bucket's work for its share of engines: shorter prompts are due sooner."""
 DEMAND_HALF_LIFE_S: Final = 4.0
@@ -39,7 +39,7 @@
     work_ms: tuple[float, ...]
 
 
-NO_DEMAND: Final = Demand(work_ms=(0.0,) * LANES)
+NO_DEMAND: Final = Demand(work_ms=(0.0,) * BUCKETS)
 """No demand in any length bucket."""
 
 
@@ -52,13 +52,13 @@
     __slots__ = ("_own", "_peers", "_updated")
 
     def __init__(self) -> None:
-        self._own = [0.0] * LANES
+        self._own = [0.0] * BUCKETS
         self._updated: float | None = None
         self._peers: dict[str, Demand] = {}
 
     def record(
         self,
-        lane: int,
+        bucket: int,
         *,
         prompt_tokens: int,
         output_tokens: int,
@@ -68,18 +68,18 @@
         """Add the work of a request to an engine to its length bucket."""
         self._decay(now)
         work_ms = profile.compute_prefill_ms(prompt_tokens)
-        self._own[lane] += work_ms + TOKEN_TIME_SHARE * profile.token_ms * output_tokens
+        self._own[bucket] += work_ms + TOKEN_TIME_SHARE * profile.token_ms * output_tokens
 
     def read_own(self, *, now: float) -> Demand:
         """Return the demand that this instance has recorded."""
         self._decay(now)
         return Demand(work_ms=tuple(self._own))
 
-    def take_peer(self, instance: str, demand: Demand) -> None:
+    def replace_peer(self, instance: str, demand: Demand) -> None:
         """Replace the demand of another instance."""
         self._peers[instance] = demand
 
-    def keep_peers(self, instances: set[str]) -> None:
+    def retain_peers(self, instances: set[str]) -> None:
         """Drop the demand of instances that are gone."""
         self._peers = {key: value for key, value in self._peers.items() if key in instances}
 
@@ -93,7 +93,7 @@
         ]
         total = sum(weighted)
         if total <= 0.0:
-            return (1.0 / LANES,) * LANES
+            return (1.0 / BUCKETS,) * BUCKETS
         return tuple(weight / total for weight in weighted)
 
     def _decay(self, now: float) -> None:
@@ -103,7 +103,7 @@
         self._updated = now
 
 
-def is_patient(objective_s: float, *, shortest_s: float) -> bool:
+def is_latency_tolerant(objective_s: float, *, shortest_s: float) -> bool:
     """Return whether a request is latency-tolerant: far above its service's shortest objective.
 
     Args:
@@ -113,7 +113,7 @@
     return objective_s >= LATENCY_TOLERANT_FACTOR * shortest_s
 
 
-def find_lane(
+def find_bucket(
     prompt_tokens: int, *, objective_s: float, shortest_s: float, profile: EngineProfile
 ) -> int:
     """Return the length bucket of a prompt, 0 for the shortest prompts.
@@ -127,7 +127,11 @@
     prefill_ms = profile.compute_prefill_ms(prompt_tokens)
     bounds_ms = [share * shortest_s * 1000.0 for share in BUCKET_PREFILL_SHARES]
     bucket = bisect_right(bounds_ms, prefill_ms)
-    return bucket if is_patient(objective_s, shortest_s=shortest_s) else min(bucket, LANES - 2)
+    return (
+        bucket
+        if is_latency_tolerant(objective_s, shortest_s=shortest_s)
+        else min(bucket, BUCKETS - 2)
+    )
 
 
 def assign_buckets(candidates: list[EndpointRecord], shares: tuple[float, ...]) -> dict[str, int]:
@@ -149,7 +153,7 @@
     start = 0
     for bucket, share in enumerate(shares):
         cumulated += share
-        end = len(ids) if bucket == LANES - 1 else min(len(ids), round(len(ids) * cumulated))
+        end = len(ids) if bucket == BUCKETS - 1 else min(len(ids), round(len(ids) * cumulated))
         for endpoint_id in ids[start:end]:
             buckets[endpoint_id] = bucket
         start = max(start, end)
--- a/src/guavamast/relay/node.py
+++ b/src/guavamast/relay/node.py
@@ -29,12 +29,12 @@
     encode_load_update,
 )
 from guavamast.relay.heartbeat_topology import HeartbeatTopology
+from guavamast.relay.length_buckets import NO_DEMAND
 from guavamast.relay.listener import CallerListener, QueryHandler, QueryListener
 from guavamast.relay.load_update_sender import LoadUpdateSender
 from guavamast.relay.loop_delay import LoopDelay
 from guavamast.relay.peer_socket import PeerSocket
 from guavamast.relay.peers import Peers, compute_heartbeat_interval
-from guavamast.relay.prompt_lanes import NO_DEMAND
 from guavamast.relay.relayer_factory import build_relayer
 from guavamast.relay.request_recorder import RequestRecorder
 from guavamast.relay.scheduling import Scheduling
--- a/src/guavamast/relay/placement.py
+++ b/src/guavamast/relay/placement.py
@@ -5,10 +5,10 @@
 from dataclasses import dataclass
 from typing import TYPE_CHECKING
 
-from guavamast.relay.engine_model import RECENT_LIMIT
+from guavamast.relay.engine_forecast import FRESH_LOADS_LIMIT
 
 if TYPE_CHECKING:
-    from guavamast.relay.engine_model import MemoryLimit
+    from guavamast.relay.engine_forecast import KvLimit
     from guavamast.relay.engine_profile import EngineProfile
     from guavamast.relay.messages import PromptPart
 
@@ -21,25 +21,25 @@
     prompt_tokens: int
     failure_domain: str
     """Failure domain of the sending instance."""
-    lane: int
+    bucket: int
     """Length bucket of its prompt."""
-    lane_shares: tuple[float, ...]
+    bucket_shares: tuple[float, ...]
     """Share of the engines for each length bucket."""
     output_tokens: int
     """Token limit of the answer."""
-    memory_tokens: int
+    kv_capacity_tokens: int
     """Tokens that fit into an engine's KV cache; 0 for plain services."""
     profile: EngineProfile
     """Profile of the service's engines; unused for plain services."""
     objective_s: float = float("inf")
     """Time in which the first event is due."""
-    delicate: bool = False
+    pause_sensitive: bool = False
     """Whether it is pause-sensitive: concurrent prefills of long prompts would make it late."""
     shortest_pause_s: float = float("inf")
     """The longest allowed pause of the most pause-sensitive streams of its service."""
-    memory_limit: MemoryLimit = RECENT_LIMIT
+    kv_limit: KvLimit = FRESH_LOADS_LIMIT
     """How much of an engine's KV cache running requests may take."""
-    loads_late: bool = False
+    loads_stale: bool = False
     """Whether load updates are too late for a comparison of all endpoints."""
 
     @property
--- a/src/guavamast/relay/placer.py
+++ b/src/guavamast/relay/placer.py
@@ -6,11 +6,11 @@
 from dataclasses import dataclass
 from typing import TYPE_CHECKING, Final
 
-from guavamast.relay.admission import ComeBack, WaitTerms
+from guavamast.relay.admission import Rejection, WaitParameters
 from guavamast.relay.admission_control import AdmissionControl
 from guavamast.relay.endpoint_choice import Choice
 from guavamast.relay.endpoint_load import Load
-from guavamast.relay.engine_model import LATE_LIMIT, RECENT_LIMIT, Forecast
+from guavamast.relay.engine_forecast import FRESH_LOADS_LIMIT, STALE_LOADS_LIMIT, Forecast
 from guavamast.relay.placement import Placement
 from guavamast.relay.scheduling_messages import PlacedWork, PlacementQuery, Verdict, WorkPhase
 
@@ -23,9 +23,9 @@
     from guavamast.relay.endpoint_load import EndpointLoads
     from guavamast.relay.engine_profile import EngineProfiles
     from guavamast.relay.fleet_state import FleetState
+    from guavamast.relay.length_buckets import PromptDemand
     from guavamast.relay.messages import CallerRequest
-    from guavamast.relay.prompt_lanes import PromptDemand
-    from guavamast.relay.refusal_history import RefusalHistory
+    from guavamast.relay.rejection_history import RejectionHistory
     from guavamast.relay.request_progress import RequestProgress
     from guavamast.relay.scheduling_client import PlacedRequest, ScheduledReply, SchedulingClient
     from guavamast.relay.scheduling_messages import PlacementReply
@@ -43,7 +43,7 @@
 
     choice: Choice | None
     """Endpoint; None if there is none."""
-    rejection: ComeBack | None = None
+    rejection: Rejection | None = None
     """Rejection with the retry delay, if no endpoint has capacity in time."""
     work: PlacedRequest | None = None
     """Handle that reports progress to the scheduler; None where no scheduler is involved."""
@@ -81,7 +81,7 @@
         chooser: EndpointChooser,
         demand: PromptDemand,
         profiles: EngineProfiles,
-        rejections: RefusalHistory,
+        rejections: RejectionHistory,
         random: Random,
         read_time: Callable[[], float],
     ) -> None:
@@ -99,18 +99,18 @@
     def decide(self, request: CallerRequest, progress: RequestProgress) -> PlacementDecision:
         """Return the endpoint with the least cost, or a rejection."""
         now = self._read_time()
-        wait_parameters = WaitTerms(
+        wait_parameters = WaitParameters(
             objective_s=progress.admitted.route.objective_s,
-            patient=progress.latency_tolerant,
-            first=progress.most_urgent,
-            old_news=self._knowledge.peers.aggregated,
+            latency_tolerant=progress.latency_tolerant,
+            most_urgent=progress.most_urgent,
+            loads_stale=self._knowledge.peers.aggregated,
         )
         choice = self._chooser.choose(
             self._build_placement(request, progress, now=now),
             self._knowledge.endpoints.list_ready(progress.service),
             exclude=progress.tried,
             now=now,
-            has_room=self._admission.find_filter(
+            has_room=self._admission.create_room_filter(
                 wait_parameters,
                 service=progress.service,
                 urgency=progress.admitted.urgency,
@@ -135,16 +135,16 @@
             prompt_parts=request.prompt_parts,
             prompt_tokens=request.prompt_tokens,
             failure_domain=self._knowledge.failure_domain,
-            lane=progress.bucket,
-            lane_shares=self._demand.compute_shares(),
+            bucket=progress.bucket,
+            bucket_shares=self._demand.compute_shares(),
             output_tokens=request.output_tokens,
-            memory_tokens=self._knowledge.find_kv_capacity_tokens(progress.service),
+            kv_capacity_tokens=self._knowledge.find_kv_capacity_tokens(progress.service),
             profile=self._profiles.find(progress.service, now=now),
             objective_s=progress.admitted.route.objective_s,
-            delicate=progress.pause_sensitive,
+            pause_sensitive=progress.pause_sensitive,
             shortest_pause_s=self._knowledge.find_shortest_pause(progress.service),
-            memory_limit=LATE_LIMIT if self._knowledge.peers.aggregated else RECENT_LIMIT,
-            loads_late=self._knowledge.peers.aggregated,
+            kv_limit=STALE_LOADS_LIMIT if self._knowledge.peers.aggregated else FRESH_LOADS_LIMIT,
+            loads_stale=self._knowledge.peers.aggregated,
         )
 
 
@@ -226,7 +226,7 @@
         )
 
     def _list_excluded(self, progress: RequestProgress) -> tuple[str, ...]:
-        failing = self._loads.list_failing(least=FAILURE_THRESHOLD, now=self._read_time())
+        failing = self._loads.list_failing(min_failures=FAILURE_THRESHOLD, now=self._read_time())
         return tuple(progress.tried.union(failing))
 
     def _apply_reply(
@@ -242,14 +242,14 @@
         choice = Choice(
             record=record,
             forecast=_build_forecast(query, reply),
-            unread_tokens=reply.uncached_tokens,
-            own_lane=reply.own_bucket,
+            uncached_tokens=reply.uncached_tokens,
+            own_bucket=reply.own_bucket,
             load=Load(
                 requests=reply.endpoint_requests, prefill_tokens=reply.endpoint_prefill_tokens
             ),
         )
         if reply.verdict is Verdict.REFUSED:
-            rejection = ComeBack(retry_after_s=reply.retry_after_s)
+            rejection = Rejection(retry_after_s=reply.retry_after_s)
             return PlacementDecision(
                 choice=choice, rejection=rejection, scheduler_reply=scheduled_reply
             )
@@ -278,7 +278,7 @@
     if query.prompt_tokens == 0:
         return None
     return Forecast(
-        start_ms=reply.start_ms, waiting_ms=reply.waiting_ms, reading_ms=reply.prefill_ms
+        start_ms=reply.start_ms, waiting_ms=reply.waiting_ms, prefill_ms=reply.prefill_ms
     )
 
 
@@ -290,10 +290,10 @@
         endpoint_id=choice.record.endpoint_id,
         phase=WorkPhase.WAITING,
         shared_part=request.shared_part,
-        uncached_tokens=choice.unread_tokens,
+        uncached_tokens=choice.uncached_tokens,
         kv_tokens=request.prompt_tokens + request.output_tokens,
         # On an endpoint of another length bucket it is late anyway; long prompts need not avoid it.
-        pause_sensitive=pause_sensitive and choice.own_lane,
+        pause_sensitive=pause_sensitive and choice.own_bucket,
     )
 
 
--- a/src/guavamast/relay/disturbance.py
+++ b/src/guavamast/relay/prefill_interference.py
@@ -21,7 +21,7 @@
 and the decoding steps between them still fit."""
 
 
-def is_delicate(route: Route, profile: EngineProfile) -> bool:
+def is_pause_sensitive(route: Route, profile: EngineProfile) -> bool:
     """Return whether concurrent prefills of long prompts make streams of a route late."""
     if route.longest_pause_s is None:
         return False
--- a/src/guavamast/relay/prompt_cache.py
+++ b/src/guavamast/relay/prompt_cache.py
@@ -74,7 +74,7 @@
             self._sends.popleft()
         return [send for _, send in self._sends]
 
-    def take_peer(self, instance: str, incarnation: int, sends: list[PromptSend]) -> None:
+    def apply_peer_sends(self, instance: str, incarnation: int, sends: list[PromptSend]) -> None:
         """Apply the sends of another instance; repeated ones count once."""
         known_incarnation, last = self._last_applied.get(instance, (incarnation, 0))
         if known_incarnation != incarnation:
@@ -86,23 +86,26 @@
         self._last_applied[instance] = (incarnation, last)
 
     def count_cached(
-        self, endpoint_id: str, parts: tuple[PromptPart, ...], *, memory_tokens: int
+        self, endpoint_id: str, parts: tuple[PromptPart, ...], *, kv_capacity_tokens: int
     ) -> int:
         """Return the tokens at the start of a prompt that an engine has in its KV cache.
 
         Args:
             endpoint_id: The engine.
             parts: The prompt's parts in order.
-            memory_tokens: Tokens that fit into the engine's KV cache.
+            kv_capacity_tokens: Tokens that fit into the engine's KV cache.
         """
         prefilled = self._prefilled_tokens.get(endpoint_id, 0)
         for index in range(len(parts) - 1, -1, -1):
             last_used = self._last_used.get(parts[index].part_id, {}).get(endpoint_id)
-            if last_used is not None and prefilled - last_used < IDLE_PARTS_SHARE * memory_tokens:
+            if (
+                last_used is not None
+                and prefilled - last_used < IDLE_PARTS_SHARE * kv_capacity_tokens
+            ):
                 return sum(part.tokens for part in parts[: index + 1])
         return 0
 
-    def keep_only(self, endpoint_ids: set[str]) -> None:
+    def retain(self, endpoint_ids: set[str]) -> None:
         """Drop engines that are gone.
 
         The pass over all parts is slow, so it only runs after an engine has gone.
--- a/src/guavamast/relay/refusal_history.py
+++ b/src/guavamast/relay/rejection_history.py
@@ -21,13 +21,13 @@
 
 
 @dataclass(frozen=True, slots=True, kw_only=True)
-class RefusalCount:
+class RejectionCount:
     """Decayed counts of the requests of one urgency to one service."""
 
     service: str
     urgency: int
-    asked: float
-    sent_back: float
+    requests: float
+    rejected: float
     wait_ms: float
     """Milliseconds that the latest rejected request was allowed to wait."""
 
@@ -59,7 +59,7 @@
         self.updated = now
 
 
-class RefusalHistory:
+class RejectionHistory:
     """The recent rejections of urgent requests, which limit the admission of less urgent ones.
 
     Each instance publishes its counts with its heartbeats, as one instance alone sees too few
@@ -73,50 +73,50 @@
         self._peers: dict[str, dict[tuple[str, int], _Count]] = {}
 
     def record(
-        self, service: str, urgency: int, *, sent_back: bool, wait_ms: float, now: float
+        self, service: str, urgency: int, *, rejected: bool, wait_ms: float, now: float
     ) -> None:
         """Count a request and its decision.
 
         Args:
             service: Its service.
             urgency: Its urgency; 0 is the most urgent.
-            sent_back: Whether it was rejected for lack of capacity.
+            rejected: Whether it was rejected for lack of capacity.
             wait_ms: Milliseconds that it was allowed to wait.
             now: The present time.
         """
         count = self._own.setdefault((service, urgency), _Count(updated=now))
         count.decay(now=now)
         count.requests += 1.0
-        if sent_back:
+        if rejected:
             count.rejected += 1.0
             count.wait_ms = wait_ms
 
-    def list_own(self, *, now: float) -> list[RefusalCount]:
+    def list_own(self, *, now: float) -> list[RejectionCount]:
         """Return the counts of this instance."""
         for count in self._own.values():
             count.decay(now=now)
         self._own = {key: one for key, one in self._own.items() if one.requests >= MIN_COUNTED}
         return [
-            RefusalCount(
+            RejectionCount(
                 service=service,
                 urgency=urgency,
-                asked=count.requests,
-                sent_back=count.rejected,
+                requests=count.requests,
+                rejected=count.rejected,
                 wait_ms=count.wait_ms,
             )
             for (service, urgency), count in self._own.items()
         ]
 
-    def take_peer(self, instance: str, counts: list[RefusalCount], *, now: float) -> None:
+    def replace_peer(self, instance: str, counts: list[RejectionCount], *, now: float) -> None:
         """Replace the counts of another instance."""
         self._peers[instance] = {
             (one.service, one.urgency): _Count(
-                requests=one.asked, rejected=one.sent_back, wait_ms=one.wait_ms, updated=now
+                requests=one.requests, rejected=one.rejected, wait_ms=one.wait_ms, updated=now
             )
             for one in counts
         }
 
-    def keep_peers(self, instances: set[str]) -> None:
+    def retain_peers(self, instances: set[str]) -> None:
         """Drop the counts of instances that are gone."""
         self._peers = {key: value for key, value in self._peers.items() if key in instances}
 
--- a/src/guavamast/relay/relayer.py
+++ b/src/guavamast/relay/relayer.py
@@ -19,9 +19,9 @@
     from guavamast.relay.engine_profile import EngineProfiles
     from guavamast.relay.exchange import Exchanger
     from guavamast.relay.fleet_state import FleetState
+    from guavamast.relay.length_buckets import PromptDemand
     from guavamast.relay.messages import CallerRequest, HeaderCodec, ResponseWriter
     from guavamast.relay.placer import PlacementDecision, Placer
-    from guavamast.relay.prompt_lanes import PromptDemand
     from guavamast.relay.request_progress import RequestProgress
     from guavamast.relay.request_recorder import RequestRecorder
     from guavamast.relay.retry_budget import RetryBudget
--- a/src/guavamast/relay/request_progress.py
+++ b/src/guavamast/relay/request_progress.py
@@ -5,8 +5,8 @@
 from dataclasses import dataclass, field
 from typing import TYPE_CHECKING
 
-from guavamast.relay.disturbance import is_delicate
-from guavamast.relay.prompt_lanes import find_lane, is_patient
+from guavamast.relay.length_buckets import find_bucket, is_latency_tolerant
+from guavamast.relay.prefill_interference import is_pause_sensitive
 from guavamast.relay.stream_timing import StreamTiming
 
 if TYPE_CHECKING:
@@ -93,8 +93,8 @@
         most_urgent: Whether no stream of that service takes precedence over it.
     """
     objective_s = admitted.route.objective_s
-    delicate = is_delicate(admitted.route, profile)
-    lane = find_lane(
+    delicate = is_pause_sensitive(admitted.route, profile)
+    lane = find_bucket(
         request.prompt_tokens,
         objective_s=objective_s,
         shortest_s=shortest_objective_s,
@@ -108,6 +108,6 @@
         bucket=0 if delicate else lane,
         most_urgent=most_urgent,
         pause_sensitive=delicate,
-        latency_tolerant=is_patient(objective_s, shortest_s=shortest_objective_s),
+        latency_tolerant=is_latency_tolerant(objective_s, shortest_s=shortest_objective_s),
         timing=StreamTiming(received_at=request.received_at),
     )
--- a/src/guavamast/relay/request_recorder.py
+++ b/src/guavamast/relay/request_recorder.py
@@ -5,7 +5,7 @@
 from typing import TYPE_CHECKING
 
 if TYPE_CHECKING:
-    from guavamast.relay.admission import ComeBack
+    from guavamast.relay.admission import Rejection
     from guavamast.relay.attempt import AttemptFailed
     from guavamast.relay.caller_gate import Admitted, Denied
     from guavamast.relay.counters import Counters
@@ -161,7 +161,7 @@
     def record_capacity_rejection(
         self,
         request: CallerRequest,
-        rejection: ComeBack,
+        rejection: Rejection,
         choice: Choice,
         *,
         scheduled: ScheduledReply | None,
--- a/src/guavamast/relay/scheduled_work.py
+++ b/src/guavamast/relay/scheduled_work.py
@@ -94,12 +94,12 @@
         endpoint_id = choice.record.endpoint_id
         parts = query.prompt_parts
         if len(parts) > 1:
-            self.cache.record(endpoint_id, parts[-2].part_id, choice.unread_tokens, now=now)
+            self.cache.record(endpoint_id, parts[-2].part_id, choice.uncached_tokens, now=now)
         work = self.loads.begin(
             endpoint_id,
-            prefill_tokens=choice.unread_tokens,
-            memory_tokens=query.prompt_tokens + query.output_tokens,
-            delicate=query.pause_sensitive and choice.own_lane,
+            prefill_tokens=choice.uncached_tokens,
+            kv_tokens=query.prompt_tokens + query.output_tokens,
+            pause_sensitive=query.pause_sensitive and choice.own_bucket,
         )
         grant = _Grant(endpoint_id=endpoint_id, work=work, granted_at=now)
         self._grants.setdefault(query.requester, {})[query.number] = grant
@@ -178,8 +178,8 @@
             endpoint_work = self.loads.begin(
                 work.endpoint_id,
                 prefill_tokens=work.uncached_tokens,
-                memory_tokens=work.kv_tokens,
-                delicate=work.pause_sensitive,
+                kv_tokens=work.kv_tokens,
+                pause_sensitive=work.pause_sensitive,
             )
             grant = _Grant(endpoint_id=work.endpoint_id, work=endpoint_work, granted_at=now)
             grants[work.number] = grant
--- a/src/guavamast/relay/scheduler.py
+++ b/src/guavamast/relay/scheduler.py
@@ -5,14 +5,14 @@
 from dataclasses import dataclass
 from typing import TYPE_CHECKING, Final
 
-from guavamast.relay.admission import WaitTerms
+from guavamast.relay.admission import WaitParameters
 from guavamast.relay.admission_control import AdmissionControl
 from guavamast.relay.endpoint_choice import EndpointChooser
-from guavamast.relay.engine_model import FIRST_LIMIT, LATE_LIMIT, PATIENT_LIMIT
-from guavamast.relay.expected_returns import ExpectedReturns
+from guavamast.relay.engine_forecast import LESS_URGENT_LIMIT, MOST_URGENT_LIMIT, STALE_LOADS_LIMIT
+from guavamast.relay.expected_retries import ExpectedRetries
+from guavamast.relay.length_buckets import PromptDemand
 from guavamast.relay.placement import Placement
-from guavamast.relay.prompt_lanes import PromptDemand
-from guavamast.relay.refusal_history import RefusalHistory
+from guavamast.relay.rejection_history import RejectionHistory
 from guavamast.relay.scheduled_work import ScheduledWork
 from guavamast.relay.scheduling_messages import PlacementReply, Verdict
 
@@ -21,7 +21,7 @@
 
     from guavamast.relay.endpoint_choice import Choice
     from guavamast.relay.endpoint_table import EndpointRecord
-    from guavamast.relay.engine_model import MemoryLimit
+    from guavamast.relay.engine_forecast import KvLimit
     from guavamast.relay.engine_profile import EngineProfile
     from guavamast.relay.scheduling_messages import PlacementQuery
 
@@ -62,9 +62,9 @@
         """Requests at the endpoints of the group."""
         self._demand = PromptDemand()
         self._chooser = EndpointChooser(loads=self.work.loads, cache=self.work.cache, random=random)
-        self._admission = AdmissionControl(history=RefusalHistory(), random=random)
+        self._admission = AdmissionControl(history=RejectionHistory(), random=random)
         self._started_at = now
-        self._expected_retries = ExpectedReturns()
+        self._expected_retries = ExpectedRetries()
 
     def is_learning(self, *, now: float) -> bool:
         """Return whether the scheduler may not know all work yet."""
@@ -95,7 +95,7 @@
             candidates,
             exclude=frozenset(query.excluded),
             now=now,
-            has_room=self._admission.find_filter(
+            has_room=self._admission.create_room_filter(
                 wait_parameters, service=query.service, urgency=query.urgency, now=now
             ),
         )
@@ -124,31 +124,31 @@
             prompt_parts=query.prompt_parts,
             prompt_tokens=query.prompt_tokens,
             failure_domain=query.failure_domain,
-            lane=query.bucket,
-            lane_shares=self._demand.compute_shares(),
+            bucket=query.bucket,
+            bucket_shares=self._demand.compute_shares(),
             output_tokens=query.output_tokens,
-            memory_tokens=facts.kv_capacity_tokens,
+            kv_capacity_tokens=facts.kv_capacity_tokens,
             profile=facts.profile,
             objective_s=query.objective_s,
-            delicate=query.pause_sensitive,
+            pause_sensitive=query.pause_sensitive,
             shortest_pause_s=facts.shortest_pause_s,
-            memory_limit=_select_memory_limit(query, learning=learning),
-            loads_late=learning,
+            kv_limit=_select_memory_limit(query, learning=learning),
+            loads_stale=learning,
         )
 
     def _build_wait_parameters(
         self, query: PlacementQuery, *, learning: bool, now: float
-    ) -> WaitTerms:
-        return WaitTerms(
+    ) -> WaitParameters:
+        return WaitParameters(
             objective_s=query.objective_s,
-            patient=query.latency_tolerant,
-            first=query.most_urgent,
-            old_news=learning,
-            fresh=not self._expected_retries.recall(query, now=now),
+            latency_tolerant=query.latency_tolerant,
+            most_urgent=query.most_urgent,
+            loads_stale=learning,
+            first_attempt=not self._expected_retries.is_retry(query, now=now),
         )
 
     def _admit(
-        self, query: PlacementQuery, choice: Choice, wait_parameters: WaitTerms, *, now: float
+        self, query: PlacementQuery, choice: Choice, wait_parameters: WaitParameters, *, now: float
     ) -> float | None:
         """Return the seconds after which to retry a rejected request; None if it is admitted."""
         if choice.forecast is None or not query.rejectable:
@@ -158,14 +158,14 @@
         )
         if rejection is None:
             return None
-        self._expected_retries.note(query, now=now)
+        self._expected_retries.record_rejection(query, now=now)
         return rejection.retry_after_s
 
 
-def _select_memory_limit(query: PlacementQuery, *, learning: bool) -> MemoryLimit:
+def _select_memory_limit(query: PlacementQuery, *, learning: bool) -> KvLimit:
     if learning:
-        return LATE_LIMIT
-    return FIRST_LIMIT if query.most_urgent else PATIENT_LIMIT
+        return STALE_LOADS_LIMIT
+    return MOST_URGENT_LIMIT if query.most_urgent else LESS_URGENT_LIMIT
 
 
 def _build_reply(
@@ -181,11 +181,11 @@
         number=query.number,
         verdict=verdict,
         endpoint_id=choice.record.endpoint_id,
-        uncached_tokens=choice.unread_tokens,
-        own_bucket=choice.own_lane,
+        uncached_tokens=choice.uncached_tokens,
+        own_bucket=choice.own_bucket,
         start_ms=forecast.start_ms if forecast else 0.0,
         waiting_ms=forecast.waiting_ms if forecast else 0.0,
-        prefill_ms=forecast.reading_ms if forecast else 0.0,
+        prefill_ms=forecast.prefill_ms if forecast else 0.0,
         endpoint_requests=choice.load.requests,
         endpoint_prefill_tokens=choice.load.prefill_tokens,
         retry_after_s=retry_after_s,
--- a/src/guavamast/relay/scheduler_host.py
+++ b/src/guavamast/relay/scheduler_host.py
@@ -75,7 +75,7 @@
         if ended is not None and record is not None:
             self._profiles.record_pause(
                 record.service,
-                unread_tokens=ended.max_prefill_tokens,
+                uncached_tokens=ended.max_prefill_tokens,
                 pause_ms=ended.longest_pause_s * 1000.0,
                 now=now,
             )
@@ -100,8 +100,8 @@
             dropped = scheduler.work.drop_expired(now=now)
             if dropped:
                 self._counters.add("grants_dropped_total", dropped)
-            scheduler.work.cache.keep_only(endpoint_ids)
-            scheduler.work.loads.keep_only(endpoint_ids)
+            scheduler.work.cache.retain(endpoint_ids)
+            scheduler.work.loads.retain(endpoint_ids)
             if scheduler.work.is_idle(now=now):
                 del self._schedulers[name]
         grants = sum(scheduler.work.count() for scheduler in self._schedulers.values())
--- a/src/guavamast/relay/late_loads.py
+++ b/src/guavamast/relay/stale_loads.py
@@ -50,6 +50,6 @@
         prefill_tokens=round(
             REPORTED_WEIGHT * load.prefill_tokens + mean_weight * mean.prefill_tokens
         ),
-        memory_tokens=load.memory_tokens,
-        delicate=load.delicate,
+        kv_tokens=load.kv_tokens,
+        pause_sensitive=load.pause_sensitive,
     )
--- a/src/guavamast/relay/stream_sampler.py
+++ b/src/guavamast/relay/stream_sampler.py
@@ -63,7 +63,7 @@
         self.first_event_at = now
         self._profiles.record_first_event(
             self._service,
-            unread_tokens=self._uncached_tokens,
+            uncached_tokens=self._uncached_tokens,
             took_ms=(now - self._sent_at) * 1000.0,
             now=now,
         )
@@ -80,7 +80,7 @@
         )
         self._profiles.record_pause(
             self._service,
-            unread_tokens=self._timing.uncached_tokens_at_longest_pause,
+            uncached_tokens=self._timing.uncached_tokens_at_longest_pause,
             pause_ms=self._timing.longest_pause_s * 1000.0,
             now=now,
         )
--- a/src/guavamast/relay/work_state.py
+++ b/src/guavamast/relay/work_state.py
@@ -6,9 +6,9 @@
 
 from guavamast.relay.endpoint_load import EndpointLoads
 from guavamast.relay.engine_profile import EngineProfiles
+from guavamast.relay.length_buckets import PromptDemand
 from guavamast.relay.prompt_cache import PromptCache
-from guavamast.relay.prompt_lanes import PromptDemand
-from guavamast.relay.refusal_history import RefusalHistory
+from guavamast.relay.rejection_history import RejectionHistory
 
 if TYPE_CHECKING:
     from guavamast.relay.engine_profile import ProfileEstimates
@@ -28,21 +28,21 @@
         self.cache = PromptCache()
         self.demand = PromptDemand()
         self.profiles = EngineProfiles()
-        self.rejections = RefusalHistory()
+        self.rejections = RejectionHistory()
 
     def apply_heartbeat(self, beat: Heartbeat, *, now: float) -> None:
         """Replace the previous state of an instance by that in its heartbeat."""
         name = beat.record.name
-        self.loads.take_peer(name, beat.loads)
-        self.demand.take_peer(name, beat.demand)
-        self.profiles.take_peer(name, beat.profiles)
-        self.rejections.take_peer(name, beat.rejections, now=now)
-        self.cache.take_peer(name, beat.incarnation, beat.sends)
+        self.loads.replace_peer(name, beat.loads)
+        self.demand.replace_peer(name, beat.demand)
+        self.profiles.replace_peer(name, beat.profiles)
+        self.rejections.replace_peer(name, beat.rejections, now=now)
+        self.cache.apply_peer_sends(name, beat.incarnation, beat.sends)
 
     def apply_aggregated_heartbeat(self, bundle: AggregatedHeartbeat) -> None:
         """Replace the previous engine profiles of failure domains."""
         for domain, profiles in bundle.profiles.items():
-            self.profiles.take_peer(_format_domain_source(domain), profiles)
+            self.profiles.replace_peer(_format_domain_source(domain), profiles)
 
     def aggregate_profiles(
         self, domain: str, instances: list[str], *, now: float
@@ -65,17 +65,17 @@
     def apply_load_update(self, notice: LoadUpdate) -> None:
         """Apply an instance's load update for some endpoints."""
         self.loads.update_peer(notice.instance, notice.loads)
-        self.cache.take_peer(notice.instance, notice.incarnation, notice.sends)
+        self.cache.apply_peer_sends(notice.instance, notice.incarnation, notice.sends)
 
     def retain(self, *, endpoint_ids: set[str], instances: set[str]) -> None:
         """Drop the endpoints and instances that no longer exist."""
-        self.loads.keep_only(endpoint_ids)
-        self.cache.keep_only(endpoint_ids)
-        self.loads.keep_peers(instances)
-        self.demand.keep_peers(instances)
-        self.rejections.keep_peers(instances)
+        self.loads.retain(endpoint_ids)
+        self.cache.retain(endpoint_ids)
+        self.loads.retain_peers(instances)
+        self.demand.retain_peers(instances)
+        self.rejections.retain_peers(instances)
         domains = {one for one in self.profiles.list_peers() if one.startswith(DOMAIN_PREFIX)}
-        self.profiles.keep_peers(instances | domains)
+        self.profiles.retain_peers(instances | domains)
 
 
 def _format_domain_source(domain: str) -> str:
--- a/tests/burst_world.py
+++ b/tests/burst_simulation.py
@@ -15,16 +15,16 @@
 from guavamast.relay.engine_profile import EngineProfiles, Estimate, ProfileEstimates
 from guavamast.relay.fleet_state import FleetState
 from guavamast.relay.freshness import StoreClock
+from guavamast.relay.length_buckets import PromptDemand, find_bucket, is_latency_tolerant
 from guavamast.relay.peers import Peers
 from guavamast.relay.placer import LocalPlacer
 from guavamast.relay.prompt_cache import PromptCache
-from guavamast.relay.prompt_lanes import PromptDemand, find_lane, is_patient
-from guavamast.relay.refusal_history import RefusalHistory
+from guavamast.relay.rejection_history import RejectionHistory
 from guavamast.relay.request_progress import begin_progress
 from guavamast.relay.scheduler import LEARNING_S, GroupScheduler, ServiceParameters
 from guavamast.relay.scheduling_messages import PlacementQuery, Verdict, WorkPhase, WorkUpdate
 from guavamast.relay.store import CatalogSnapshot, EndpointSnapshot
-from tests.relay_facts import LIMITS, PROFILE, make_endpoint, make_request, make_route
+from tests.relay_fixtures import LIMITS, PROFILE, build_endpoint, build_request, build_route
 from tests.scheduling_simulation import GROUP, POOL, make_query
 
 if TYPE_CHECKING:
@@ -145,14 +145,14 @@
             prompt_parts=(),
             prompt_tokens=kind.prompt_tokens,
             output_tokens=OUTPUT_TOKENS,
-            lane=find_lane(
+            lane=find_bucket(
                 kind.prompt_tokens,
                 objective_s=kind.objective_s,
                 shortest_s=self.shortest_s,
                 profile=PROFILE,
             ),
             objective_s=kind.objective_s,
-            patient=is_patient(kind.objective_s, shortest_s=self.shortest_s),
+            patient=is_latency_tolerant(kind.objective_s, shortest_s=self.shortest_s),
             first=kind.urgency == 0,
             urgency=kind.urgency,
         )
@@ -174,7 +174,7 @@
     """Return a configuration with a route for each kind."""
     service = WeightedService(service=POOL, weight=1.0)
     routes = [
-        make_route(
+        build_route(
             name=kind.name,
             path_prefix=f"/{kind.urgency}/",
             kind=RouteKind.STREAM,
@@ -201,7 +201,7 @@
         for name in ProfileEstimates.__dataclass_fields__
     }
     profiles = EngineProfiles()
-    profiles.take_peer("all", {POOL: ProfileEstimates(**estimates)})
+    profiles.replace_peer("all", {POOL: ProfileEstimates(**estimates)})
     return profiles
 
 
@@ -222,11 +222,11 @@
         )
         self.profiles = build_profiles()
         self.demand = PromptDemand()
-        self.rejections = [RefusalHistory() for _ in range(INSTANCES)]
+        self.rejections = [RejectionHistory() for _ in range(INSTANCES)]
         self.last_exchange = 0.0
         self.placers = [self.build_placer(history, seed=seed) for history in self.rejections]
 
-    def build_placer(self, history: RefusalHistory, *, seed: int) -> LocalPlacer:
+    def build_placer(self, history: RejectionHistory, *, seed: int) -> LocalPlacer:
         return LocalPlacer(
             knowledge=self.knowledge,
             chooser=EndpointChooser(loads=self.loads, cache=PromptCache(), random=Random(seed)),
@@ -248,7 +248,7 @@
         self.exchange_heartbeats()
         kind = event.kind
         assert self.knowledge.catalog is not None
-        request = make_request(
+        request = build_request(
             request_id=str(event.number),
             prompt_tokens=kind.prompt_tokens,
             output_tokens=OUTPUT_TOKENS,
@@ -276,7 +276,7 @@
         self.works[event.number] = self.loads.begin(
             endpoint_id,
             prefill_tokens=kind.prompt_tokens,
-            memory_tokens=kind.prompt_tokens + OUTPUT_TOKENS,
+            kv_tokens=kind.prompt_tokens + OUTPUT_TOKENS,
         )
         return Decision(endpoint_id=endpoint_id)
 
@@ -288,7 +288,7 @@
             for number, sender in enumerate(self.rejections):
                 if sender is not receiver:
                     counts = sender.list_own(now=self.now)
-                    receiver.take_peer(f"i{number}", counts, now=self.now)
+                    receiver.replace_peer(f"i{number}", counts, now=self.now)
 
     def report(self, event: Event) -> None:
         if event.phase is WorkPhase.ENDED:
@@ -305,7 +305,7 @@
     ) -> None:
         self.random = Random(seed)
         records = [
-            make_endpoint(f"e{number}", service=POOL, slots=SLOTS) for number in range(ENGINES)
+            build_endpoint(f"e{number}", service=POOL, slots=SLOTS) for number in range(ENGINES)
         ]
         self.decider: Decider = (
             LocalDecider(records, kinds, seed=seed)
--- a/tests/relay_facts.py
+++ b/tests/relay_fixtures.py
@@ -33,7 +33,7 @@
 """Engine performance measured on a day of heavy load, with 64 concurrent requests."""
 
 
-def make_route(**changes: Any) -> Route:
+def build_route(**changes: Any) -> Route:
     """Return a route of a plain idempotent service, with changes."""
     values: dict[str, Any] = {
         "name": "status",
@@ -52,19 +52,19 @@
     return Route(**(values | changes))
 
 
-def make_catalog(*routes: Route, row_version: int = 5) -> Catalog:
+def build_catalog(*routes: Route, row_version: int = 5) -> Catalog:
     """Return a configuration with one organisation whose key is ``good``."""
     return Catalog(
         version=row_version * 10,
         row_version=row_version,
-        routes=list(routes) or [make_route()],
+        routes=list(routes) or [build_route()],
         services=[],
         organisations={"good": CallerOrganisation(name="bakery", urgency=None)},
         limits=LIMITS,
     )
 
 
-def make_request(**changes: Any) -> CallerRequest:
+def build_request(**changes: Any) -> CallerRequest:
     """Return a request to the route of `make_route`, with changes."""
     values: dict[str, Any] = {
         "request_id": "r1",
@@ -84,7 +84,7 @@
     return CallerRequest(**(values | changes))
 
 
-def make_endpoint(name: str, **changes: Any) -> EndpointRecord:
+def build_endpoint(name: str, **changes: Any) -> EndpointRecord:
     """Return a ready endpoint, with changes."""
     values: dict[str, Any] = {
         "endpoint_id": name,
@@ -100,6 +100,6 @@
     return EndpointRecord(**(values | changes))
 
 
-def make_parts(*entries: tuple[str, int]) -> tuple[PromptPart, ...]:
+def build_parts(*entries: tuple[str, int]) -> tuple[PromptPart, ...]:
     """Return prompt parts from ids and tokens."""
     return tuple(PromptPart(part_id=part_id, tokens=tokens) for part_id, tokens in entries)
--- a/tests/scheduling_simulation.py
+++ b/tests/scheduling_simulation.py
@@ -12,14 +12,14 @@
 from guavamast.relay.fleet_state import FleetState
 from guavamast.relay.freshness import StoreClock
 from guavamast.relay.heartbeat_messages import Heartbeat, InstanceState
+from guavamast.relay.length_buckets import NO_DEMAND
 from guavamast.relay.messages import PromptPart
 from guavamast.relay.peers import FULL_MESH_INSTANCES, Peers
-from guavamast.relay.prompt_lanes import NO_DEMAND
 from guavamast.relay.scheduling import Scheduling
 from guavamast.relay.scheduling_messages import PlacementQuery, Requester
 from guavamast.relay.scheduling_wire import decode_scheduling
 from guavamast.relay.store import CatalogSnapshot, EndpointSnapshot, InstanceRecord
-from tests.relay_facts import LIMITS, make_endpoint, make_route
+from tests.relay_fixtures import LIMITS, build_endpoint, build_route
 
 if TYPE_CHECKING:
     from guavamast.relay.endpoint_table import EndpointRecord
@@ -34,7 +34,7 @@
 
 def make_pool_catalog() -> Catalog:
     """Return a configuration with one streaming route to a pool of engines."""
-    route = make_route(
+    route = build_route(
         name="answers",
         path_prefix="/answers/",
         kind=RouteKind.STREAM,
@@ -130,7 +130,7 @@
         }
         self._names = {one.record.ip: name for name, one in self.instances.items()}
         self.engines = [
-            make_endpoint(f"e{number}", service=POOL, slots=8) for number in range(engines)
+            build_endpoint(f"e{number}", service=POOL, slots=8) for number in range(engines)
         ]
         for instance in self.instances.values():
             instance.apply_endpoints(self.engines, reading=1.0)
--- a/tests/test_relay_admission.py
+++ b/tests/test_relay_admission.py
@@ -8,16 +8,16 @@
 from hypothesis import given
 from hypothesis import strategies as st
 
-from guavamast.relay.admission import ComeBack, WaitTerms, admit
+from guavamast.relay.admission import Rejection, WaitParameters, admit
 from guavamast.relay.endpoint_load import Load
-from guavamast.relay.engine_model import (
-    LATE_LIMIT,
-    RECENT_LIMIT,
+from guavamast.relay.engine_forecast import (
+    FRESH_LOADS_LIMIT,
+    STALE_LOADS_LIMIT,
     Forecast,
     estimate_late_share,
     forecast,
 )
-from tests.relay_facts import PROFILE
+from tests.relay_fixtures import PROFILE
 
 
 class AdmissionTest(unittest.TestCase):
@@ -27,27 +27,31 @@
     millisecond; the objectives are 0.3 and 2 seconds.
     """
 
-    def admit(self, waiting_ms: float, *, prefill_ms: float = 10.0) -> ComeBack | None:
-        expected = Forecast(start_ms=72.0, waiting_ms=waiting_ms, reading_ms=prefill_ms)
-        return admit(expected, WaitTerms(objective_s=0.3, patient=False), random=Random(1))
+    def admit(self, waiting_ms: float, *, prefill_ms: float = 10.0) -> Rejection | None:
+        expected = Forecast(start_ms=72.0, waiting_ms=waiting_ms, prefill_ms=prefill_ms)
+        return admit(
+            expected, WaitParameters(objective_s=0.3, latency_tolerant=False), random=Random(1)
+        )
 
     def test_waiting_decides_and_not_the_length_of_the_request(self) -> None:
         self.assertIsNone(self.admit(224.0, prefill_ms=900.0))
         self.assertIsNotNone(self.admit(226.0, prefill_ms=1.0))
 
-    def test_patient_requests_wait_a_smaller_share(self) -> None:
+    def test_latency_tolerant_requests_wait_a_smaller_share(self) -> None:
         for waiting_ms, is_rejected in ((1000.0, False), (1001.0, True)):
-            expected = Forecast(start_ms=72.0, waiting_ms=waiting_ms, reading_ms=10.0)
-            rejection = admit(expected, WaitTerms(objective_s=2.0, patient=True), random=Random(1))
+            expected = Forecast(start_ms=72.0, waiting_ms=waiting_ms, prefill_ms=10.0)
+            rejection = admit(
+                expected, WaitParameters(objective_s=2.0, latency_tolerant=True), random=Random(1)
+            )
             self.assertEqual(rejection is not None, is_rejected)
 
-    def test_late_loads_leave_memory_for_what_nobody_has_heard_of(self) -> None:
+    def test_stale_loads_reserve_kv_cache_for_unreported_requests(self) -> None:
         """Guards against running answers that are preempted for lack of KV cache.
 
         Many instances send long prompts to the same engine before they learn of each other's. When
         its KV cache is full, it preempts some answers and prefills their prompts again.
         """
-        full = Load(requests=40, prefill_tokens=600, memory_tokens=500_000)
+        full = Load(requests=40, prefill_tokens=600, kv_tokens=500_000)
         for loads_late in (False, True):
             expected = forecast(
                 full,
@@ -56,13 +60,15 @@
                 kv_tokens=12_300,
                 slots=64,
                 kv_capacity_tokens=611_000,
-                kv_limit=LATE_LIMIT if loads_late else RECENT_LIMIT,
+                kv_limit=STALE_LOADS_LIMIT if loads_late else FRESH_LOADS_LIMIT,
+            )
+            terms = WaitParameters(
+                objective_s=2.0, latency_tolerant=True, most_urgent=True, loads_stale=loads_late
             )
-            terms = WaitTerms(objective_s=2.0, patient=True, first=True, old_news=loads_late)
             rejection = admit(expected, terms, random=Random(1))
             self.assertEqual(rejection is not None, loads_late)
 
-    def test_old_news_lets_wait_longer_above_all_the_most_urgent(self) -> None:
+    def test_stale_loads_allow_longer_waits_most_of_all_for_the_most_urgent(self) -> None:
         """Guards against idle engines after rejections that are based on stale loads.
 
         All instances received a second ago that the engines of a bucket are 300 ms behind. If all
@@ -72,14 +78,14 @@
         them.
         """
         cases = (
-            (300.0, WaitTerms(objective_s=0.3), True),
-            (300.0, WaitTerms(objective_s=0.3, old_news=True), False),
-            (500.0, WaitTerms(objective_s=0.3, old_news=True), True),
-            (1_500.0, WaitTerms(objective_s=0.3, old_news=True, first=True), False),
-            (1_850.0, WaitTerms(objective_s=0.3, old_news=True, first=True), True),
+            (300.0, WaitParameters(objective_s=0.3), True),
+            (300.0, WaitParameters(objective_s=0.3, loads_stale=True), False),
+            (500.0, WaitParameters(objective_s=0.3, loads_stale=True), True),
+            (1_500.0, WaitParameters(objective_s=0.3, loads_stale=True, most_urgent=True), False),
+            (1_850.0, WaitParameters(objective_s=0.3, loads_stale=True, most_urgent=True), True),
         )
         for waiting_ms, terms, is_rejected in cases:
-            expected = Forecast(start_ms=40.0, waiting_ms=waiting_ms, reading_ms=10.0)
+            expected = Forecast(start_ms=40.0, waiting_ms=waiting_ms, prefill_ms=10.0)
             rejection = admit(expected, terms, random=Random(1))
             self.assertEqual(rejection is not None, is_rejected, (waiting_ms, terms))
 
@@ -88,7 +94,7 @@
         for share, expected in zip(shares, (0.0, 0.0, 0.5, 1.0), strict=True):
             self.assertAlmostEqual(share, expected)
 
-    def test_nobody_is_refused_by_an_idle_engine(self) -> None:
+    def test_idle_engine_rejects_no_request(self) -> None:
         idle = forecast(
             Load(),
             PROFILE,
@@ -97,12 +103,12 @@
             slots=64,
             kv_capacity_tokens=600_000,
         )
-        self.assertIsNone(admit(idle, WaitTerms(objective_s=0.3, patient=False), random=Random(1)))
+        self.assertIsNone(
+            admit(idle, WaitParameters(objective_s=0.3, latency_tolerant=False), random=Random(1))
+        )
 
     @given(waiting_ms=st.floats(min_value=226.0, max_value=1e5))
-    def test_the_time_to_come_back_grows_with_the_queue_within_bounds(
-        self, waiting_ms: float
-    ) -> None:
+    def test_the_retry_delay_grows_with_the_queue_within_bounds(self, waiting_ms: float) -> None:
         rejection = self.admit(waiting_ms)
         assert rejection is not None
         self.assertGreaterEqual(rejection.retry_after_s, 0.1)
@@ -123,7 +129,14 @@
             expected = forecast(
                 engine, PROFILE, uncached_tokens=6_000, kv_tokens=0, slots=64, kv_capacity_tokens=0
             )
-            if admit(expected, WaitTerms(objective_s=2.0, patient=True), random=Random(1)) is None:
+            if (
+                admit(
+                    expected,
+                    WaitParameters(objective_s=2.0, latency_tolerant=True),
+                    random=Random(1),
+                )
+                is None
+            ):
                 admitted += 1
                 longest_ms = max(longest_ms, expected.waiting_ms)
                 engine.prefill_tokens += 6_000
@@ -136,14 +149,14 @@
 
     def test_measured_first_events(self) -> None:
         for waiting, own, measured_ms in ((0, 600, 78), (7_000, 500, 186), (28_000, 2_000, 550)):
-            load = Load(requests=10, prefill_tokens=waiting, memory_tokens=0)
+            load = Load(requests=10, prefill_tokens=waiting, kv_tokens=0)
             found = forecast(
                 load, PROFILE, uncached_tokens=own, kv_tokens=0, slots=64, kv_capacity_tokens=0
             )
             self.assertAlmostEqual(found.first_event_ms, measured_ms, delta=0.15 * measured_ms)
 
     def test_slots_and_memory(self) -> None:
-        full = Load(requests=66, prefill_tokens=0, memory_tokens=550_000)
+        full = Load(requests=66, prefill_tokens=0, kv_tokens=550_000)
         found = forecast(
             full, PROFILE, uncached_tokens=0, kv_tokens=500, slots=64, kv_capacity_tokens=0
         )
--- a/tests/test_relay_admission_control_properties.py
+++ b/tests/test_relay_admission_control_properties.py
@@ -9,10 +9,10 @@
 from hypothesis import given, settings
 from hypothesis import strategies as st
 
-from guavamast.relay.admission import WaitTerms
+from guavamast.relay.admission import WaitParameters
 from guavamast.relay.admission_control import LESS_URGENT_CREDIT_SHARE, AdmissionControl
-from guavamast.relay.engine_model import Forecast
-from guavamast.relay.refusal_history import RefusalHistory
+from guavamast.relay.engine_forecast import Forecast
+from guavamast.relay.rejection_history import RejectionHistory
 
 EXAMPLES = int(os.environ.get("GUAVAMAST_EXAMPLES", "100"))
 POOL = "pool"
@@ -36,14 +36,14 @@
     """Less urgent requests yield to more urgent ones that are being rejected."""
 
     def setUp(self) -> None:
-        self.history = RefusalHistory()
+        self.history = RejectionHistory()
         self.control = AdmissionControl(history=self.history, random=Random(1))
 
     def admit(
         self, urgency: int, waiting_ms: float, *, prefill_ms: float = 60.0, now: float = 0.0
     ) -> bool:
-        forecast = Forecast(start_ms=40.0, waiting_ms=waiting_ms, reading_ms=prefill_ms)
-        terms = WaitTerms(objective_s=OBJECTIVES_S[urgency], first=urgency == 0)
+        forecast = Forecast(start_ms=40.0, waiting_ms=waiting_ms, prefill_ms=prefill_ms)
+        terms = WaitParameters(objective_s=OBJECTIVES_S[urgency], most_urgent=urgency == 0)
         rejection = self.control.admit(forecast, terms, service=POOL, urgency=urgency, now=now)
         return rejection is None
 
@@ -61,25 +61,27 @@
         self.assertFalse(self.admit(1, 140.0))
         self.assertTrue(self.admit(1, 100.0))
 
-    def test_what_could_not_be_in_time_anywhere_holds_nothing(self) -> None:
+    def test_requests_that_are_late_everywhere_cause_no_rejections(self) -> None:
         """Guards against starving others for prompts that are too long to be served in time."""
         self.reject_requests(prefill_ms=400.0)
         self.assertTrue(self.admit(1, 300.0))
 
-    def test_the_first_go_wherever_there_is_room_while_too_many_are_sent_back(self) -> None:
+    def test_most_urgent_requests_use_any_engine_with_room_while_too_many_are_rejected(
+        self,
+    ) -> None:
         """Guards against considering only the engine with the least cost, and rejecting there."""
-        first = WaitTerms(objective_s=0.25, first=True)
-        self.assertIsNone(self.control.find_filter(first, service=POOL, urgency=0, now=0.0))
+        first = WaitParameters(objective_s=0.25, most_urgent=True)
+        self.assertIsNone(self.control.create_room_filter(first, service=POOL, urgency=0, now=0.0))
         self.reject_requests()
-        has_room = self.control.find_filter(first, service=POOL, urgency=0, now=0.0)
+        has_room = self.control.create_room_filter(first, service=POOL, urgency=0, now=0.0)
         assert has_room is not None
         for waiting_ms in (0.0, 100.0, 300.0):
-            expected = Forecast(start_ms=40.0, waiting_ms=waiting_ms, reading_ms=10.0)
+            expected = Forecast(start_ms=40.0, waiting_ms=waiting_ms, prefill_ms=10.0)
             self.assertEqual(has_room(expected), waiting_ms < 150.0)
-        later = WaitTerms(objective_s=0.25)
-        self.assertIsNone(self.control.find_filter(later, service=POOL, urgency=1, now=0.0))
+        later = WaitParameters(objective_s=0.25)
+        self.assertIsNone(self.control.create_room_filter(later, service=POOL, urgency=1, now=0.0))
 
-    def test_a_share_is_let_in_all_the_same(self) -> None:
+    def test_less_urgent_requests_keep_a_share(self) -> None:
         """Guards against starving an urgency while more urgent requests exceed the capacity."""
         admitted = 0
         for _ in range(160):
@@ -88,7 +90,7 @@
             admitted += self.admit(1, 300.0)
         self.assertAlmostEqual(admitted, LESS_URGENT_CREDIT_SHARE * 160, delta=2.0)
 
-    def test_a_greater_overload_lets_no_more_in(self) -> None:
+    def test_a_greater_overload_admits_no_more(self) -> None:
         """Guards against a share of the requests received, which can exceed the capacity alone."""
         admitted = 0
         for _ in range(40):
@@ -99,7 +101,7 @@
 
     @settings(max_examples=EXAMPLES, deadline=None)
     @given(requests)
-    def test_no_order_of_requests_lets_more_than_the_share_in(self, sequence: list) -> None:
+    def test_no_order_of_requests_admits_more_than_the_share(self, sequence: list) -> None:
         """Guards against any order in which less urgent requests pass more urgent rejected ones.
 
         Each request has an urgency, a wait, a prefill time and the time since the one before it.
--- a/tests/test_relay_caller_admission.py
+++ b/tests/test_relay_caller_admission.py
@@ -22,7 +22,7 @@
 from guavamast.relay.peers import Peers
 from guavamast.relay.store import CatalogSnapshot, EndpointSnapshot, Store, StoreError
 from guavamast.relay.store_reader import StoreReader
-from tests.relay_facts import BOUNDS, make_catalog, make_endpoint, make_request, make_route
+from tests.relay_fixtures import BOUNDS, build_catalog, build_endpoint, build_request, build_route
 
 if TYPE_CHECKING:
     from collections.abc import Sequence
@@ -43,8 +43,8 @@
         self.read_s = 0.004
         """Seconds from the store's clock reading until the response arrives."""
         self.reads = 0
-        self.catalog = make_catalog()
-        self.records = [make_endpoint("x"), make_endpoint("y")]
+        self.catalog = build_catalog()
+        self.records = [build_endpoint("x"), build_endpoint("y")]
         self._clock = StoreClock()
         peers = Peers(own_name="one")
         self.knowledge = FleetState(failure_domain="a", peers=peers, clock=self._clock)
@@ -93,16 +93,16 @@
 
     def move_route(self) -> None:
         services = (WeightedService(service="annex", weight=1.0),)
-        self.replace_routes(make_route(services=services))
+        self.replace_routes(build_route(services=services))
 
     def replace_routes(self, *routes: Route) -> None:
-        self.catalog = make_catalog(*routes, row_version=self.catalog.row_version + 1)
+        self.catalog = build_catalog(*routes, row_version=self.catalog.row_version + 1)
 
     def change_endpoints(self, *records: EndpointRecord) -> None:
         self.records = list(records)
 
     async def admit(self, timeout_s: float = 1.5) -> Admitted | Denied:
-        request = make_request(arrived=self.now, patience_s=timeout_s)
+        request = build_request(arrived=self.now, patience_s=timeout_s)
         return await self.admission.admit(request, until=self.now + timeout_s)
 
     async def _answer(self) -> float:
@@ -196,7 +196,7 @@
 
     def check(self, name: str = "x") -> str:
         """Return why the request must not be sent; empty if it may be."""
-        record = make_endpoint(name)
+        record = build_endpoint(name)
         try:
             self.simulation.admission.check_send(self.admitted, record, now=self.simulation.now)
         except AttemptFailed as failure:
@@ -224,8 +224,8 @@
         self.assertEqual(self.check(), "the configuration has changed")
 
     async def test_an_endpoint_that_leaves_is_seen(self) -> None:
-        gone = [make_endpoint("y")]
-        leaving = [make_endpoint("x", ready=False, row_version=9), make_endpoint("y")]
+        gone = [build_endpoint("y")]
+        leaving = [build_endpoint("x", ready=False, row_version=9), build_endpoint("y")]
         for records in (gone, leaving):
             self.simulation.change_endpoints(*records)
             await self.simulation.reader.endpoints.join()
@@ -274,7 +274,7 @@
             if isinstance(decision, Denied):
                 continue
             try:
-                simulation.admission.check_send(decision, make_endpoint("x"), now=simulation.now)
+                simulation.admission.check_send(decision, build_endpoint("x"), now=simulation.now)
             except AttemptFailed:
                 continue
             self.assertLess(asked - ended.get(decision.catalog.row_version, asked), 2.0)
--- a/tests/test_relay_decisions.py
+++ b/tests/test_relay_decisions.py
@@ -23,6 +23,7 @@
     decode_heartbeat,
     encode_heartbeat,
 )
+from guavamast.relay.length_buckets import Demand
 from guavamast.relay.peers import (
     FORGET_AFTER_S,
     MISSED_HEARTBEATS,
@@ -31,7 +32,6 @@
     compute_heartbeat_interval,
 )
 from guavamast.relay.prompt_cache import PromptSend
-from guavamast.relay.prompt_lanes import Demand
 from guavamast.relay.read_schedule import (
     JITTER_S,
     LAST_RANK,
@@ -40,20 +40,20 @@
     UPDATE_WAIT_S,
     ReadSchedule,
 )
-from guavamast.relay.refusal_history import RefusalCount
+from guavamast.relay.rejection_history import RejectionCount
 from guavamast.relay.retry_budget import RetryBudget, RetryBudgetSettings
 from guavamast.relay.store import InstanceRecord
 from guavamast.rendezvous import rank
-from tests.relay_facts import BOUNDS, make_catalog, make_endpoint, make_request, make_route
+from tests.relay_fixtures import BOUNDS, build_catalog, build_endpoint, build_request, build_route
 
 
 class CatalogTest(unittest.TestCase):
     """Routes are selected by host and longest prefix."""
 
     def test_longest_prefix_wins(self) -> None:
-        short = make_route(name="short", path_prefix="/a/")
-        long = make_route(name="long", path_prefix="/a/b/")
-        catalog = make_catalog(short, long)
+        short = build_route(name="short", path_prefix="/a/")
+        long = build_route(name="long", path_prefix="/a/b/")
+        catalog = build_catalog(short, long)
         self.assertEqual(catalog.find_route("portal.example:80", "/a/b/c"), long)
         self.assertEqual(catalog.find_route("PORTAL.example", "/a/b"), short)
         self.assertIsNone(catalog.find_route("portal.example", "/a"))
@@ -64,7 +64,7 @@
             WeightedService(service="x", weight=90.0),
             WeightedService(service="y", weight=10.0),
         )
-        route = make_route(services=services)
+        route = build_route(services=services)
         picks = [route.pick_service(f"r{number}") for number in range(2000)]
         self.assertEqual(picks, [route.pick_service(f"r{number}") for number in range(2000)])
         self.assertAlmostEqual(picks.count("y") / 2000, 0.1, delta=0.03)
@@ -79,7 +79,7 @@
         The caller sends its request at the very end of the idle limit; without a margin the
         instance would close the connection before the request arrives.
         """
-        limits = make_catalog().limits
+        limits = build_catalog().limits
         self.assertGreaterEqual(limits.close_idle_after_s, limits.idle_timeout_s + 0.5)
 
 
@@ -90,10 +90,10 @@
         self.gate = CallerGate(bounds=BOUNDS)
 
     def decide(self, age_s: float, **changes: object) -> Admitted | Denied:
-        return self.gate.decide(make_request(**changes), make_catalog(), age_s=age_s)
+        return self.gate.decide(build_request(**changes), build_catalog(), age_s=age_s)
 
     def test_no_configuration_defers(self) -> None:
-        decision = self.gate.decide(make_request(), None, age_s=0.0)
+        decision = self.gate.decide(build_request(), None, age_s=0.0)
         assert isinstance(decision, Denied)
         self.assertEqual(decision.status, 503)
 
@@ -110,7 +110,7 @@
         self.assertEqual(decision.status, 503)
         self.assertIsNotNone(decision.retry_after_s)
 
-    def test_unknown_is_said_by_a_recent_configuration_alone(self) -> None:
+    def test_only_a_recent_configuration_rejects_unknown_names(self) -> None:
         for changes, status in (({"api_key": "bad"}, 401), ({"target": "/none/"}, 404)):
             recent = self.decide(1.0, **changes)
             old = self.decide(2.0, **changes)
@@ -130,14 +130,14 @@
 
     def setUp(self) -> None:
         self.table = EndpointTable()
-        first = [make_endpoint("x"), make_endpoint("y"), make_endpoint("z", ready=False)]
+        first = [build_endpoint("x"), build_endpoint("y"), build_endpoint("z", ready=False)]
         self.table.apply(first, digest="1", recovering=False)
 
     def list_ready(self) -> list[str]:
         return [record.endpoint_id for record in self.table.list_ready("portal")]
 
     def test_missing_and_leaving_endpoints_get_nothing(self) -> None:
-        self.table.apply([make_endpoint("x", ready=False)], digest="2", recovering=False)
+        self.table.apply([build_endpoint("x", ready=False)], digest="2", recovering=False)
         self.assertEqual(self.list_ready(), [])
 
     def test_lapsed_endpoints_stay_until_they_had_time_to_return(self) -> None:
@@ -148,7 +148,7 @@
         self.table.apply([], digest="2", recovering=True)
         self.assertEqual(self.list_ready(), ["x", "y"])
         self.assertTrue(self.table.has_lapsed)
-        self.table.apply([make_endpoint("y")], digest="3", recovering=False)
+        self.table.apply([build_endpoint("y")], digest="3", recovering=False)
         self.assertEqual(self.list_ready(), ["y"])
 
     def test_an_endpoint_that_was_leaving_does_not_stay(self) -> None:
@@ -160,9 +160,9 @@
     """Urgency is ordered by organisation first and by route second."""
 
     def test_order(self) -> None:
-        answer = make_route(name="answer", path_prefix="/a/", urgency=0)
-        summary = make_route(name="summary", path_prefix="/s/", urgency=2)
-        catalog = make_catalog(answer, summary)
+        answer = build_route(name="answer", path_prefix="/a/", urgency=0)
+        summary = build_route(name="summary", path_prefix="/s/", urgency=2)
+        catalog = build_catalog(answer, summary)
         first = CallerOrganisation(name="first", urgency=0)
         catalog = Catalog(
             version=1,
@@ -183,8 +183,8 @@
         self.assertEqual(order, [0, 1, 2, 3, 4])
 
     def test_more_pairs_than_engines_know_fall_back_to_the_first_rank(self) -> None:
-        routes = [make_route(path_prefix=f"/{n}/", urgency=n) for n in range(12)]
-        catalog = make_catalog(*routes)
+        routes = [build_route(path_prefix=f"/{n}/", urgency=n) for n in range(12)]
+        catalog = build_catalog(*routes)
         self.assertEqual(catalog.find_urgency(routes[3], None), 3)
         self.assertEqual(catalog.find_urgency(routes[11], None), 9)
 
@@ -244,12 +244,12 @@
                 age_s = bound_s - 0.2
                 self.assertTrue(schedule.is_due(age_s=age_s, rank=place, has_update=False, now=0.0))
 
-    def test_news_is_fetched_soon_but_not_by_all_together(self) -> None:
+    def test_an_update_is_fetched_soon_but_not_by_all_together(self) -> None:
         self.assertFalse(self.schedule.is_due(age_s=0.0, rank=9, has_update=True, now=5.0))
         latest = 5.0 + UPDATE_WAIT_S + JITTER_S / 3
         self.assertTrue(self.schedule.is_due(age_s=0.0, rank=9, has_update=True, now=latest + 0.01))
 
-    def test_news_that_was_told_meanwhile_is_not_fetched(self) -> None:
+    def test_an_update_received_meanwhile_is_not_fetched(self) -> None:
         """Guards against one store read by each instance for a single change.
 
         An instance learns that another has a newer table, and receives the table itself a moment
@@ -303,7 +303,7 @@
         "demand": Demand(work_ms=(1.5, 0.0, 30.0)),
         "profiles": {"pool": ESTIMATES},
         "refusals": [
-            RefusalCount(service="pool", urgency=0, asked=2.5, sent_back=0.25, wait_ms=187.5)
+            RejectionCount(service="pool", urgency=0, requests=2.5, rejected=0.25, wait_ms=187.5)
         ],
         "sends": [PromptSend(number=1, endpoint_id="e", part_id="p", tokens=30)],
     }
@@ -316,7 +316,7 @@
     def setUp(self) -> None:
         self.peers = Peers(own_name="me")
 
-    def test_beats_survive_the_wire(self) -> None:
+    def test_heartbeats_round_trip(self) -> None:
         heartbeat = build_heartbeat("x")
         self.assertEqual(decode_heartbeat(encode_heartbeat(heartbeat)), heartbeat)
 
@@ -325,13 +325,13 @@
         with self.assertRaises(MalformedBeat):
             decode_heartbeat(data)
 
-    def test_a_late_beat_of_a_former_process_changes_nothing(self) -> None:
+    def test_a_late_heartbeat_of_a_former_process_changes_nothing(self) -> None:
         self.assertTrue(self.peers.receive(build_heartbeat("x", incarnation=2), now=0.0))
         late = build_heartbeat("x", incarnation=1, sequence=99, state=InstanceState.LEAVING)
         self.assertFalse(self.peers.receive(late, now=0.1))
         self.assertEqual([r.name for r in self.peers.list_serving(now=0.2)], ["x"])
 
-    def test_a_last_beat_that_relays_still_tell_is_no_sign_of_life(self) -> None:
+    def test_a_repeated_last_heartbeat_is_no_liveness_record(self) -> None:
         """Guards against callers that are sent to an instance that has ended.
 
         An aggregator still has the instance's last heartbeat and forwards it to one that has just
@@ -353,7 +353,7 @@
             )
         )
 
-    def test_an_instance_whose_time_of_day_went_back_is_heard_again(self) -> None:
+    def test_an_instance_whose_clock_went_back_is_accepted_again(self) -> None:
         """Guards against ignoring an instance that restarted after its clock went back.
 
         Its first process started while the clock was three seconds ahead. The clock is corrected,
--- a/tests/test_relay_endpoint_load_properties.py
+++ b/tests/test_relay_endpoint_load_properties.py
@@ -34,25 +34,25 @@
 )
 
 
-class ToldLoadsTest(unittest.TestCase):
+class PeerLoadsTest(unittest.TestCase):
     """Loads from other instances, in any order, are summed by endpoint."""
 
     @settings(max_examples=EXAMPLES, deadline=None)
     @given(updates)
     @example([("notice", "i0", {"e0": Load()}), ("notice", "i0", {"e0": Load(requests=1)})])
     @example([("beat", "i0", {"e0": Load()}), ("beat", "i0", {})])
-    def test_sums_agree_with_the_newest_words(self, received: list) -> None:
+    def test_sums_agree_with_the_latest_updates(self, received: list) -> None:
         kept = EndpointLoads()
         latest: dict[str, dict[str, Load]] = {}
         for kind, who, reported in received:
             if kind == "beat":
-                kept.take_peer(who, dict(reported))
+                kept.replace_peer(who, dict(reported))
                 latest[who] = dict(reported)
             elif kind == "notice":
                 kept.update_peer(who, dict(reported))
                 latest.setdefault(who, {}).update(reported)
             else:
-                kept.keep_peers(who)
+                kept.retain_peers(who)
                 latest = {name: known for name, known in latest.items() if name in who}
         for endpoint_id in ENDPOINTS:
             expected = Load()
--- a/tests/test_relay_endpoint_update.py
+++ b/tests/test_relay_endpoint_update.py
@@ -19,12 +19,12 @@
 from guavamast.relay.heartbeat_messages import MalformedBeat
 from guavamast.relay.peers import Peers
 from guavamast.relay.store import EndpointSnapshot
-from tests.relay_facts import make_endpoint
+from tests.relay_fixtures import build_endpoint
 
 
 def make_snapshot(*names: str, store_time: float) -> EndpointSnapshot:
     """Return a snapshot with endpoints of these names."""
-    records = [make_endpoint(name, slots=64) for name in names]
+    records = [build_endpoint(name, slots=64) for name in names]
     return EndpointSnapshot(records=records, digest="-".join(names), store_time=store_time)
 
 
--- a/tests/test_relay_engine_profile.py
+++ b/tests/test_relay_engine_profile.py
@@ -10,15 +10,15 @@
 from dataclasses import dataclass
 from random import Random
 
-from guavamast.relay.admission import WaitTerms, admit
+from guavamast.relay.admission import WaitParameters, admit
 from guavamast.relay.endpoint_choice import EndpointChooser
 from guavamast.relay.endpoint_load import EndpointLoads, Load
-from guavamast.relay.engine_model import forecast
+from guavamast.relay.engine_forecast import forecast
 from guavamast.relay.engine_profile import PRIOR, EngineProfiles, Estimate, ProfileEstimates
+from guavamast.relay.length_buckets import BUCKETS, find_bucket
 from guavamast.relay.placement import Placement
 from guavamast.relay.prompt_cache import PromptCache
-from guavamast.relay.prompt_lanes import LANES, find_lane
-from tests.relay_facts import make_endpoint, make_parts
+from tests.relay_fixtures import build_endpoint, build_parts
 
 
 @dataclass(frozen=True, slots=True, kw_only=True)
@@ -68,18 +68,18 @@
         uncached_tokens = random.choice((100, 400, 3_000, 9_000, 16_000))
         known = uncached_tokens if random.random() < 5 / 6 else uncached_tokens * 4
         took_ms = engine.compute_first_event_ms(uncached_tokens) * random.uniform(0.9, 1.1)
-        profiles.record_first_event("pool", unread_tokens=known, took_ms=took_ms, now=now)
+        profiles.record_first_event("pool", uncached_tokens=known, took_ms=took_ms, now=now)
         tokens = random.randint(20, 400)
         profiles.record_run("pool", output_tokens=tokens, run_ms=tokens * engine.token_ms, now=now)
         profiles.record_pause(
-            "pool", unread_tokens=uncached_tokens, pause_ms=engine.pause_ms, now=now
+            "pool", uncached_tokens=uncached_tokens, pause_ms=engine.pause_ms, now=now
         )
 
 
 class EngineProfilesTest(unittest.TestCase):
     """A profile converges to the engines' performance, whatever the prior."""
 
-    def test_engines_of_unlike_speed_are_told_apart(self) -> None:
+    def test_engines_of_different_speed_get_different_profiles(self) -> None:
         for engine in (FAST, SLOW):
             profiles = EngineProfiles()
             record_answers(engine, profiles)
@@ -98,10 +98,10 @@
         others = EngineProfiles()
         record_answers(SLOW, others)
         mine = EngineProfiles()
-        mine.take_peer("other", others.list_own(now=10.0))
+        mine.replace_peer("other", others.list_own(now=10.0))
         learnt = mine.find("pool", now=10.0)
         self.assertLess(learnt.read_tokens_per_ms, 40.0)
-        mine.keep_peers(set())
+        mine.retain_peers(set())
         self.assertEqual(mine.find("pool", now=20.0), PRIOR)
 
     def test_one_instance_that_is_far_off_changes_little(self) -> None:
@@ -109,10 +109,10 @@
         for number in range(9):
             others = EngineProfiles()
             record_answers(SLOW, others, seed=number)
-            profiles.take_peer(f"p{number}", others.list_own(now=10.0))
+            profiles.replace_peer(f"p{number}", others.list_own(now=10.0))
         before = profiles.find("pool", now=10.0).read_tokens_per_ms
         far = Estimate(value=3_000.0, samples=24)
-        profiles.take_peer(
+        profiles.replace_peer(
             "wrong",
             {
                 "pool": ProfileEstimates(
@@ -134,7 +134,7 @@
         self.assertAlmostEqual(found.read_tokens_per_ms, PRIOR.read_tokens_per_ms)
 
 
-class UnlikeEnginesTest(unittest.TestCase):
+class HeterogeneousEnginesTest(unittest.TestCase):
     """Decisions are right for fast and for slow engines, once their profiles are learnt.
 
     The scenario: a fleet moves to engines that are four times slower, with other objectives. A
@@ -163,7 +163,7 @@
                 )
                 rejection = admit(
                     expected,
-                    WaitTerms(objective_s=engine.objective_s, patient=False),
+                    WaitParameters(objective_s=engine.objective_s, latency_tolerant=False),
                     random=Random(1),
                 )
                 if rejection is not None:
@@ -173,23 +173,23 @@
             allowed_ms = 0.75 * engine.objective_s * 1000.0
             self.assertAlmostEqual(waited_ms, allowed_ms, delta=allowed_ms / 3, msg=name)
 
-    def test_lanes_follow_reading_times(self) -> None:
+    def test_buckets_follow_prefill_times(self) -> None:
         buckets = {}
         for name, engine in (("fast", FAST), ("slow", SLOW)):
             profile = self.learnt[name].find("pool", now=10.0)
-            buckets[name] = find_lane(
+            buckets[name] = find_bucket(
                 3_500, objective_s=5.0, shortest_s=engine.objective_s, profile=profile
             )
         self.assertEqual(buckets["fast"], 1)
         self.assertEqual(buckets["slow"], 1)
         for name, engine, tokens in (("fast", FAST, 1_500), ("slow", SLOW, 800)):
             profile = self.learnt[name].find("pool", now=10.0)
-            bucket = find_lane(
+            bucket = find_bucket(
                 tokens, objective_s=5.0, shortest_s=engine.objective_s, profile=profile
             )
             self.assertEqual(bucket, 0, name)
 
-    def test_a_cached_prompt_is_worth_the_wait_that_reading_it_would_take(self) -> None:
+    def test_cached_prefix_is_weighed_against_its_prefill_time(self) -> None:
         """A part is in the KV cache of an engine with a queue; a second engine is idle.
 
         Where the part is prefilled in 33 ms, the cache isn't worth a wait of 300 ms; where that
@@ -199,21 +199,21 @@
         for name, engine in (("fast", FAST), ("slow", SLOW)):
             loads = EndpointLoads()
             queue_tokens = int(300.0 * engine.read_tokens_per_ms)
-            loads.take_peer("peer", {"warm": Load(requests=2, prefill_tokens=queue_tokens)})
+            loads.replace_peer("peer", {"warm": Load(requests=2, prefill_tokens=queue_tokens)})
             cache = PromptCache()
             cache.record("warm", "session", 4_000, now=0.0)
             chooser = EndpointChooser(loads=loads, cache=cache, random=Random(1))
             placement = Placement(
-                prompt_parts=make_parts(("session", 4_000), ("own", 100)),
+                prompt_parts=build_parts(("session", 4_000), ("own", 100)),
                 prompt_tokens=4_100,
                 failure_domain="a",
-                lane=0,
-                lane_shares=(1.0,) + (0.0,) * (LANES - 1),
+                bucket=0,
+                bucket_shares=(1.0,) + (0.0,) * (BUCKETS - 1),
                 output_tokens=50,
-                memory_tokens=600_000,
+                kv_capacity_tokens=600_000,
                 profile=self.learnt[name].find("pool", now=10.0),
             )
-            endpoints = [make_endpoint(one, slots=engine.slots) for one in ("warm", "cold")]
+            endpoints = [build_endpoint(one, slots=engine.slots) for one in ("warm", "cold")]
             choice = chooser.choose(placement, endpoints, exclude=frozenset(), now=0.0)
             assert choice is not None
             chosen[name] = choice.record.endpoint_id
--- a/tests/test_relay_exchange.py
+++ b/tests/test_relay_exchange.py
@@ -19,17 +19,17 @@
 from guavamast.relay.endpoint_load import EndpointLoads
 from guavamast.relay.engine_profile import EngineProfiles
 from guavamast.relay.exchange import Exchanger
+from guavamast.relay.length_buckets import PromptDemand
 from guavamast.relay.loop_delay import LoopDelay
 from guavamast.relay.messages import ResponseWriter
 from guavamast.relay.placer import LocalPlacer, PlacementDecision
 from guavamast.relay.prompt_cache import PromptCache
-from guavamast.relay.prompt_lanes import PromptDemand
-from guavamast.relay.refusal_history import RefusalHistory
+from guavamast.relay.rejection_history import RejectionHistory
 from guavamast.relay.relayer import Relayer
 from guavamast.relay.request_progress import RequestProgress, begin_progress
 from guavamast.relay.request_recorder import RequestRecorder
 from guavamast.relay.retry_budget import RetryBudget, RetryBudgetSettings
-from tests.relay_facts import PROFILE, make_endpoint, make_request, make_route
+from tests.relay_fixtures import PROFILE, build_endpoint, build_request, build_route
 from tests.test_relay_caller_admission import AdmissionSimulation
 
 if TYPE_CHECKING:
@@ -65,7 +65,7 @@
         self.engine = EngineStandIn(engine_id="x")
         port = await self.engine.listen()
         self.addAsyncCleanup(self.engine.stop)
-        self.record = make_endpoint("x", port=port)
+        self.record = build_endpoint("x", port=port)
         self.world.change_endpoints(self.record)
         self.pool = SlowPool(self.world)
         self.exchanger = self.make_exchanger()
@@ -95,7 +95,7 @@
         admitted = await self.world.admit()
         assert isinstance(admitted, Admitted)
         headers = (("Host", "portal.example"), ("X-Attempt-Id", "r1"))
-        request = make_request(arrived=self.world.now, headers=headers)
+        request = build_request(arrived=self.world.now, headers=headers)
         progress = begin_progress(
             request,
             admitted,
@@ -104,7 +104,7 @@
             profile=PROFILE,
             most_urgent=True,
         )
-        choice = Choice(record=self.record, forecast=None, unread_tokens=0)
+        choice = Choice(record=self.record, forecast=None, uncached_tokens=0)
         writer = mock.create_autospec(ResponseWriter, instance=True, started=False)
         await self.exchanger.run(request, writer, progress, PlacementDecision(choice=choice))
         return progress
@@ -120,7 +120,7 @@
             ),
             demand=PromptDemand(),
             profiles=EngineProfiles(),
-            rejections=RefusalHistory(),
+            rejections=RejectionHistory(),
             random=Random(1),
             read_time=lambda: self.world.now,
         )
@@ -142,7 +142,7 @@
         )
         headers = (("Host", "portal.example"), ("X-Attempt-Id", "r1"))
         writer = mock.create_autospec(ResponseWriter, instance=True, started=False)
-        request = make_request(arrived=self.world.now, headers=headers, patience_s=60.0)
+        request = build_request(arrived=self.world.now, headers=headers, patience_s=60.0)
         await relayer.relay(request, writer)
         return writer
 
@@ -152,11 +152,11 @@
         While its connection is acquired, the route moves to another service and the staleness bound
         passes. The request is admitted again and runs at the route's new service.
         """
-        self.world.replace_routes(make_route(timeout_s=30.0))
+        self.world.replace_routes(build_route(timeout_s=30.0))
         annex = EngineStandIn(engine_id="z")
         port = await annex.listen()
         self.addAsyncCleanup(annex.stop)
-        moved = make_endpoint("z", service="annex", port=port)
+        moved = build_endpoint("z", service="annex", port=port)
         self.pool.on_acquire.append(self.world.move_route)
         self.pool.on_acquire.append(lambda: self.world.change_endpoints(self.record, moved))
         self.pool.delay_s = 1.7
@@ -165,8 +165,8 @@
         self.assertEqual((len(self.engine.runs), len(annex.runs)), (0, 1))
 
     async def test_a_delayed_request_without_route_is_rejected_as_not_run(self) -> None:
-        self.world.replace_routes(make_route(timeout_s=30.0))
-        other = make_route(path_prefix="/other/")
+        self.world.replace_routes(build_route(timeout_s=30.0))
+        other = build_route(path_prefix="/other/")
         self.pool.on_acquire.append(lambda: self.world.replace_routes(other))
         self.pool.delay_s = 1.7
         writer = await self.relay()
--- a/tests/test_relay_heartbeat_exchange.py
+++ b/tests/test_relay_heartbeat_exchange.py
@@ -28,10 +28,10 @@
     AGGREGATORS_PER_DOMAIN,
     HeartbeatTopology,
 )
+from guavamast.relay.length_buckets import BUCKETS, Demand
 from guavamast.relay.peers import AGGREGATED_SILENCE_S, FULL_MESH_INSTANCES, Peers
-from guavamast.relay.prompt_lanes import LANES, Demand
 from guavamast.relay.store import EndpointSnapshot, InstanceRecord
-from tests.relay_facts import make_endpoint
+from tests.relay_fixtures import build_endpoint
 
 NARROW_LINK = InstanceRecord(
     name="x",
@@ -95,7 +95,7 @@
             catalog=self.catalog,
             endpoints=None,
             loads={},
-            demand=Demand(work_ms=(0.0,) * LANES),
+            demand=Demand(work_ms=(0.0,) * BUCKETS),
             rejections=[],
             profiles={},
             sends=[],
@@ -323,7 +323,7 @@
 
     async def test_an_endpoint_update_reaches_all(self) -> None:
         snapshot = EndpointSnapshot(
-            records=[make_endpoint("e1", slots=64)], digest="d", store_time=1.0
+            records=[build_endpoint("e1", slots=64)], digest="d", store_time=1.0
         )
         update = EndpointUpdate(domain=DOMAINS[11 % len(DOMAINS)], snapshot=snapshot)
         self.network.instances["i11"].exchange.send_table_update(encode_endpoint_update(update))
--- a/tests/test_relay_disturbance.py
+++ b/tests/test_relay_prefill_interference.py
@@ -12,14 +12,14 @@
 from random import Random
 
 from guavamast.relay.catalog import RouteKind
-from guavamast.relay.disturbance import estimate_delayed_share, is_delicate
 from guavamast.relay.endpoint_choice import EndpointChooser
 from guavamast.relay.endpoint_load import EndpointLoads, Load
 from guavamast.relay.engine_profile import EngineProfile
+from guavamast.relay.length_buckets import assign_buckets
 from guavamast.relay.placement import Placement
+from guavamast.relay.prefill_interference import estimate_delayed_share, is_pause_sensitive
 from guavamast.relay.prompt_cache import PromptCache
-from guavamast.relay.prompt_lanes import assign_buckets
-from tests.relay_facts import make_endpoint, make_route
+from tests.relay_fixtures import build_endpoint, build_route
 
 PROFILE = EngineProfile(
     first_event_ms=30.0,
@@ -31,13 +31,13 @@
 SHARES = (0.5, 0.5, 0.0)
 
 
-class DelicateRouteTest(unittest.TestCase):
+class PauseSensitiveRouteTest(unittest.TestCase):
     """Whether a route is pause-sensitive depends on the pauses that prefill causes."""
 
     def test_pause_allowed_against_pause_made(self) -> None:
         for pause_s, pause_sensitive in ((0.12, True), (0.15, True), (0.2, False), (None, False)):
-            route = make_route(kind=RouteKind.STREAM, longest_pause_s=pause_s)
-            self.assertEqual(is_delicate(route, PROFILE), pause_sensitive, pause_s)
+            route = build_route(kind=RouteKind.STREAM, longest_pause_s=pause_s)
+            self.assertEqual(is_pause_sensitive(route, PROFILE), pause_sensitive, pause_s)
 
     def test_late_share_grows_with_the_reading(self) -> None:
         shares = [
@@ -46,12 +46,12 @@
         self.assertEqual(shares, [0.0, 0.0, 0.5, 1.0, 1.0])
 
 
-class ApartTest(unittest.TestCase):
+class PauseSensitivePlacementTest(unittest.TestCase):
     """Pause-sensitive streams and long prompts use different engines."""
 
     def setUp(self) -> None:
         self.loads = EndpointLoads()
-        self.endpoints = [make_endpoint(f"e{number}", slots=32) for number in range(8)]
+        self.endpoints = [build_endpoint(f"e{number}", slots=32) for number in range(8)]
         self.buckets = assign_buckets(self.endpoints, SHARES)
         self.short_engines = sorted(name for name, bucket in self.buckets.items() if bucket == 0)
         self.long_engines = sorted(name for name, bucket in self.buckets.items() if bucket == 1)
@@ -61,12 +61,12 @@
             prompt_parts=(),
             prompt_tokens=tokens,
             failure_domain="a",
-            lane=0 if pause_sensitive else 1,
-            lane_shares=SHARES,
+            bucket=0 if pause_sensitive else 1,
+            bucket_shares=SHARES,
             output_tokens=200,
-            memory_tokens=300_000,
+            kv_capacity_tokens=300_000,
             profile=PROFILE,
-            delicate=pause_sensitive,
+            pause_sensitive=pause_sensitive,
             shortest_pause_s=0.12,
         )
         chooser = EndpointChooser(loads=self.loads, cache=PromptCache(), random=Random(3))
@@ -74,25 +74,25 @@
         assert choice is not None
         return choice.record.endpoint_id
 
-    def test_a_question_stays_among_questions_though_other_engines_idle(self) -> None:
+    def test_pause_sensitive_request_stays_in_its_bucket_while_other_engines_idle(self) -> None:
         """Guards against a question at an idle engine of the dossiers' bucket.
 
         Thirty-one questions run at each engine of their own bucket; the other engines are idle.
         There, a question would be late as soon as the next dossier arrives.
         """
-        busy = {name: Load(requests=31, delicate=31) for name in self.short_engines}
-        self.loads.take_peer("peer", busy)
+        busy = {name: Load(requests=31, pause_sensitive=31) for name in self.short_engines}
+        self.loads.replace_peer("peer", busy)
         self.assertIn(self.choose(tokens=800, pause_sensitive=True), self.short_engines)
 
-    def test_a_question_avoids_the_engine_that_reads_a_dossier(self) -> None:
-        self.loads.take_peer(
+    def test_pause_sensitive_request_avoids_an_engine_with_pending_prefill(self) -> None:
+        self.loads.replace_peer(
             "peer", {self.short_engines[0]: Load(requests=1, prefill_tokens=12_000)}
         )
         for name in self.short_engines[1:]:
-            self.loads.take_peer(f"p{name}", {name: Load(requests=9, delicate=9)})
+            self.loads.replace_peer(f"p{name}", {name: Load(requests=9, pause_sensitive=9)})
         self.assertIn(self.choose(tokens=800, pause_sensitive=True), self.short_engines[1:])
 
-    def test_a_dossier_waits_rather_than_make_questions_late(self) -> None:
+    def test_long_prompt_waits_rather_than_delay_pause_sensitive_streams(self) -> None:
         """Guards against a dossier that makes running questions late.
 
         An engine has just changed to the dossiers' bucket, and three questions still run there. The
@@ -100,16 +100,16 @@
         within its objective, and the questions end in time.
         """
         changed, *others = self.long_engines
-        self.loads.take_peer("peer", {changed: Load(requests=3, delicate=3)})
+        self.loads.replace_peer("peer", {changed: Load(requests=3, pause_sensitive=3)})
         for name in others:
-            self.loads.take_peer(f"p{name}", {name: Load(requests=2, prefill_tokens=12_000)})
+            self.loads.replace_peer(f"p{name}", {name: Load(requests=2, prefill_tokens=12_000)})
         self.assertIn(self.choose(tokens=9_000, pause_sensitive=False), others)
 
-    def test_a_prompt_that_is_soon_read_disturbs_nobody(self) -> None:
+    def test_short_prefill_may_join_pause_sensitive_streams(self) -> None:
         changed, *others = self.long_engines
-        self.loads.take_peer("peer", {changed: Load(requests=3, delicate=3)})
+        self.loads.replace_peer("peer", {changed: Load(requests=3, pause_sensitive=3)})
         for name in others:
-            self.loads.take_peer(f"p{name}", {name: Load(requests=2, prefill_tokens=12_000)})
+            self.loads.replace_peer(f"p{name}", {name: Load(requests=2, prefill_tokens=12_000)})
         self.assertEqual(self.choose(tokens=2_000, pause_sensitive=False), changed)
 
 
--- a/tests/test_relay_scheduler.py
+++ b/tests/test_relay_scheduler.py
@@ -19,7 +19,7 @@
     WorkReport,
     WorkUpdate,
 )
-from tests.relay_facts import PROFILE, make_endpoint
+from tests.relay_fixtures import PROFILE, build_endpoint
 from tests.scheduling_simulation import GROUP, KV_CAPACITY_TOKENS, POOL, make_query
 
 FACTS = ServiceParameters(
@@ -34,7 +34,7 @@
 
     def setUp(self) -> None:
         self.scheduler = GroupScheduler(random=Random(1), now=BEGAN)
-        self.engines = [make_endpoint(f"e{number}", service=POOL, slots=8) for number in range(4)]
+        self.engines = [build_endpoint(f"e{number}", service=POOL, slots=8) for number in range(4)]
 
     def decide(self, number: int, *, now: float = NOW, **changes: object) -> PlacementReply:
         query = make_query(number, **changes)
@@ -64,7 +64,7 @@
 
     def test_simultaneous_requests_of_many_instances_spread(self) -> None:
         """Forty prompts without a shared part arrive at forty instances within a millisecond."""
-        self.engines = [make_endpoint(f"e{one}", service=POOL, slots=64) for one in range(4)]
+        self.engines = [build_endpoint(f"e{one}", service=POOL, slots=64) for one in range(4)]
         for number in range(40):
             reply = self.decide(number, asker=f"i{number}", prompt_parts=(), objective_s=1.0)
             self.assertIs(reply.verdict, Verdict.GRANTED)
@@ -77,7 +77,7 @@
         self.decide(1)
         self.assertEqual(self.sum_loads().prefill_tokens, 1_000)
         self.update(1, WorkPhase.RUNNING)
-        self.assertEqual(self.sum_loads(), Load(requests=1, memory_tokens=1_200))
+        self.assertEqual(self.sum_loads(), Load(requests=1, kv_tokens=1_200))
         self.update(1, WorkPhase.ENDED)
         self.update(1, WorkPhase.ENDED)
         self.assertEqual(self.sum_loads(), Load())
@@ -133,7 +133,7 @@
         self.report(work)
         self.assertEqual(
             scheduler.work.loads.sum_up("e0"),
-            Load(requests=1, prefill_tokens=900, memory_tokens=1_200),
+            Load(requests=1, prefill_tokens=900, kv_tokens=1_200),
         )
         self.assertTrue(self.decide(8, asker="i2").learning)
         self.assertFalse(self.decide(9, asker="i2", now=NOW + LEARNING_S).learning)
@@ -189,7 +189,7 @@
         on. The short prompt still fits, and no engine has to preempt it.
         """
         scheduler = GroupScheduler(random=Random(1), now=BEGAN)
-        engine = make_endpoint("e", service=POOL, slots=64)
+        engine = build_endpoint("e", service=POOL, slots=64)
         long_prompt = {
             "prompt_parts": (),
             "prompt_tokens": 3_000,
@@ -211,7 +211,7 @@
         self.assertIs(verdict, Verdict.REFUSED)
         urgent = scheduler.decide(make_query(999, requester="i2"), [engine], FACTS, now=NOW)
         self.assertIs(urgent.verdict, Verdict.GRANTED)
-        self.assertLessEqual(scheduler.work.loads.sum_up("e").memory_tokens, KV_CAPACITY_TOKENS)
+        self.assertLessEqual(scheduler.work.loads.sum_up("e").kv_tokens, KV_CAPACITY_TOKENS)
 
 
 class GroupsTest(unittest.TestCase):
@@ -222,7 +222,7 @@
         self.groups = EndpointGroups(table=self.table)
 
     def list_groups(self, number: int) -> dict[str, set[str]]:
-        records = [make_endpoint(f"e{one}", service=POOL) for one in range(number)]
+        records = [build_endpoint(f"e{one}", service=POOL) for one in range(number)]
         self.table.apply(records, digest=str(number), recovering=False)
         names = self.groups.rank(POOL, "key")
         return {
--- a/tests/test_relay_scheduler_properties.py
+++ b/tests/test_relay_scheduler_properties.py
@@ -9,7 +9,7 @@
 from hypothesis import given, settings
 from hypothesis import strategies as st
 
-from guavamast.relay.engine_model import FIRST_MEMORY_SHARE, PATIENT_MEMORY_SHARE
+from guavamast.relay.engine_forecast import LESS_URGENT_KV_SHARE, MOST_URGENT_KV_SHARE
 from guavamast.relay.scheduler import LEARNING_S, GroupScheduler, ServiceParameters
 from guavamast.relay.scheduling_messages import (
     PlacementQuery,
@@ -23,14 +23,14 @@
     decode_scheduling,
     encode_scheduling,
 )
-from tests.relay_facts import PROFILE, make_endpoint
+from tests.relay_fixtures import PROFILE, build_endpoint
 from tests.scheduling_simulation import GROUP, KV_CAPACITY_TOKENS, POOL, make_query
 
 EXAMPLES = int(os.environ.get("GUAVAMAST_EXAMPLES", "100"))
 FACTS = ServiceParameters(
     profile=PROFILE, kv_capacity_tokens=KV_CAPACITY_TOKENS, shortest_pause_s=0.6
 )
-ENGINES = [make_endpoint(f"e{number}", service=POOL, slots=8) for number in range(2)]
+ENGINES = [build_endpoint(f"e{number}", service=POOL, slots=8) for number in range(2)]
 
 event_lists = st.lists(
     st.one_of(
@@ -101,7 +101,7 @@
             for query, place in running.values()
             if place == endpoint_id
         )
-        share = FIRST_MEMORY_SHARE if first else PATIENT_MEMORY_SHARE
+        share = MOST_URGENT_KV_SHARE if first else LESS_URGENT_KV_SHARE
         self.assertLessEqual(taken, share * KV_CAPACITY_TOKENS)
 
     def report(
--- a/tests/test_relay_scheduling.py
+++ b/tests/test_relay_scheduling.py
@@ -7,19 +7,19 @@
 from random import Random
 from typing import TYPE_CHECKING
 
-from guavamast.relay.admission import ComeBack
+from guavamast.relay.admission import Rejection
 from guavamast.relay.caller_gate import Admitted
 from guavamast.relay.endpoint_choice import EndpointChooser
 from guavamast.relay.endpoint_load import EndpointLoads
+from guavamast.relay.length_buckets import PromptDemand
 from guavamast.relay.placer import LocalPlacer, PlacementDecision, ScheduledPlacer
 from guavamast.relay.prompt_cache import PromptCache
-from guavamast.relay.prompt_lanes import PromptDemand
-from guavamast.relay.refusal_history import RefusalHistory
+from guavamast.relay.rejection_history import RejectionHistory
 from guavamast.relay.request_progress import RequestProgress, begin_progress
 from guavamast.relay.scheduled_work import LEASE_S
 from guavamast.relay.scheduler_directory import BACKOFF_S, TIMEOUTS_BEFORE_BACKOFF
 from guavamast.relay.scheduling_client import GRANT_VALID_S, MAX_TIMEOUT_S
-from tests.relay_facts import PROFILE, make_request
+from tests.relay_fixtures import PROFILE, build_request
 from tests.scheduling_simulation import GROUP, POOL, PROMPT_PARTS, SchedulingSimulation
 
 if TYPE_CHECKING:
@@ -45,7 +45,7 @@
             chooser=EndpointChooser(loads=loads, cache=PromptCache(), random=Random(1)),
             demand=PromptDemand(),
             profiles=instance.profiles,
-            rejections=RefusalHistory(),
+            rejections=RejectionHistory(),
             random=Random(1),
             read_time=lambda: self.simulation.now,
         )
@@ -79,7 +79,7 @@
         """Place a short prompt at an instance."""
         instance = self.simulation.instances[name]
         values = {"prompt_parts": PROMPT_PARTS, "prompt_tokens": 1_000, "output_tokens": 200}
-        request = make_request(**(values | changes))
+        request = build_request(**(values | changes))
         return await self.build_placer(instance).place(
             request, self.build_progress(instance, request)
         )
@@ -258,7 +258,7 @@
         placed = await self.place(prompt_parts=(), prompt_tokens=40_000)
         while placed.rejection is None:
             placed = await self.place(prompt_parts=(), prompt_tokens=40_000)
-        self.assertIsInstance(placed.rejection, ComeBack)
+        self.assertIsInstance(placed.rejection, Rejection)
 
 
 if __name__ == "__main__":
--- a/tests/test_relay_stream_timing.py
+++ b/tests/test_relay_stream_timing.py
@@ -6,14 +6,14 @@
 
 from guavamast.relay.catalog import RouteKind
 from guavamast.relay.stream_timing import Lateness, StreamTiming
-from tests.relay_facts import make_route
+from tests.relay_fixtures import build_route
 
 
 class StreamTimingTest(unittest.TestCase):
     """A stream is late by its first event or its longest pause, from whichever endpoint."""
 
     def setUp(self) -> None:
-        self.route = make_route(kind=RouteKind.STREAM, objective_s=0.25, longest_pause_s=0.12)
+        self.route = build_route(kind=RouteKind.STREAM, objective_s=0.25, longest_pause_s=0.12)
         self.timing = StreamTiming(received_at=10.0)
 
     def record_events(self, *times: float) -> None:
--- a/tests/test_relay_urgency_order.py
+++ b/tests/test_relay_urgency_order.py
@@ -4,7 +4,7 @@
 
 import unittest
 
-from tests.burst_world import (
+from tests.burst_simulation import (
     DOSSIER,
     FEWER_DOSSIERS,
     QUESTION,
@@ -32,14 +32,14 @@
                     self.assertGreater(other.started, 0)
 
 
-class BurstOfTwoKindsTest(BurstTestCase):
+class SchedulerBurstTest(BurstTestCase):
     """One scheduler decides for all instances."""
 
     def test_urgent_requests_are_not_refused_while_larger_less_urgent_ones_begin(self) -> None:
         """Guards against less urgent work that fills queues beyond the wait of urgent requests."""
         self.check([QUESTION, DOSSIER], local=False)
 
-    def test_less_urgent_requests_that_are_due_sooner_make_way_too(self) -> None:
+    def test_less_urgent_requests_with_earlier_deadlines_yield_too(self) -> None:
         """Guards against an order by objective instead of urgency."""
         self.check([QUESTION, TIGHT_DEADLINE], local=False)
 
@@ -48,7 +48,7 @@
         self.check([QUESTION, FEWER_DOSSIERS, SUMMARY], local=False)
 
 
-class OwnBurstTest(BurstTestCase):
+class InstanceBurstTest(BurstTestCase):
     """Each instance decides locally and receives the others' rejections a heartbeat late."""
 
     def test_urgent_requests_are_not_refused_while_larger_less_urgent_ones_begin(self) -> None:
