--- a/src/guavamast/relay/exchange.py
+++ b/src/guavamast/relay/exchange.py
@@ -43,7 +43,7 @@
 class PublishLoad(Protocol):
     """Reports that this instance's work at an endpoint has changed."""
 
-    def __call__(self, endpoint_id: str, *, more: bool) -> None:
+    def __call__(self, endpoint_id: str, *, increased: bool) -> None:
         """Report an endpoint and whether its work has grown."""
 
 
@@ -161,7 +161,7 @@
                     failure_weight=failure_weight,
                     longest_pause_s=progress.timing.longest_pause_s,
                 )
-            self._publish_load(record.endpoint_id, more=False)
+            self._publish_load(record.endpoint_id, increased=False)
 
     def _begin_work(
         self, request: CallerRequest, progress: RequestProgress, choice: Choice
@@ -179,7 +179,7 @@
             # prompts need not avoid the engine because of it.
             pause_sensitive=progress.pause_sensitive and choice.own_bucket,
         )
-        self._publish_load(endpoint_id, more=True)
+        self._publish_load(endpoint_id, increased=True)
         return work
 
     async def _exchange(
@@ -260,7 +260,7 @@
         def on_event(event_id: str | None) -> None:
             now = self._read_time()
             if send.finish_prefill():
-                self._publish_load(endpoint_id, more=False)
+                self._publish_load(endpoint_id, increased=False)
             uncached_tokens = self._loads.sum_up(endpoint_id).prefill_tokens
             first = progress.timing.first_event_s is None
             sampler.record_event(uncached_tokens=uncached_tokens, now=now)
--- a/tests/burst_simulation.py
+++ b/tests/burst_simulation.py
@@ -145,15 +145,15 @@
             prompt_parts=(),
             prompt_tokens=kind.prompt_tokens,
             output_tokens=OUTPUT_TOKENS,
-            lane=find_bucket(
+            bucket=find_bucket(
                 kind.prompt_tokens,
                 objective_s=kind.objective_s,
                 shortest_s=self.shortest_s,
                 profile=PROFILE,
             ),
             objective_s=kind.objective_s,
-            patient=is_latency_tolerant(kind.objective_s, shortest_s=self.shortest_s),
-            first=kind.urgency == 0,
+            latency_tolerant=is_latency_tolerant(kind.objective_s, shortest_s=self.shortest_s),
+            most_urgent=kind.urgency == 0,
             urgency=kind.urgency,
         )
 
@@ -252,7 +252,7 @@
             request_id=str(event.number),
             prompt_tokens=kind.prompt_tokens,
             output_tokens=OUTPUT_TOKENS,
-            arrived=self.now,
+            received_at=self.now,
         )
         route = self.find_route(kind)
         progress = begin_progress(
--- a/tests/relay_fixtures.py
+++ b/tests/relay_fixtures.py
@@ -65,7 +65,7 @@
 
 
 def build_request(**changes: Any) -> CallerRequest:
-    """Return a request to the route of `make_route`, with changes."""
+    """Return a request to the route of `build_route`, with changes."""
     values: dict[str, Any] = {
         "request_id": "r1",
         "method": "GET",
@@ -75,11 +75,11 @@
         "body": b"",
         "has_body": False,
         "api_key": "good",
-        "patience_s": 1.5,
+        "timeout_s": 1.5,
         "prompt_parts": (),
         "prompt_tokens": 0,
         "output_tokens": 0,
-        "arrived": 100.0,
+        "received_at": 100.0,
     }
     return CallerRequest(**(values | changes))
 
@@ -95,7 +95,7 @@
         "failure_domain": "a",
         "slots": 6,
         "ready": True,
-        "born_ms": 1,
+        "started_ms": 1,
     }
     return EndpointRecord(**(values | changes))
 
--- a/tests/scheduling_simulation.py
+++ b/tests/scheduling_simulation.py
@@ -59,22 +59,22 @@
 def make_query(number: int, *, requester: str = "i1", **changes: Any) -> PlacementQuery:
     """Return a query for a short prompt; keyword arguments replace its fields."""
     values: dict[str, Any] = {
-        "asker": Requester(instance=requester, incarnation=1),
+        "requester": Requester(instance=requester, incarnation=1),
         "number": number,
         "group": GROUP,
         "service": POOL,
         "prompt_parts": PROMPT_PARTS,
         "prompt_tokens": 1_000,
         "output_tokens": 200,
-        "lane": 0,
+        "bucket": 0,
         "objective_s": 0.3,
-        "delicate": False,
-        "patient": False,
-        "first": True,
+        "pause_sensitive": False,
+        "latency_tolerant": False,
+        "most_urgent": True,
         "urgency": 0,
         "failure_domain": "a",
         "excluded": (),
-        "refusable": True,
+        "rejectable": True,
     }
     return PlacementQuery(**(values | changes))
 
--- a/tests/test_relay_caller_admission.py
+++ b/tests/test_relay_caller_admission.py
@@ -102,7 +102,7 @@
         self.records = list(records)
 
     async def admit(self, timeout_s: float = 1.5) -> Admitted | Denied:
-        request = build_request(arrived=self.now, patience_s=timeout_s)
+        request = build_request(received_at=self.now, timeout_s=timeout_s)
         return await self.admission.admit(request, until=self.now + timeout_s)
 
     async def _answer(self) -> float:
--- a/tests/test_relay_decisions.py
+++ b/tests/test_relay_decisions.py
@@ -296,13 +296,13 @@
         "incarnation": incarnation,
         "sequence": sequence,
         "state": InstanceState.SERVING,
-        "store_answers": True,
+        "store_reachable": True,
         "catalog": FreshnessStamp(version="5", store_time=1.25),
         "endpoints": None,
         "loads": {"e": Load(requests=2, prefill_tokens=30)},
         "demand": Demand(work_ms=(1.5, 0.0, 30.0)),
         "profiles": {"pool": ESTIMATES},
-        "refusals": [
+        "rejections": [
             RejectionCount(service="pool", urgency=0, requests=2.5, rejected=0.25, wait_ms=187.5)
         ],
         "sends": [PromptSend(number=1, endpoint_id="e", part_id="p", tokens=30)],
@@ -384,7 +384,7 @@
 
     def test_an_instance_that_the_store_turns_away_is_no_reader(self) -> None:
         for name in "abcdefgh":
-            self.peers.receive(build_heartbeat(name, store_answers=False), now=0.0)
+            self.peers.receive(build_heartbeat(name, store_reachable=False), now=0.0)
         self.assertEqual(self.peers.rank_as_reader(now=0.1), 0)
         for name in "abcdefgh":
             self.peers.receive(build_heartbeat(name, sequence=2), now=0.1)
--- a/tests/test_relay_endpoint_load_properties.py
+++ b/tests/test_relay_endpoint_load_properties.py
@@ -20,8 +20,8 @@
         Load,
         requests=st.integers(0, 9),
         prefill_tokens=st.integers(0, 9_000),
-        memory_tokens=st.integers(0, 9_000),
-        delicate=st.integers(0, 3),
+        kv_tokens=st.integers(0, 9_000),
+        pause_sensitive=st.integers(0, 3),
     ),
 )
 updates = st.lists(
--- a/tests/test_relay_exchange.py
+++ b/tests/test_relay_exchange.py
@@ -95,7 +95,7 @@
         admitted = await self.world.admit()
         assert isinstance(admitted, Admitted)
         headers = (("Host", "portal.example"), ("X-Attempt-Id", "r1"))
-        request = build_request(arrived=self.world.now, headers=headers)
+        request = build_request(received_at=self.world.now, headers=headers)
         progress = begin_progress(
             request,
             admitted,
@@ -142,7 +142,7 @@
         )
         headers = (("Host", "portal.example"), ("X-Attempt-Id", "r1"))
         writer = mock.create_autospec(ResponseWriter, instance=True, started=False)
-        request = build_request(arrived=self.world.now, headers=headers, patience_s=60.0)
+        request = build_request(received_at=self.world.now, headers=headers, timeout_s=60.0)
         await relayer.relay(request, writer)
         return writer
 
--- a/tests/test_relay_placement.py
+++ b/tests/test_relay_placement.py
@@ -75,9 +75,11 @@
         for number in range(1, 20):
             self.loads.replace_peer(f"p{number}", {f"e{number}": Load(requests=5)})
         all_in_one = (1.0, 0.0, 0.0)
-        self.placement = replace(self.placement, prompt_parts=(), lane=0, lane_shares=all_in_one)
+        self.placement = replace(
+            self.placement, prompt_parts=(), bucket=0, bucket_shares=all_in_one
+        )
         self.assertEqual({self.choose(seed=seed) for seed in range(60)}, {"e0"})
-        self.placement = replace(self.placement, loads_late=True)
+        self.placement = replace(self.placement, loads_stale=True)
         choices = [self.choose(seed=seed) for seed in range(60)]
         self.assertLess(choices.count("e0"), 30)
         self.assertGreater(len(set(choices)), 8)
@@ -94,7 +96,7 @@
         assert affinity_endpoint is not None
         self.loads.replace_peer("peer", {affinity_endpoint: Load(requests=4, prefill_tokens=6_000)})
         for loads_late in (False, True):
-            self.placement = replace(self.placement, loads_late=loads_late)
+            self.placement = replace(self.placement, loads_stale=loads_late)
             chosen = {self.choose(seed=seed) for seed in range(20)}
             self.assertEqual(chosen == {affinity_endpoint}, loads_late)
 
@@ -123,7 +125,7 @@
         shares = (0.2, 0.8, 0.0)
         buckets = assign_buckets(self.endpoints, shares)
         self.placement = replace(
-            self.placement, prompt_parts=(), lane=0, lane_shares=shares, loads_late=True
+            self.placement, prompt_parts=(), bucket=0, bucket_shares=shares, loads_stale=True
         )
         chosen = [self.choose(seed=seed) for seed in range(60)]
         self.assertEqual({buckets[str(name)] for name in chosen}, {0})
@@ -131,7 +133,7 @@
 
     def test_late_loads_keep_sessions_where_they_are(self) -> None:
         self.endpoints = [build_endpoint(f"e{number}", slots=64) for number in range(20)]
-        self.placement = replace(self.placement, loads_late=True)
+        self.placement = replace(self.placement, loads_stale=True)
         self.assertEqual(len({self.choose(seed=seed) for seed in range(40)}), 1)
 
     def test_a_prompt_leaves_its_cached_part_where_it_would_come_late(self) -> None:
--- a/tests/test_relay_scheduler.py
+++ b/tests/test_relay_scheduler.py
@@ -40,9 +40,11 @@
         query = make_query(number, **changes)
         return self.scheduler.decide(query, self.engines, FACTS, now=now)
 
-    def update(self, number: int, phase: WorkPhase, *, asker: str = "i1", **changes: float) -> None:
+    def update(
+        self, number: int, phase: WorkPhase, *, requester: str = "i1", **changes: float
+    ) -> None:
         update = WorkUpdate(
-            requester=Requester(instance=asker, incarnation=1),
+            requester=Requester(instance=requester, incarnation=1),
             group=GROUP,
             number=number,
             phase=phase,
@@ -51,9 +53,9 @@
         self.scheduler.work.apply_update(update, now=NOW)
 
     def report(self, *works: PlacedWork, now: float = NOW, incarnation: int = 1) -> None:
-        asker = Requester(instance="i1", incarnation=incarnation)
+        requester = Requester(instance="i1", incarnation=incarnation)
         self.scheduler.work.apply_report(
-            WorkReport(requester=asker, group=GROUP, works=works), now=now
+            WorkReport(requester=requester, group=GROUP, works=works), now=now
         )
 
     def sum_loads(self) -> Load:
@@ -66,7 +68,7 @@
         """Forty prompts without a shared part arrive at forty instances within a millisecond."""
         self.engines = [build_endpoint(f"e{one}", service=POOL, slots=64) for one in range(4)]
         for number in range(40):
-            reply = self.decide(number, asker=f"i{number}", prompt_parts=(), objective_s=1.0)
+            reply = self.decide(number, requester=f"i{number}", prompt_parts=(), objective_s=1.0)
             self.assertIs(reply.verdict, Verdict.GRANTED)
         counts = [
             self.scheduler.work.loads.sum_up(one.endpoint_id).requests for one in self.engines
@@ -97,8 +99,8 @@
 
         A process ends between the grant and the send; its grants are dropped after the lease.
         """
-        self.decide(1, asker="i1")
-        self.decide(1, asker="i2", now=NOW + LEASE_S)
+        self.decide(1, requester="i1")
+        self.decide(1, requester="i2", now=NOW + LEASE_S)
         self.assertEqual(self.scheduler.work.drop_expired(now=NOW + LEASE_S + 0.1), 1)
         self.assertEqual(self.sum_loads().requests, 1)
 
@@ -135,8 +137,8 @@
             scheduler.work.loads.sum_up("e0"),
             Load(requests=1, prefill_tokens=900, kv_tokens=1_200),
         )
-        self.assertTrue(self.decide(8, asker="i2").learning)
-        self.assertFalse(self.decide(9, asker="i2", now=NOW + LEARNING_S).learning)
+        self.assertTrue(self.decide(8, requester="i2").learning)
+        self.assertFalse(self.decide(9, requester="i2", now=NOW + LEARNING_S).learning)
         self.assertEqual(self.sum_loads().requests, 3)
         self.update(7, WorkPhase.RUNNING)
         self.update(7, WorkPhase.ENDED)
@@ -155,12 +157,12 @@
         )
         self.report(work)
         self.assertEqual(self.sum_loads(), Load())
-        self.assertEqual(self.decide(8, asker="i2").endpoint_id, "e2")
+        self.assertEqual(self.decide(8, requester="i2").endpoint_id, "e2")
 
     def test_failure_of_one_instance_affects_requests_of_others(self) -> None:
         first = self.decide(1).endpoint_id
         self.update(1, WorkPhase.ENDED, failure_weight=6.0)
-        self.assertNotEqual(self.decide(2, asker="i2").endpoint_id, first)
+        self.assertNotEqual(self.decide(2, requester="i2").endpoint_id, first)
 
     def test_failures_of_one_instance_do_not_exclude_an_endpoint(self) -> None:
         """Requests still go to an engine that only one instance cannot reach.
@@ -169,10 +171,10 @@
         less than a cached prompt and a few waiting requests, and expire within seconds.
         """
         for number in range(12):
-            endpoint_id = self.decide(number, asker="cut").endpoint_id
-            self.update(number, WorkPhase.ENDED, asker="cut", failure_weight=6.0)
+            endpoint_id = self.decide(number, requester="cut").endpoint_id
+            self.update(number, WorkPhase.ENDED, requester="cut", failure_weight=6.0)
             self.assertLessEqual(self.scheduler.work.loads.read_failures(endpoint_id, now=NOW), 8.0)
-        self.assertIs(self.decide(99, asker="i2").verdict, Verdict.GRANTED)
+        self.assertIs(self.decide(99, requester="i2").verdict, Verdict.GRANTED)
 
     def test_verdict_is_unknown_without_candidates(self) -> None:
         excluded = tuple(one.endpoint_id for one in self.engines)
@@ -193,14 +195,14 @@
         long_prompt = {
             "prompt_parts": (),
             "prompt_tokens": 3_000,
-            "patient": True,
+            "latency_tolerant": True,
             "objective_s": 60.0,
         }
         number = 0
         verdict = Verdict.GRANTED
         while verdict is Verdict.GRANTED:
             number += 1
-            query = make_query(number, first=False, **long_prompt)
+            query = make_query(number, most_urgent=False, **long_prompt)
             verdict = scheduler.decide(query, [engine], FACTS, now=NOW).verdict
             scheduler.work.apply_update(
                 WorkUpdate(
--- a/tests/test_relay_scheduler_properties.py
+++ b/tests/test_relay_scheduler_properties.py
@@ -69,7 +69,7 @@
                     requester=f"i{number % 3}",
                     prompt_parts=(),
                     prompt_tokens=value,
-                    first=first,
+                    most_urgent=first,
                     objective_s=60.0,
                 )
                 reply = scheduler.decide(query, ENGINES, FACTS, now=now)
@@ -143,7 +143,7 @@
 
     def test_messages_round_trip(self) -> None:
         scheduler = GroupScheduler(random=Random(1), now=0.0)
-        query = make_query(5, excluded=("e1",), first=False)
+        query = make_query(5, excluded=("e1",), most_urgent=False)
         self.assertEqual(decode_scheduling(encode_scheduling(query)), query)
         reply = scheduler.decide(query, ENGINES, FACTS, now=9.0)
         decoded = decode_scheduling(encode_scheduling(reply))
--- a/tests/test_relay_table_watch.py
+++ b/tests/test_relay_table_watch.py
@@ -23,9 +23,9 @@
     def __init__(self) -> None:
         super().__init__(random=Random(1), bound_s=60.0, count_instances=lambda: 14)
 
-    def is_due(self, *, age_s: float, rank: int, news: bool, now: float) -> bool:
+    def is_due(self, *, age_s: float, rank: int, has_update: bool, now: float) -> bool:
         del age_s, rank, now
-        return news
+        return has_update
 
     def compute_pause(self, *, age_s: float, has_update: bool) -> float:
         del age_s, has_update
