--- a/src/guavamast/_round_robin.py
+++ b/src/guavamast/_round_robin.py
@@ -12,12 +12,12 @@
 
 QUANTUM: Final = 256.0
 """Tokens that an organisation may start each round; about one short answer."""
-COST_CEILING: Final = 65_536.0
+MAX_COST: Final = 65_536.0
 """Tokens above which a request costs no more; bounds an organisation's debt."""
 
 
 @dataclass(slots=True, kw_only=True)
-class Waiting:
+class WaitingAsk:
     """A queued ask with what was worked out when it came."""
 
     ask: Ask
@@ -40,8 +40,8 @@
     __slots__ = ("deficit", "last_round", "late", "waiting")
 
     def __init__(self, *, last_round: int) -> None:
-        self.waiting: OrderedDict[str, Waiting] = OrderedDict()
-        self.late: OrderedDict[str, Waiting] = OrderedDict()
+        self.waiting: OrderedDict[str, WaitingAsk] = OrderedDict()
+        self.late: OrderedDict[str, WaitingAsk] = OrderedDict()
         self.deficit = QUANTUM
         self.last_round = last_round
 
@@ -74,7 +74,7 @@
     def __len__(self) -> int:
         return self._length
 
-    def add(self, waiting: Waiting) -> None:
+    def add(self, waiting: WaitingAsk) -> None:
         """Append an ask to its organisation's queue."""
         organisation = waiting.ask.organisation
         account = self._accounts.get(organisation)
@@ -83,22 +83,22 @@
             self._schedule(organisation, self._round)
         account.waiting[waiting.ask.ask_id] = waiting
         self._length += 1
-        self._recount(organisation, len(account), change=1)
+        self._update_count(organisation, len(account), change=1)
 
-    def remove(self, ask: Ask) -> Waiting:
+    def remove(self, ask: Ask) -> WaitingAsk:
         """Take an ask out without starting it."""
         account = self._accounts[ask.organisation]
         waiting = account.waiting.pop(ask.ask_id, None) or account.late.pop(ask.ask_id)
-        self._recount(ask.organisation, len(account), change=-1)
-        self._note_removal()
+        self._update_count(ask.organisation, len(account), change=-1)
+        self._record_removal()
         return waiting
 
-    def turn_late(self, waiting: Waiting) -> None:
+    def demote_late(self, waiting: WaitingAsk) -> None:
         """Put an ask behind those of its organisation that can still meet their target."""
         account = self._accounts[waiting.ask.organisation]
         account.late[waiting.ask.ask_id] = account.waiting.pop(waiting.ask.ask_id)
 
-    def take(self) -> Waiting:
+    def pop_next(self) -> WaitingAsk:
         """Take the next ask to start and charge its organisation."""
         while True:
             round_number, _, organisation = heappop(self._heap)
@@ -117,7 +117,7 @@
         account = self._accounts.get(organisation)
         if account is not None:
             self._top_up(account)
-            account.deficit = min(QUANTUM, max(-COST_CEILING, account.deficit - cost))
+            account.deficit = min(QUANTUM, max(-MAX_COST, account.deficit - cost))
 
     def count(self, organisation: str) -> int:
         """Return how many asks of an organisation wait and are not late."""
@@ -137,7 +137,7 @@
         """Return how many asks the organisation with the most of them has waiting."""
         return self._longest
 
-    def find_newest_of_longest(self) -> Waiting:
+    def find_newest_of_longest(self) -> WaitingAsk:
         """Return the last ask of an organisation that has the most of them waiting."""
         organisation = next(iter(self._by_count[self._longest]))
         account = self._accounts[organisation]
@@ -147,15 +147,15 @@
         """Return all organisations' deficit counters."""
         return [account.deficit for account in self._accounts.values()]
 
-    def _start(self, organisation: str, account: _Account) -> Waiting:
+    def _start(self, organisation: str, account: _Account) -> WaitingAsk:
         _, waiting = (account.waiting or account.late).popitem(last=False)
-        account.deficit = max(-COST_CEILING, account.deficit - waiting.cost)
+        account.deficit = max(-MAX_COST, account.deficit - waiting.cost)
         self._schedule(organisation, self._find_round(account))
-        self._recount(organisation, len(account), change=-1)
-        self._note_removal()
+        self._update_count(organisation, len(account), change=-1)
+        self._record_removal()
         return waiting
 
-    def _recount(self, organisation: str, count: int, *, change: int) -> None:
+    def _update_count(self, organisation: str, count: int, *, change: int) -> None:
         before = count - change
         if before:
             del self._by_count[before][organisation]
@@ -166,7 +166,7 @@
         if before and not self._by_count[before]:
             del self._by_count[before]
 
-    def _note_removal(self) -> None:
+    def _record_removal(self) -> None:
         self._length -= 1
         if self._length == 0:
             self._accounts.clear()
--- a/src/guavamast/class_queues.py
+++ b/src/guavamast/class_queues.py
@@ -10,7 +10,7 @@
 from guavamast._round_robin import RoundRobin
 
 if TYPE_CHECKING:
-    from guavamast._round_robin import Waiting
+    from guavamast._round_robin import WaitingAsk
     from guavamast.slots import Ask
     from guavamast.world import ServiceClass
 
@@ -45,7 +45,7 @@
         """Return a time by its rank."""
         return self._times[index][0]
 
-    def find_first(self) -> int:
+    def get_first_sequence(self) -> int:
         """Return the sequence number of the earliest time."""
         return self._times[0][1]
 
@@ -55,14 +55,14 @@
 
     __slots__ = (
         "by_arrival",
-        "debt",
+        "credit",
         "last_start",
         "late",
         "latest_starts",
         "limit",
         "name",
         "reserved",
-        "robin",
+        "round_robin",
         "share",
         "shares_running",
         "target_starts",
@@ -76,17 +76,17 @@
         self.limit = DEFAULT_QUEUE_LIMIT
         self.reserved = 0
         """Places that other classes can't fill; they come on top of the whole queue's limit."""
-        self.debt = 0.0
+        self.credit = 0.0
         """Starts that the class is owed, at most `DEBT_CEILING`; below 0 after a long run."""
         self.shares_running = 0
         """Slots held by starts by share."""
         self.last_start = last_start
-        self.robin = RoundRobin()
-        self.by_arrival: OrderedDict[int, Waiting] = OrderedDict()
+        self.round_robin = RoundRobin()
+        self.by_arrival: OrderedDict[int, WaitingAsk] = OrderedDict()
         self.latest_starts = SortedTimes()
         self.target_starts = SortedTimes()
         """Of the asks that can still meet their target."""
-        self.late: OrderedDict[int, Waiting] = OrderedDict()
+        self.late: OrderedDict[int, WaitingAsk] = OrderedDict()
 
     def __len__(self) -> int:
         return len(self.by_arrival)
@@ -102,47 +102,49 @@
         """Return how many asks count against the whole queue's limit."""
         return max(0, len(self.by_arrival) - self.reserved)
 
-    def add(self, waiting: Waiting) -> None:
+    def add(self, waiting: WaitingAsk) -> None:
         """Append an ask."""
-        self.robin.add(waiting)
+        self.round_robin.add(waiting)
         self.by_arrival[waiting.sequence] = waiting
         self.latest_starts.add(waiting.latest_start, waiting.sequence)
         self.target_starts.add(waiting.target_start, waiting.sequence)
 
-    def remove(self, ask: Ask) -> Waiting:
+    def remove(self, ask: Ask) -> WaitingAsk:
         """Take an ask out without starting it."""
-        waiting = self.robin.remove(ask)
+        waiting = self.round_robin.remove(ask)
         self._forget(waiting)
         return waiting
 
-    def take(self) -> Waiting:
+    def pop_next(self) -> WaitingAsk:
         """Take the ask whose organisation is next."""
-        waiting = self.robin.take()
+        waiting = self.round_robin.pop_next()
         self._forget(waiting)
         return waiting
 
-    def find_newest(self) -> Waiting:
+    def find_newest(self) -> WaitingAsk:
         """Return the last to arrive."""
         return next(reversed(self.by_arrival.values()))
 
     def count_ahead(self, ask: Ask) -> int:
         """Return how many of the class start before a new ask of that organisation."""
-        turns = (self.robin.count(ask.organisation) + 1) * self.robin.count_organisations()
-        return min(len(self.target_starts), turns)
+        starts_before = (
+            self.round_robin.count(ask.organisation) + 1
+        ) * self.round_robin.count_organisations()
+        return min(len(self.target_starts), starts_before)
 
-    def turn_late(self, now: float) -> list[Waiting]:
+    def demote_late(self, now: float) -> list[WaitingAsk]:
         """Put the asks that have missed their target behind the others and return them."""
-        turned = []
+        demoted = []
         while len(self.target_starts) and self.target_starts.get(0) <= now:
-            waiting = self.by_arrival[self.target_starts.find_first()]
+            waiting = self.by_arrival[self.target_starts.get_first_sequence()]
             self.target_starts.remove(waiting.target_start, waiting.sequence)
-            self.robin.turn_late(waiting)
+            self.round_robin.demote_late(waiting)
             self.late[waiting.sequence] = waiting
             waiting.is_late = True
-            turned.append(waiting)
-        return turned
+            demoted.append(waiting)
+        return demoted
 
-    def _forget(self, waiting: Waiting) -> None:
+    def _forget(self, waiting: WaitingAsk) -> None:
         del self.by_arrival[waiting.sequence]
         self.latest_starts.remove(waiting.latest_start, waiting.sequence)
         if waiting.is_late:
--- a/src/guavamast/estimates.py
+++ b/src/guavamast/estimates.py
@@ -21,9 +21,9 @@
 """Weight, in samples, of what all organisations show for a kind and model."""
 DEFAULT_TOKENS: Final = 256
 """Median output tokens when nothing was seen yet."""
-LENGTH_KEYS: Final = 8192
+MAX_LENGTH_KEYS: Final = 8192
 """Histograms kept, the least recently used go first; about 0.4 kB each."""
-SHARED_KEYS: Final = 256
+MAX_SHARED_KEYS: Final = 256
 """Kinds and models whose lengths or times are kept over all organisations."""
 EWMA_WEIGHT: Final = 0.1
 """Weight of a new sample in a moving average."""
@@ -63,7 +63,7 @@
         if self.total >= HISTOGRAM_CEILING:
             self._counts = array("H", [count >> 1 for count in self._counts])
             self.total = sum(self._counts)
-        self._counts[find_bucket(tokens)] += 1
+        self._counts[compute_bucket(tokens)] += 1
         self.total += 1
 
     def copy_weighted(self, weight: float) -> list[float]:
@@ -71,12 +71,12 @@
         return [count * weight for count in self._counts]
 
 
-def find_bucket(tokens: int) -> int:
+def compute_bucket(tokens: int) -> int:
     """Return the bucket of a length."""
     return min(BUCKETS - 1, int(BUCKETS_PER_DOUBLING * math.log2(max(1, tokens))))
 
 
-def find_edge(bucket: float) -> float:
+def compute_bucket_edge(bucket: float) -> float:
     """Return the least length of a bucket; fractions lie inside of it."""
     return 2.0 ** (bucket / BUCKETS_PER_DOUBLING)
 
@@ -88,20 +88,20 @@
     object may serve all keepers of a process, so that each learns from the others' releases.
     """
 
-    __slots__ = ("_own", "_shared")
+    __slots__ = ("_by_organisation", "_shared")
 
     def __init__(self) -> None:
-        self._own: OrderedDict[tuple[str, str, str], LengthHistogram] = OrderedDict()
+        self._by_organisation: OrderedDict[tuple[str, str, str], LengthHistogram] = OrderedDict()
         self._shared: OrderedDict[tuple[str, str], LengthHistogram] = OrderedDict()
 
     def __len__(self) -> int:
-        return len(self._own)
+        return len(self._by_organisation)
 
     def observe(self, ask: Ask, tokens: int) -> None:
         """Count the length of one whole answer."""
         own_key = (ask.organisation, ask.kind, ask.model)
-        _fetch(self._own, own_key, LENGTH_KEYS).add(tokens)
-        _fetch(self._shared, (ask.kind, ask.model), SHARED_KEYS).add(tokens)
+        _get_or_create(self._by_organisation, own_key, MAX_LENGTH_KEYS).add(tokens)
+        _get_or_create(self._shared, (ask.kind, ask.model), MAX_SHARED_KEYS).add(tokens)
 
     def estimate(self, ask: Ask, *, quantile: float, produced: int = 0) -> float:
         """Return the output length, at that quantile, of a request that has come so far.
@@ -114,16 +114,16 @@
         Returns:
             Tokens in all, at least ``produced``.
         """
-        counts = self._blend(ask)
+        counts = self._combine_counts(ask)
         begin = min(BUCKETS - 1.0, BUCKETS_PER_DOUBLING * math.log2(max(1, produced)))
-        length = _find_quantile(counts, begin, quantile)
+        length = _compute_quantile(counts, begin, quantile)
         if length is None:
-            length = produced + _find_prior(quantile)
+            length = produced + _compute_prior(quantile)
         ceiling = ask.max_tokens if ask.max_tokens > 0 else math.inf
         return max(float(produced), min(length, ceiling))
 
-    def _blend(self, ask: Ask) -> list[float]:
-        own = self._own.get((ask.organisation, ask.kind, ask.model))
+    def _combine_counts(self, ask: Ask) -> list[float]:
+        own = self._by_organisation.get((ask.organisation, ask.kind, ask.model))
         shared = self._shared.get((ask.kind, ask.model))
         if shared is None:
             return [0.0] * BUCKETS
@@ -133,12 +133,12 @@
         return counts
 
 
-def _find_prior(quantile: float) -> float:
+def _compute_prior(quantile: float) -> float:
     # Exponential with DEFAULT_TOKENS as its median: low quantiles refuse little on no evidence.
     return -DEFAULT_TOKENS * math.log2(1.0 - min(quantile, 0.99))
 
 
-def _find_quantile(counts: list[float], begin: float, quantile: float) -> float | None:
+def _compute_quantile(counts: list[float], begin: float, quantile: float) -> float | None:
     """Return a quantile of the lengths above a point of the scale; None when there are none."""
     first = int(begin)
     counts[first] *= 1.0 - (begin - first)
@@ -147,13 +147,15 @@
         return None
     for bucket in range(first, BUCKETS):
         if counts[bucket] >= rank:
-            least = max(begin, float(bucket))
-            return find_edge(least + (bucket + 1 - least) * rank / counts[bucket])
+            lower_edge = max(begin, float(bucket))
+            return compute_bucket_edge(
+                lower_edge + (bucket + 1 - lower_edge) * rank / counts[bucket]
+            )
         rank -= counts[bucket]
-    return find_edge(BUCKETS)
+    return compute_bucket_edge(BUCKETS)
 
 
-def _fetch(table: OrderedDict, key: tuple, limit: int) -> LengthHistogram:
+def _get_or_create(table: OrderedDict, key: tuple, limit: int) -> LengthHistogram:
     histogram = table.get(key)
     if histogram is None:
         histogram = table[key] = LengthHistogram()
@@ -164,7 +166,7 @@
     return histogram
 
 
-class _Pace:
+class _RunAverages:
     """Moving averages of one kind and model on one endpoint."""
 
     __slots__ = ("call_s", "first_token_s", "interval_s", "low_call_s", "samples")
@@ -184,7 +186,7 @@
 
     def __init__(self, *, lengths: LengthEstimates, kind: EndpointKind) -> None:
         self._lengths = lengths
-        self._paces: OrderedDict[tuple[str, str], _Pace] = OrderedDict()
+        self._paces: OrderedDict[tuple[str, str], _RunAverages] = OrderedDict()
         self.samples = 0
         """Runs that the estimates rest on."""
         self.mean_s = DEFAULT_CALL_S if kind is EndpointKind.SERVICE else DEFAULT_ENGINE_S
@@ -194,28 +196,28 @@
         """Learn from a run that ended with its whole answer."""
         self.samples += 1
         self.mean_s = _average(self.mean_s, release.duration_s, self.samples)
-        pace = self._fetch(ask)
+        pace = self._get_or_create(ask)
         pace.samples += 1
         if not ask.model:
             pace.call_s = _average(pace.call_s, release.duration_s, pace.samples)
             _track_low(pace, release.duration_s)
             return
         pace.first_token_s = _average(pace.first_token_s, release.first_token_s, pace.samples)
-        interval = find_interval(release)
+        interval = compute_interval(release)
         if interval is not None:
             pace.interval_s = _average(pace.interval_s, interval, pace.samples)
 
     def estimate(self, ask: Ask, *, quantile: float) -> float:
         """Return the seconds from grant to release at a quantile of the length."""
         if not ask.model:
-            pace = self._paces.get((ask.kind, ask.model)) or _Pace()
+            pace = self._paces.get((ask.kind, ask.model)) or _RunAverages()
             return pace.low_call_s if quantile <= LOW_QUANTILE else pace.call_s
         tokens = self._lengths.estimate(ask, quantile=quantile)
-        return self.estimate_left(ask, tokens=tokens)
+        return self.estimate_remaining(ask, tokens=tokens)
 
-    def estimate_left(self, ask: Ask, *, tokens: float, produced: int = 0) -> float:
+    def estimate_remaining(self, ask: Ask, *, tokens: float, produced: int = 0) -> float:
         """Return the seconds to the release of a run of a length, some tokens being out already."""
-        pace = self._paces.get((ask.kind, ask.model)) or _Pace()
+        pace = self._paces.get((ask.kind, ask.model)) or _RunAverages()
         if not ask.model:
             return pace.call_s
         first_token_s = 0.0 if produced else pace.first_token_s
@@ -223,22 +225,22 @@
 
     def estimate_first_token(self, ask: Ask) -> float:
         """Return the seconds from grant to the first token, or to the answer of a call."""
-        pace = self._paces.get((ask.kind, ask.model)) or _Pace()
+        pace = self._paces.get((ask.kind, ask.model)) or _RunAverages()
         return pace.first_token_s if ask.model else pace.call_s
 
-    def _fetch(self, ask: Ask) -> _Pace:
+    def _get_or_create(self, ask: Ask) -> _RunAverages:
         key = (ask.kind, ask.model)
         pace = self._paces.get(key)
         if pace is None:
-            pace = self._paces[key] = _Pace()
-            if len(self._paces) > SHARED_KEYS:
+            pace = self._paces[key] = _RunAverages()
+            if len(self._paces) > MAX_SHARED_KEYS:
                 self._paces.popitem(last=False)
         else:
             self._paces.move_to_end(key)
         return pace
 
 
-def find_interval(release: Release) -> float | None:
+def compute_interval(release: Release) -> float | None:
     """Return the seconds between tokens of a run; None when it has too few of them."""
     if release.tokens < 2:
         return None
@@ -250,7 +252,7 @@
     return mean + max(EWMA_WEIGHT, 1.0 / (samples + 1)) * (sample - mean)
 
 
-def _track_low(pace: _Pace, sample: float) -> None:
+def _track_low(pace: _RunAverages, sample: float) -> None:
     step = EWMA_WEIGHT * pace.low_call_s
     if pace.low_call_s == 0.0:
         pace.low_call_s = 0.5 * sample
@@ -278,9 +280,9 @@
         """Record whether every slot is held from now on and whether a run has just ended."""
         if self._full_since is not None:
             elapsed = max(0.0, now - self._full_since)
-            fade = 0.5 ** (elapsed / RATE_HALF_LIFE_S)
-            self._releases = self._releases * fade + released
-            self._seconds = self._seconds * fade + elapsed
+            decay = 0.5 ** (elapsed / RATE_HALF_LIFE_S)
+            self._releases = self._releases * decay + released
+            self._seconds = self._seconds * decay + elapsed
         self._full_since = now if full else None
 
     def estimate(self, *, slots: int, service_s: float, now: float) -> float:
@@ -302,18 +304,18 @@
     __slots__ = ("_rates",)
 
     def __init__(self) -> None:
-        self._rates: dict[int, _FadingRate] = {}
+        self._rates: dict[int, _DecayingRate] = {}
 
     def observe(self, tier: int, *, now: float) -> None:
         """Count one event."""
-        self._rates.setdefault(tier, _FadingRate(now=now)).add(now)
+        self._rates.setdefault(tier, _DecayingRate(now=now)).add(now)
 
     def estimate_above(self, tier: int, *, now: float) -> float:
         """Return the events a second of the tiers higher than one."""
         return sum(rate.get(now) for other, rate in self._rates.items() if other < tier)
 
 
-class _FadingRate:
+class _DecayingRate:
     """Events a second."""
 
     __slots__ = ("_changed_at", "_count")
@@ -324,14 +326,14 @@
 
     def add(self, now: float) -> None:
         """Count one event."""
-        self._count = self._fade(now) + 1.0
+        self._count = self._decay(now) + 1.0
         self._changed_at = now
 
     def get(self, now: float) -> float:
         """Return the rate, as if it were steady."""
-        return self._fade(now) * math.log(2.0) / RATE_HALF_LIFE_S
+        return self._decay(now) * math.log(2.0) / RATE_HALF_LIFE_S
 
-    def _fade(self, now: float) -> float:
+    def _decay(self, now: float) -> float:
         return self._count * 0.5 ** (max(0.0, now - self._changed_at) / RATE_HALF_LIFE_S)
 
 
@@ -343,11 +345,11 @@
     that nobody chose is tried again.
     """
 
-    __slots__ = ("_changed_at", "_usual", "_weight")
+    __slots__ = ("_changed_at", "_baselines", "_weight")
 
     def __init__(self, *, now: float) -> None:
         self._weight = 1.0
-        self._usual: OrderedDict[tuple[str, str], float] = OrderedDict()
+        self._baselines: OrderedDict[tuple[str, str], float] = OrderedDict()
         self._changed_at = now
 
     def observe(self, ask: Ask, release: Release, *, now: float) -> None:
@@ -368,14 +370,14 @@
         return min(1.0, self._weight + WEIGHT_STEP * idle_s / WEIGHT_RECOVERY_S)
 
     def _is_slow(self, ask: Ask, release: Release) -> bool:
-        pace = find_interval(release) if ask.model else release.duration_s
+        pace = compute_interval(release) if ask.model else release.duration_s
         if not pace:
             return False
         key = (ask.kind, ask.model)
-        usual = self._usual.pop(key, pace)
+        baseline = self._baselines.pop(key, pace)
         # A lasting change of pace becomes the usual one, but a slow spell must not hide itself.
-        step = 0.1 if pace <= usual else 0.02
-        self._usual[key] = usual + step * (pace - usual)
-        if len(self._usual) > SHARED_KEYS:
-            self._usual.popitem(last=False)
-        return pace > STRAGGLE_RATIO * usual
+        step = 0.1 if pace <= baseline else 0.02
+        self._baselines[key] = baseline + step * (pace - baseline)
+        if len(self._baselines) > MAX_SHARED_KEYS:
+            self._baselines.popitem(last=False)
+        return pace > STRAGGLE_RATIO * baseline
--- a/src/guavamast/forecasts.py
+++ b/src/guavamast/forecasts.py
@@ -28,11 +28,11 @@
 """Work of a prompt token, in output tokens; prompts are read in parallel."""
 CALL_COST: Final = QUANTUM
 """Work of a call of a plain service, whose length is not known in tokens."""
-LEAST_RATE_SHARE: Final = 0.02
+MIN_RATE_SHARE: Final = 0.02
 """Share of the releases that a tier is expected to get under any load of higher ones."""
-EVIDENCE: Final = 8
+MIN_SAMPLES: Final = 8
 """Runs that must have been seen before an ask is refused for its expected wait."""
-GREATEST_LOWER_SHARE: Final = 0.9
+MAX_LOWER_SHARE: Final = 0.9
 """Share of the releases that waiting lower classes are expected to take at most."""
 
 
@@ -59,15 +59,15 @@
         if ask.model:
             self._lengths.observe(ask, release.tokens)
 
-    def note_start(self, tier: int, *, now: float) -> None:
+    def record_start(self, tier: int, *, now: float) -> None:
         """Count a start."""
         self._start_rates.observe(tier, now=now)
 
-    def note_arrival(self, tier: int, *, now: float) -> None:
+    def record_arrival(self, tier: int, *, now: float) -> None:
         """Count an ask that came."""
         self._arrival_rates.observe(tier, now=now)
 
-    def note_slots(self, *, full: bool, released: bool = False, now: float) -> None:
+    def record_slots(self, *, full: bool, released: bool = False, now: float) -> None:
         """Record whether every slot is held from now on and whether a run has just ended."""
         self._rate.observe(full=full, released=released, now=now)
 
@@ -84,7 +84,7 @@
             return PROMPT_COST * grant.ask.prompt_tokens + grant.tokens
         return grant.start.waiting.cost if grant.start is not None else 0.0
 
-    def estimate_least(self, ask: Ask) -> float:
+    def estimate_min_run(self, ask: Ask) -> float:
         """Return the seconds that nine in ten such runs take longer than."""
         return self._service_times.estimate(ask, quantile=LOW_QUANTILE)
 
@@ -97,10 +97,12 @@
         produced = int(grant.estimate_tokens(now)) if grant.ask.model else 0
         tokens = self._lengths.estimate(grant.ask, quantile=0.5, produced=produced)
         grant.expected_tokens = tokens
-        left_s = self._service_times.estimate_left(grant.ask, tokens=tokens, produced=produced)
-        grant.expected_end = now + left_s
+        remaining_s = self._service_times.estimate_remaining(
+            grant.ask, tokens=tokens, produced=produced
+        )
+        grant.expected_end = now + remaining_s
 
-    def list_ends(self, grants: GrantTable, *, now: float) -> list[float]:
+    def list_expected_ends(self, grants: GrantTable, *, now: float) -> list[float]:
         """Return the times at which slots come free, sorted; a paused one counts as free."""
         ends: list[float] = []
         for grant in grants.list_grants():
@@ -109,8 +111,8 @@
                 # and the higher tier that waits for it never takes the slot. Expecting a part of
                 # its age more makes the next look at it find it late.
                 self.refresh(grant, now=now)
-                least_s = max(PAUSE_S, OVERDUE_SHARE * (now - grant.granted_at))
-                grant.expected_end = max(grant.expected_end, now + least_s)
+                min_remaining_s = max(PAUSE_S, OVERDUE_SHARE * (now - grant.granted_at))
+                grant.expected_end = max(grant.expected_end, now + min_remaining_s)
             insort(ends, float("-inf") if grant.paused else grant.expected_end)
         return ends
 
@@ -118,14 +120,14 @@
         """Return the releases a second while every slot is held."""
         return self._rate.estimate(slots=slots, service_s=self._service_times.mean_s, now=now)
 
-    def has_evidence(self) -> bool:
+    def has_enough_samples(self) -> bool:
         """Return whether waits rest on enough runs to refuse an ask by them.
 
         Failure: most of a first burst after a start is refused although the endpoint answers in
         milliseconds, because waits are worked out from defaults yet. Until `EVIDENCE` runs were
         seen asks wait, and the queue's limits and their deadlines bound what is held.
         """
-        return self._service_times.samples >= EVIDENCE
+        return self._service_times.samples >= MIN_SAMPLES
 
     def estimate_wait(
         self, ask: Ask, *, queue: WaitingQueue, ahead: int, slots: int, now: float
@@ -145,9 +147,9 @@
         """
         tier = queue.find_tier(ask)
         rate = self.estimate_rate(slots=slots, now=now)
-        left = rate * (1.0 - min(GREATEST_LOWER_SHARE, queue.sum_lower_shares(tier)))
-        left -= self._start_rates.estimate_above(tier, now=now)
-        wait_s = ahead / max(left, LEAST_RATE_SHARE * rate)
+        available_rate = rate * (1.0 - min(MAX_LOWER_SHARE, queue.sum_lower_shares(tier)))
+        available_rate -= self._start_rates.estimate_above(tier, now=now)
+        wait_s = ahead / max(available_rate, MIN_RATE_SHARE * rate)
         share = queue.find_share(ask.class_name)
         if share > 0.0:
             wait_s = min(wait_s, (queue.count_ahead(ask) + 1) / (share * rate))
@@ -161,9 +163,9 @@
         """
         tier = queue.find_tier(ask)
         rate = self.estimate_rate(slots=slots, now=now)
-        left = rate * (1.0 - min(GREATEST_LOWER_SHARE, queue.sum_lower_shares(tier)))
-        left -= self._arrival_rates.estimate_above(tier + 1, now=now)
-        own = queue.count_class(ask)
-        wait_s = (own + queue.count_others(ask)) / max(left, LEAST_RATE_SHARE * rate)
+        available_rate = rate * (1.0 - min(MAX_LOWER_SHARE, queue.sum_lower_shares(tier)))
+        available_rate -= self._arrival_rates.estimate_above(tier + 1, now=now)
+        in_class = queue.count_class(ask)
+        wait_s = (in_class + queue.count_others(ask)) / max(available_rate, MIN_RATE_SHARE * rate)
         share = queue.find_share(ask.class_name)
-        return min(wait_s, own / (share * rate)) if share > 0.0 else wait_s
+        return min(wait_s, in_class / (share * rate)) if share > 0.0 else wait_s
--- a/src/guavamast/grants.py
+++ b/src/guavamast/grants.py
@@ -107,7 +107,7 @@
         """Return the greatest tier number of the slots that may be taken; 0 when none may."""
         return max((g.tier for g in self._grants.values() if g.is_pausable()), default=0)
 
-    def find_victim(self, tier: int, *, now: float) -> Grant | None:
+    def select_victim(self, tier: int, *, now: float) -> Grant | None:
         """Return the grant an ask of a tier takes first: lowest tier, then least work lost."""
         pausable = [g for g in self._grants.values() if g.tier > tier and g.is_pausable()]
         return min(
--- a/src/guavamast/keeper_host.py
+++ b/src/guavamast/keeper_host.py
@@ -26,7 +26,7 @@
 PROBE_INTERVAL_S: Final = 0.5
 """Entries with asks in flight hear of the endpoint this often; see ``ANSWER_TIMEOUT_S``."""
 UNKNOWN_ENDPOINT_RETRY_S: Final = 1.0
-SHORTEST_TICK_S: Final = 0.001
+MIN_TICK_INTERVAL_S: Final = 0.001
 """Least time between two ticks, so that a keeper whose time has come can't keep the loop busy."""
 IDLE_LIFETIME_S: Final = 60.0
 
@@ -64,11 +64,11 @@
         self._keepers: dict[str, EndpointKeeper] = {}
         self._endpoints: dict[str, Endpoint] = {}
         """Each kept endpoint as last configured."""
-        self._held: set[str] = set()
+        self._cordoned: set[str] = set()
         """Endpoints that get no new work because of their orders."""
         self._used_at: dict[str, float] = {}
         self._streams: dict[str, EntryStream] = {}
-        self._waiting: dict[str, set[str]] = {}
+        self._probe_subscribers: dict[str, set[str]] = {}
         self._timer: asyncio.TimerHandle | None = None
         self.on_new_keeper: Callable[[str], None] = lambda _: None
         """Called with the endpoint's name; its load is wanted at once, which ends the caution."""
@@ -80,7 +80,7 @@
         now = self._clock()
         for name, keeper in list(self._keepers.items()):
             last = replace(self._endpoints[name], state=EndpointState.LEAVING)
-            endpoint = self._apply_hold(configuration.endpoints.get(name, last))
+            endpoint = self._apply_cordon(configuration.endpoints.get(name, last))
             self._endpoints[name] = endpoint
             events = keeper.configure(endpoint=endpoint, configuration=configuration, now=now)
             self._deliver(events, now)
@@ -91,9 +91,9 @@
 
         A hold outlasts new configurations and the keeper's own lifetime.
         """
-        if out == (name in self._held):
+        if out == (name in self._cordoned):
             return
-        self._held ^= {name}
+        self._cordoned ^= {name}
         if self._configuration is not None and name in self._keepers:
             self.configure(self._configuration)
 
@@ -102,8 +102,8 @@
         keeper = self._keepers.get(name)
         return 0 if keeper is None else keeper.make_probe(now=self._clock()).in_flight
 
-    def _apply_hold(self, endpoint: Endpoint) -> Endpoint:
-        if endpoint.name not in self._held:
+    def _apply_cordon(self, endpoint: Endpoint) -> Endpoint:
+        if endpoint.name not in self._cordoned:
             return endpoint
         return replace(endpoint, state=EndpointState.LEAVING)
 
@@ -128,11 +128,11 @@
         now = self._clock()
         kind = message.WhichOneof("body")
         if kind == "ask":
-            self._take_ask(decode_ask(message.ask, entry=entry, now=now), now)
+            self._receive_ask(decode_ask(message.ask, entry=entry, now=now), now)
         elif kind == "present":
-            self._take_present(message.present, entry, now)
+            self._receive_present(message.present, entry, now)
         elif kind == "release":
-            self._take_release(decode_release(message.release), now)
+            self._receive_release(decode_release(message.release), now)
         elif kind == "withdraw":
             keeper = self._keepers.get(message.withdraw.endpoint)
             if keeper is not None:
@@ -156,43 +156,43 @@
         for name, used_at in list(self._used_at.items()):
             idle = self._keepers[name].make_probe(now=now).in_flight == 0
             if idle and now - used_at > IDLE_LIFETIME_S:
-                self._forget(name)
+                self._drop_keeper(name)
         return list(self._keepers)
 
     def send_probes(self) -> None:
         """Tell each entry with asks in flight how its endpoints stand."""
         now = self._clock()
-        for name, entries in self._waiting.items():
+        for name, entries in self._probe_subscribers.items():
             message = encode_probe(self._keepers[name].make_probe(now=now))
             for entry in entries:
                 self._send(entry, message)
 
-    def _take_ask(self, ask: Ask, now: float) -> None:
+    def _receive_ask(self, ask: Ask, now: float) -> None:
         self._metrics.count("keeper.asks")
-        keeper = self._find(ask.endpoint, now)
+        keeper = self._get_or_create_keeper(ask.endpoint, now)
         if keeper is None:
             refused = Refused(
                 ask=ask, code=ErrorCode.NO_ENDPOINT, retry_after_s=UNKNOWN_ENDPOINT_RETRY_S
             )
             self._deliver([refused], now)
             return
-        self._waiting.setdefault(ask.endpoint, set()).add(ask.entry)
+        self._probe_subscribers.setdefault(ask.endpoint, set()).add(ask.entry)
         self._deliver(keeper.ask(ask, now=now), now)
         self._send(ask.entry, encode_probe(keeper.make_probe(now=now)))
 
-    def _take_present(self, message: peer_pb2.PresentMessage, entry: str, now: float) -> None:
+    def _receive_present(self, message: peer_pb2.PresentMessage, entry: str, now: float) -> None:
         ask = decode_ask(message.ask, entry=entry, now=now)
-        keeper = self._find(ask.endpoint, now)
+        keeper = self._get_or_create_keeper(ask.endpoint, now)
         if keeper is not None:
             events = keeper.present(ask, held_s=message.held_s, tokens=message.tokens, now=now)
             self._deliver(events, now)
 
-    def _take_release(self, release: Release, now: float) -> None:
+    def _receive_release(self, release: Release, now: float) -> None:
         keeper = self._keepers.get(release.endpoint)
         if keeper is not None:
             self._deliver(keeper.release(release, now=now), now)
 
-    def _find(self, name: str, now: float) -> EndpointKeeper | None:
+    def _get_or_create_keeper(self, name: str, now: float) -> EndpointKeeper | None:
         self._used_at[name] = now
         if name in self._keepers:
             return self._keepers[name]
@@ -200,7 +200,7 @@
         if endpoint is None:
             del self._used_at[name]
             return None
-        endpoint = self._apply_hold(endpoint)
+        endpoint = self._apply_cordon(endpoint)
         # A service tells no load, so caution would only hold its first calls back.
         caution_s = CAUTION_S if endpoint.kind is EndpointKind.ENGINE else 0.0
         keeper = EndpointKeeper(
@@ -215,11 +215,11 @@
         self._endpoints[name] = endpoint
         return keeper
 
-    def _forget(self, name: str) -> None:
+    def _drop_keeper(self, name: str) -> None:
         self._keepers.pop(name, None)
         self._endpoints.pop(name, None)
         self._used_at.pop(name, None)
-        self._waiting.pop(name, None)
+        self._probe_subscribers.pop(name, None)
 
     def _deliver(self, events: list[KeeperEvent], now: float) -> None:
         for event in events:
@@ -227,7 +227,7 @@
             sent = self._send(event.ask.entry, encode_event(event))
             if isinstance(event, Granted) and not sent:
                 # The entry has gone: nothing will be sent under this grant.
-                self._take_release(
+                self._receive_release(
                     Release(ask_id=event.ask.ask_id, endpoint=event.ask.endpoint, used=False), now
                 )
 
@@ -246,7 +246,7 @@
         wakeups = [keeper.next_wakeup() for keeper in self._keepers.values()]
         times = [at for at in wakeups if at is not None]
         if times:
-            delay = max(SHORTEST_TICK_S, min(times) - self._clock())
+            delay = max(MIN_TICK_INTERVAL_S, min(times) - self._clock())
             self._timer = asyncio.get_running_loop().call_later(delay, self._tick)
 
     def _tick(self) -> None:
--- a/src/guavamast/keepers.py
+++ b/src/guavamast/keepers.py
@@ -9,7 +9,7 @@
 from guavamast.estimates import LengthEstimates, StragglerWeight
 from guavamast.forecasts import PAUSE_S, Forecast
 from guavamast.grants import Grant, GrantTable
-from guavamast.kv_room import KvRoom
+from guavamast.kv_room import KvHeadroom
 from guavamast.queues import WaitingQueue
 from guavamast.slots import Granted, Paused, Probe, Queued, Refused
 from guavamast.world import EndpointKind, EndpointState
@@ -21,12 +21,12 @@
 
 ORPHAN_GRACE_S: Final = 10.0
 """Seconds for which a grant outlives the stream of its entry."""
-OVERRUN_S: Final = 30.0
+EXPIRY_GRACE_S: Final = 30.0
 """Seconds after its deadline at which a grant without a release is given up."""
 PAUSE_LEAD_S: Final = 1.5 * PAUSE_S
 """Seconds before its target at which an ask no longer waits for an expected release."""
-LEAST_RETRY_S: Final = 0.1
-GREATEST_RETRY_S: Final = 60.0
+MIN_RETRY_AFTER_S: Final = 0.1
+MAX_RETRY_AFTER_S: Final = 60.0
 PAUSE_REASON: Final = "a higher tier would miss its first-token target"
 
 
@@ -49,11 +49,11 @@
         "_freed_since_report",
         "_grants",
         "_kv_check_at",
-        "_kv_room",
+        "_kv_headroom",
         "_pause_check_at",
         "_queue",
         "_strict_starts",
-        "_weight",
+        "_straggler_weight",
     )
 
     def __init__(
@@ -71,10 +71,10 @@
         self._forecast = Forecast(
             kind=endpoint.kind, lengths=lengths if lengths is not None else LengthEstimates()
         )
-        self._weight = StragglerWeight(now=now)
+        self._straggler_weight = StragglerWeight(now=now)
         self._grants = GrantTable()
         self._queue = WaitingQueue(configuration=configuration)
-        self._kv_room = KvRoom()
+        self._kv_headroom = KvHeadroom()
         self._kv_check_at: float | None = None
         self._freed_since_report = 0
         """Presented slots that came free since the last load report was received."""
@@ -94,17 +94,17 @@
             that make room for it.
         """
         if ask.ask_id in self._queue or ask.ask_id in self._grants:
-            return [self._repeat(ask, now)]
-        self._forecast.note_arrival(self._queue.find_tier(ask), now=now)
+            return [self._repeat_state(ask, now)]
+        self._forecast.record_arrival(self._queue.find_tier(ask), now=now)
         wait_s = self._estimate_wait(ask, now)
-        least_s = self._forecast.estimate_least(ask)
-        refusal = self._find_refusal(ask, wait_s, least_s, now)
+        min_run_s = self._forecast.estimate_min_run(ask)
+        refusal = self._find_refusal(ask, wait_s, min_run_s, now)
         if refusal is not None:
             return [refusal]
         events = self._make_room(ask, now)
         if events and events[-1].ask is ask:
             return events
-        self._enqueue(ask, least_s, now)
+        self._enqueue(ask, min_run_s, now)
         events += self._start_waiting(now)
         if ask.ask_id in self._queue:
             events.append(Queued(ask=ask, estimated_wait_s=wait_s))
@@ -117,7 +117,7 @@
             return self.withdraw(release.ask_id, now=now)
         if release.used:
             self._learn(grant, release, now)
-        return self._free(grant, unused=not release.used, now=now)
+        return self._free_slot(grant, unused=not release.used, now=now)
 
     def withdraw(self, ask_id: str, *, now: float) -> list[KeeperEvent]:
         """Forget an ask, also one whose grant is on its way to the entry.
@@ -126,23 +126,23 @@
         once; a grant that has delivered tokens is in use and waits for its release.
         """
         if self._queue.remove(ask_id) is not None:
-            return self._continue(now)
+            return self._run_queue(now)
         grant = self._grants.get(ask_id)
         if grant is None or grant.tokens > 0:
             return []
         self._grants.remove(ask_id)
-        return self._free(grant, unused=True, now=now)
+        return self._free_slot(grant, unused=True, now=now)
 
     def present(self, ask: Ask, *, held_s: float, tokens: int, now: float) -> list[KeeperEvent]:
         """Record a slot that an entry already holds, even above the endpoint's slots."""
         self._queue.remove(ask.ask_id)
         known = self._grants.get(ask.ask_id)
         if known is not None:
-            known.expires_at = max(ask.deadline, now) + OVERRUN_S
+            known.expires_at = max(ask.deadline, now) + EXPIRY_GRACE_S
         else:
-            self._grants.add(self._make_grant(ask, now=now, granted_at=now - held_s))
+            self._grants.add(self._create_grant(ask, now=now, granted_at=now - held_s))
         self.record_progress(ask.ask_id, tokens, now=now)
-        return self._continue(now)
+        return self._run_queue(now)
 
     def record_progress(self, ask_id: str, tokens: int, *, now: float) -> None:
         """Record how many tokens a running request has delivered; late words are dropped."""
@@ -155,9 +155,9 @@
 
     def record_load(self, report: LoadReport, *, now: float) -> list[KeeperEvent]:
         """Record the endpoint's word on its load."""
-        if self._kv_room.record(report, grants=self._grants):
+        if self._kv_headroom.record(report, grants=self._grants):
             self._freed_since_report = 0
-        return self._continue(now)
+        return self._run_queue(now)
 
     def drop_entry(self, entry: str, *, now: float) -> list[KeeperEvent]:
         """Forget the asks of an entry whose stream ended and put a term to its grants."""
@@ -165,7 +165,7 @@
             if ask.entry == entry:
                 self._queue.remove(ask.ask_id)
         self._grants.orphan(entry, expires_at=now + ORPHAN_GRACE_S)
-        return self._continue(now)
+        return self._run_queue(now)
 
     def configure(
         self, *, endpoint: Endpoint, configuration: Configuration, now: float
@@ -175,7 +175,7 @@
         self._configuration = configuration
         self._queue.configure(configuration)
         if endpoint.state is not EndpointState.LEAVING:
-            return self._continue(now)
+            return self._run_queue(now)
         asks = self._queue.list_asks()
         for ask in asks:
             self._queue.remove(ask.ask_id)
@@ -185,7 +185,7 @@
         """Act on what has become due: deadlines, expiries, pauses, the end of caution."""
         for grant in self._grants.remove_expired(now):
             self._settle(grant, unused=False)
-        return self._continue(now)
+        return self._run_queue(now)
 
     def next_wakeup(self) -> float | None:
         """Return the time at which `tick` has something to do; None when nothing is due."""
@@ -207,32 +207,34 @@
             queued=len(self._queue),
             estimated_wait_s=wait_s,
             lowest_tier=max(self._grants.find_lowest_tier(), self._queue.find_lowest_tier()),
-            weight=self._weight.get(now=now),
+            weight=self._straggler_weight.get(now=now),
             slots=self._endpoint.slots,
         )
 
-    def _repeat(self, ask: Ask, now: float) -> KeeperEvent:
+    def _repeat_state(self, ask: Ask, now: float) -> KeeperEvent:
         grant = self._grants.get(ask.ask_id)
         if grant is None:
             waiting = self._queue.get(ask.ask_id)
             return Queued(ask=waiting.ask, estimated_wait_s=self._estimate_wait(ask, now))
         # Failure: a grant is lost with the entry's stream and asked for again, yet ends with the
         # grace of the lost stream while it runs. An entry that asks is there, so the term is off.
-        grant.expires_at = max(ask.deadline, now) + OVERRUN_S
+        grant.expires_at = max(ask.deadline, now) + EXPIRY_GRACE_S
         if grant.paused:
             return Paused(ask=grant.ask, reason=PAUSE_REASON)
         return Granted(ask=grant.ask)
 
-    def _find_refusal(self, ask: Ask, wait_s: float, least_s: float, now: float) -> Refused | None:
+    def _find_refusal(
+        self, ask: Ask, wait_s: float, min_run_s: float, now: float
+    ) -> Refused | None:
         if self._endpoint.state is EndpointState.LEAVING:
             return Refused(ask=ask, code=ErrorCode.LEAVING, retry_after_s=0.0)
         if ask.deadline <= now:
-            return self._refuse(ask, ErrorCode.DEADLINE_EXCEEDED, wait_s)
-        known_wait_s = wait_s if self._forecast.has_evidence() else 0.0
-        missing_s = now + known_wait_s + least_s - ask.deadline
-        if missing_s <= 0.0 or self._is_idle():
+            return self._build_refusal(ask, ErrorCode.DEADLINE_EXCEEDED, wait_s)
+        trusted_wait_s = wait_s if self._forecast.has_enough_samples() else 0.0
+        shortfall_s = now + trusted_wait_s + min_run_s - ask.deadline
+        if shortfall_s <= 0.0 or self._is_idle():
             return None
-        return self._refuse(ask, ErrorCode.DEADLINE_UNREACHABLE, missing_s)
+        return self._build_refusal(ask, ErrorCode.DEADLINE_UNREACHABLE, shortfall_s)
 
     def _is_idle(self) -> bool:
         # An idle endpoint takes any ask: estimates that are too long would else refuse every one
@@ -242,14 +244,14 @@
     def _make_room(self, ask: Ask, now: float) -> list[KeeperEvent]:
         if not len(self._queue) and self._count_free(now) > 0:
             return []
-        overflow = self._queue.find_overflow(ask)
+        overflow = self._queue.select_overflow(ask)
         if overflow is None:
             return []
         self._queue.remove(overflow.ask.ask_id)
-        half_s = 0.5 * len(self._queue) / self._estimate_rate(now)
-        return [self._refuse(overflow.ask, overflow.code, half_s)]
+        retry_after_s = 0.5 * len(self._queue) / self._estimate_rate(now)
+        return [self._build_refusal(overflow.ask, overflow.code, retry_after_s)]
 
-    def _enqueue(self, ask: Ask, least_s: float, now: float) -> None:
+    def _enqueue(self, ask: Ask, min_run_s: float, now: float) -> None:
         service_class = self._configuration.classes.get(ask.class_name)
         target_start = ask.deadline
         if service_class is not None:
@@ -258,16 +260,16 @@
         self._queue.add(
             ask,
             cost=self._forecast.estimate_cost(ask),
-            latest_start=ask.deadline if self._is_idle() else ask.deadline - least_s,
+            latest_start=ask.deadline if self._is_idle() else ask.deadline - min_run_s,
             target_start=target_start,
             now=now,
         )
 
-    def _free(self, grant: Grant, *, unused: bool, now: float) -> list[KeeperEvent]:
+    def _free_slot(self, grant: Grant, *, unused: bool, now: float) -> list[KeeperEvent]:
         self._settle(grant, unused=unused)
         self._freed_since_report += grant.start is None
-        self._forecast.note_slots(full=False, released=not (unused or grant.paused), now=now)
-        return self._continue(now)
+        self._forecast.record_slots(full=False, released=not (unused or grant.paused), now=now)
+        return self._run_queue(now)
 
     def _settle(self, grant: Grant, *, unused: bool) -> None:
         self._strict_starts += grant.paused
@@ -276,63 +278,63 @@
         cost = 0.0 if unused else self._forecast.measure_cost(grant)
         self._queue.finish(grant.start, cost=cost)
 
-    def _continue(self, now: float) -> list[KeeperEvent]:
+    def _run_queue(self, now: float) -> list[KeeperEvent]:
         return self._start_waiting(now) + self._pause_for_waiting(now)
 
     def _start_waiting(self, now: float) -> list[KeeperEvent]:
         if now >= self._cautious_until:
             self._cautious_until = 0.0
         events: list[KeeperEvent] = [
-            self._refuse(waiting.ask, ErrorCode.DEADLINE_UNREACHABLE, 0.0)
+            self._build_refusal(waiting.ask, ErrorCode.DEADLINE_UNREACHABLE, 0.0)
             for waiting in self._queue.remove_late(now)
         ]
         while len(self._queue) and self._count_free(now) > 0:
             strict = self._strict_starts > 0
-            start = self._queue.take(
+            start = self._queue.pop_next(
                 rate=self._estimate_rate(now), slots=self._endpoint.slots, now=now, strict=strict
             )
             self._strict_starts -= strict
             events.append(self._grant(start, now))
-        events += self._give_up_late(now)
+        events += self._reject_late(now)
         if not len(self._queue):
             self._strict_starts = 0
-        self._kv_check_at = None if self._is_full() else self._kv_room.find_expiry(now=now)
-        self._forecast.note_slots(full=self._is_full(), now=now)
+        self._kv_check_at = None if self._is_full() else self._kv_headroom.find_expiry(now=now)
+        self._forecast.record_slots(full=self._is_full(), now=now)
         return events
 
-    def _give_up_late(self, now: float) -> list[KeeperEvent]:
+    def _reject_late(self, now: float) -> list[KeeperEvent]:
         """Refuse asks that have missed their target and won't meet their deadline either."""
         events: list[KeeperEvent] = []
-        for waiting in self._queue.turn_late(now):
+        for waiting in self._queue.demote_late(now):
             ask = waiting.ask
             can_pause = self._grants.count_pausable(self._queue.find_tier(ask)) > 0
-            if can_pause or not self._forecast.has_evidence():
+            if can_pause or not self._forecast.has_enough_samples():
                 continue
             wait_s = self._forecast.estimate_late_wait(
                 ask, queue=self._queue, slots=self._endpoint.slots, now=now
             )
             if now + wait_s > waiting.latest_start:
                 self._queue.remove(ask.ask_id)
-                missing_s = now + wait_s - waiting.latest_start
-                events.append(self._refuse(ask, ErrorCode.DEADLINE_UNREACHABLE, missing_s))
+                shortfall_s = now + wait_s - waiting.latest_start
+                events.append(self._build_refusal(ask, ErrorCode.DEADLINE_UNREACHABLE, shortfall_s))
         return events
 
     def _grant(self, start: Start, now: float) -> Granted:
         ask = start.waiting.ask
-        grant = self._make_grant(ask, now=now, granted_at=now, start=start)
+        grant = self._create_grant(ask, now=now, granted_at=now, start=start)
         self._grants.add(grant)
-        self._kv_room.note_grant(grant, slots=self._endpoint.slots)
-        self._forecast.note_start(start.tier, now=now)
+        self._kv_headroom.record_grant(grant, slots=self._endpoint.slots)
+        self._forecast.record_start(start.tier, now=now)
         return Granted(ask=ask)
 
-    def _make_grant(
+    def _create_grant(
         self, ask: Ask, *, now: float, granted_at: float, start: Start | None = None
     ) -> Grant:
         grant = Grant(
             ask=ask,
             tier=start.tier if start is not None else self._queue.find_tier(ask),
             granted_at=granted_at,
-            expires_at=max(ask.deadline, now) + OVERRUN_S,
+            expires_at=max(ask.deadline, now) + EXPIRY_GRACE_S,
             expected_end=now,
             progress_at=now,
             start=start,
@@ -353,22 +355,22 @@
                 break
             needed += 1
             if ends is None:
-                ends = self._forecast.list_ends(self._grants, now=now)
+                ends = self._forecast.list_expected_ends(self._grants, now=now)
             decide_at = target - PAUSE_LEAD_S
             if bisect_right(ends, decide_at) >= needed:
                 if decide_at > now:
                     self._pause_check_at = min(decide_at, self._pause_check_at or decide_at)
                 continue
-            victim = self._grants.find_victim(tier, now=now)
+            victim = self._grants.select_victim(tier, now=now)
             victim.paused = True
-            ends = self._forecast.list_ends(self._grants, now=now)
+            ends = self._forecast.list_expected_ends(self._grants, now=now)
             lowest = self._grants.find_pausable_tier()
             events.append(Paused(ask=victim.ask, reason=PAUSE_REASON))
         return events
 
     def _learn(self, grant: Grant, release: Release, now: float) -> None:
         grant.tokens = max(grant.tokens, release.tokens)
-        self._weight.observe(grant.ask, release, now=now)
+        self._straggler_weight.observe(grant.ask, release, now=now)
         if not release.failed and not grant.paused:
             self._forecast.learn(grant.ask, release)
 
@@ -380,13 +382,13 @@
         free = slots - len(self._grants)
         if now < self._cautious_until:
             return min(free, self._count_reported_free(now))
-        if free > 0 and not self._kv_room.has_room(grants=self._grants, slots=slots, now=now):
+        if free > 0 and not self._kv_headroom.has_room(grants=self._grants, slots=slots, now=now):
             return 0
         return free
 
     def _count_reported_free(self, now: float) -> int:
         """Return what the endpoint's report leaves free, with what has changed since."""
-        report = self._kv_room.get_report(now)
+        report = self._kv_headroom.get_report(now)
         if report is None:
             return 0
         recent = sum(1 for g in self._grants.list_grants() if g.granted_at > report.as_of)
@@ -397,8 +399,8 @@
 
     def _estimate_wait(self, ask: Ask, now: float) -> float:
         """Return the seconds until a new ask would start; pausing bounds them for its tier."""
-        before = self._queue.count_ahead(ask) + self._queue.count_others(ask)
-        ahead = before + 1 - max(0, self._count_free(now))
+        queued_ahead = self._queue.count_ahead(ask) + self._queue.count_others(ask)
+        ahead = queued_ahead + 1 - max(0, self._count_free(now))
         if ahead <= 0:
             return 0.0
         wait_s = self._forecast.estimate_wait(
@@ -410,6 +412,6 @@
             wait_s = min(wait_s, service_class.first_token_ms / 1000.0 + PAUSE_S)
         return wait_s
 
-    def _refuse(self, ask: Ask, code: ErrorCode, retry_after_s: float) -> Refused:
-        bounded = min(GREATEST_RETRY_S, max(LEAST_RETRY_S, retry_after_s))
+    def _build_refusal(self, ask: Ask, code: ErrorCode, retry_after_s: float) -> Refused:
+        bounded = min(MAX_RETRY_AFTER_S, max(MIN_RETRY_AFTER_S, retry_after_s))
         return Refused(ask=ask, code=code, retry_after_s=bounded)
--- a/src/guavamast/keeping.py
+++ b/src/guavamast/keeping.py
@@ -30,8 +30,8 @@
     """
     serving = {member.instance.name: member for member in view.list_serving()}
     region = find_region(endpoint, view)
-    near = [name for name, member in serving.items() if _region_of(member) == region]
-    ranked = rank(endpoint.name, near or serving)
+    local = [name for name, member in serving.items() if _region_of(member) == region]
+    ranked = rank(endpoint.name, local or serving)
     return serving[ranked[0]] if ranked else None
 
 
--- a/src/guavamast/kv_room.py
+++ b/src/guavamast/kv_room.py
@@ -10,18 +10,18 @@
     from guavamast.grants import Grant, GrantTable
     from guavamast.slots import LoadReport
 
-REPORT_BOUND_S: Final = 5.0
+REPORT_MAX_AGE_S: Final = 5.0
 """Age in seconds from which a load report counts as none."""
-SAMPLE_TOKENS: Final = 64
+MIN_SAMPLE_TOKENS: Final = 64
 """Tokens held below which a report says nothing of the share that one takes."""
 FALL_WEIGHT: Final = 0.3
 RISE_WEIGHT: Final = 0.05
 """Weights of a new sample of the share a token takes; cached prefixes make samples too high."""
-FLOOR_SHARE: Final = 0.25
+MIN_OPEN_SHARE: Final = 0.25
 """Share of the slots that a report can't close."""
 
 
-class KvRoom:
+class KvHeadroom:
     """Tells whether one more request fits into the KV cache.
 
     Failure: a report that is stale or wrong shows no room on an empty engine, which then gets no
@@ -42,19 +42,19 @@
             return False
         self._report = report
         held = sum(_count_held(g) for g in grants.list_grants() if g.granted_at <= report.as_of)
-        if held < SAMPLE_TOKENS or report.running < 1:
+        if held < MIN_SAMPLE_TOKENS or report.running < 1:
             return True
         sample = max(0.0, 1.0 - report.kv_free) / held
-        usual = self._share_per_token
-        weight = FALL_WEIGHT if usual is None or sample < usual else RISE_WEIGHT
-        self._share_per_token = sample if usual is None else usual + weight * (sample - usual)
+        average = self._share_per_token
+        weight = FALL_WEIGHT if average is None or sample < average else RISE_WEIGHT
+        self._share_per_token = sample if average is None else average + weight * (sample - average)
         return True
 
-    def note_grant(self, grant: Grant, *, slots: int) -> None:
+    def record_grant(self, grant: Grant, *, slots: int) -> None:
         """Count a new grant in the mean need of a request."""
         need = self._estimate_need(grant, slots)
-        usual = need if self._mean_need is None else self._mean_need
-        self._mean_need = usual + EWMA_WEIGHT * (need - usual)
+        average = need if self._mean_need is None else self._mean_need
+        self._mean_need = average + EWMA_WEIGHT * (need - average)
 
     def get_report(self, now: float) -> LoadReport | None:
         """Return the last report; None when there is none or it is past its bound."""
@@ -62,20 +62,20 @@
 
     def find_expiry(self, *, now: float) -> float | None:
         """Return the time from which the last report counts as none; None when it does already."""
-        if self._report is None or now >= self._report.as_of + REPORT_BOUND_S:
+        if self._report is None or now >= self._report.as_of + REPORT_MAX_AGE_S:
             return None
-        return self._report.as_of + REPORT_BOUND_S
+        return self._report.as_of + REPORT_MAX_AGE_S
 
     def has_room(self, *, grants: GrantTable, slots: int, now: float) -> bool:
         """Return whether one more request of the usual size fits."""
         report = self.get_report(now)
-        if report is None or len(grants) < max(1.0, FLOOR_SHARE * slots):
+        if report is None or len(grants) < max(1.0, MIN_OPEN_SHARE * slots):
             return True
-        committed = sum(self._estimate_rest(g, report, slots) for g in grants.list_grants())
+        committed = sum(self._estimate_growth(g, report, slots) for g in grants.list_grants())
         need = 1.0 / max(1, slots) if self._mean_need is None else self._mean_need
         return report.kv_free - committed >= need
 
-    def _estimate_rest(self, grant: Grant, report: LoadReport, slots: int) -> float:
+    def _estimate_growth(self, grant: Grant, report: LoadReport, slots: int) -> float:
         if grant.granted_at > report.as_of:
             return self._estimate_need(grant, slots)
         growth = max(0.0, grant.expected_tokens - grant.tokens)
--- a/src/guavamast/queues.py
+++ b/src/guavamast/queues.py
@@ -9,7 +9,7 @@
 from dataclasses import dataclass
 from typing import TYPE_CHECKING, Final
 
-from guavamast._round_robin import Waiting
+from guavamast._round_robin import WaitingAsk
 from guavamast.class_queues import DEFAULT_QUEUE_LIMIT, ClassQueue
 from guavamast.errors import ErrorCode
 
@@ -19,15 +19,15 @@
     from guavamast.slots import Ask
     from guavamast.world import Configuration
 
-DEBT_DUE: Final = 1.0
+CREDIT_DUE: Final = 1.0
 """Starts owed to a class from which it is paid if no higher tier misses a target by it."""
-DEBT_PRESSING: Final = 1.5
+CREDIT_PRESSING: Final = 1.5
 """Starts owed from which only higher tiers' deadlines, not their targets, put payment off."""
 DEBT_CEILING: Final = 2.0
 """Starts owed at which it is paid in any case; a class is never owed more."""
-WORK_CEILING: Final = 16.0
+MAX_WORK: Final = 16.0
 """Starts that one start by share may cost; bounds the wait of a class of long requests."""
-MEAN_WEIGHT: Final = 0.05
+MEAN_COST_WEIGHT: Final = 0.05
 """Weight of a new start in the mean work of a start."""
 TARGETS_CHECKED: Final = 8
 """Asks of a class whose first-token targets are weighed before a share is paid."""
@@ -37,15 +37,15 @@
 class Start:
     """An ask that leaves the queue for a slot."""
 
-    waiting: Waiting
+    waiting: WaitingAsk
     tier: int
-    paid: float = 0.0
+    charged: float = 0.0
     """What it cost the class of its share; above 0 only when a higher tier waited meanwhile."""
 
     @property
     def by_share(self) -> bool:
         """Whether the start was owed to the class while a higher tier waited."""
-        return self.paid > 0.0
+        return self.charged > 0.0
 
 
 @dataclass(frozen=True, slots=True, kw_only=True)
@@ -67,7 +67,7 @@
 
     def __init__(self, *, configuration: Configuration) -> None:
         self._classes: dict[str, ClassQueue] = {}
-        self._class_of: dict[str, tuple[ClassQueue, Waiting]] = {}
+        self._class_of: dict[str, tuple[ClassQueue, WaitingAsk]] = {}
         self._mean_cost: float | None = None
         self._sequence = 0
         self._total_limit = DEFAULT_QUEUE_LIMIT
@@ -86,17 +86,17 @@
             self._drop_if_unknown_and_empty(name, configuration)
         for name, service_class in configuration.classes.items():
             if name not in self._classes:
-                self._classes[name] = self._make_class(name, service_class.tier)
+                self._classes[name] = self._create_class(name, service_class.tier)
             self._classes[name].configure(service_class)
         limits = [service_class.queue_limit for service_class in configuration.classes.values()]
         self._total_limit = max(limits, default=DEFAULT_QUEUE_LIMIT)
 
     def find_tier(self, ask: Ask) -> int:
         """Return the tier of an ask's class here; its own word when the class is unknown."""
-        queue = self._classes.get(self._find_name(ask))
+        queue = self._classes.get(self._resolve_class_name(ask))
         return queue.tier if queue is not None else ask.tier
 
-    def find_overflow(self, ask: Ask) -> Overflow | None:
+    def select_overflow(self, ask: Ask) -> Overflow | None:
         """Return what has to be given up for an ask to wait; None when there is room.
 
         A full class gives up the newest ask of the organisation that has the most waiting, be it
@@ -107,10 +107,10 @@
         of starts reaches it, and the higher tier loses nothing by places that are not part of its
         limit.
         """
-        queue = self._classes.get(self._find_name(ask))
+        queue = self._classes.get(self._resolve_class_name(ask))
         held = len(queue) if queue is not None else 0
         if held >= (queue.limit if queue is not None else DEFAULT_QUEUE_LIMIT):
-            return _find_overflow_of_class(queue, ask)
+            return _select_overflow_of_class(queue, ask)
         if queue is not None and held < queue.reserved:
             return None
         filled = [other for other in self._list_waiting() if other.count_unreserved()]
@@ -125,14 +125,14 @@
 
     def add(
         self, ask: Ask, *, cost: float, latest_start: float, target_start: float, now: float
-    ) -> Waiting:
+    ) -> WaitingAsk:
         """Append an ask that is not in the queue yet."""
-        name = self._find_name(ask)
+        name = self._resolve_class_name(ask)
         queue = self._classes.get(name)
         if queue is None:
-            queue = self._classes[name] = self._make_class(name, ask.tier)
+            queue = self._classes[name] = self._create_class(name, ask.tier)
         self._sequence += 1
-        waiting = Waiting(
+        waiting = WaitingAsk(
             ask=ask,
             sequence=self._sequence,
             arrived_at=now,
@@ -144,26 +144,26 @@
         self._class_of[ask.ask_id] = (queue, waiting)
         return waiting
 
-    def remove(self, ask_id: str) -> Waiting | None:
+    def remove(self, ask_id: str) -> WaitingAsk | None:
         """Take an ask out without starting it; None when it does not wait."""
         queue, waiting = self._class_of.pop(ask_id, (None, None))
         if queue is not None:
             queue.remove(waiting.ask)
         return waiting
 
-    def remove_late(self, now: float) -> list[Waiting]:
+    def remove_late(self, now: float) -> list[WaitingAsk]:
         """Take out the asks that can't meet their deadline any more."""
         late = []
         for queue in self._list_waiting():
             while len(queue) and queue.latest_starts.get(0) <= now:
-                waiting = queue.by_arrival[queue.latest_starts.find_first()]
+                waiting = queue.by_arrival[queue.latest_starts.get_first_sequence()]
                 self.remove(waiting.ask.ask_id)
                 late.append(waiting)
         return late
 
-    def turn_late(self, now: float) -> list[Waiting]:
+    def demote_late(self, now: float) -> list[WaitingAsk]:
         """Put asks that have missed their target behind the others; return them."""
-        return [waiting for queue in self._list_waiting() for waiting in queue.turn_late(now)]
+        return [waiting for queue in self._list_waiting() for waiting in queue.demote_late(now)]
 
     def find_first_target(self) -> float | None:
         """Return the time at which the next ask misses its target."""
@@ -173,14 +173,14 @@
 
     def count_class(self, ask: Ask) -> int:
         """Return how many asks of an ask's class wait, late ones too."""
-        queue = self._classes.get(self._find_name(ask))
+        queue = self._classes.get(self._resolve_class_name(ask))
         return len(queue) if queue is not None else 0
 
     def list_asks(self) -> list[Ask]:
         """Return all asks that wait."""
         return [waiting.ask for _, waiting in self._class_of.values()]
 
-    def get(self, ask_id: str) -> Waiting:
+    def get(self, ask_id: str) -> WaitingAsk:
         """Return what is known of a waiting ask."""
         return self._class_of[ask_id][1]
 
@@ -203,13 +203,13 @@
 
     def count_ahead(self, ask: Ask) -> int:
         """Return how many asks of its class start before a new one."""
-        queue = self._classes.get(self._find_name(ask))
+        queue = self._classes.get(self._resolve_class_name(ask))
         return queue.count_ahead(ask) if queue is not None else 0
 
     def count_others(self, ask: Ask) -> int:
         """Return how many asks of other classes, of its tier or higher, wait."""
         tier = self.find_tier(ask)
-        name = self._find_name(ask)
+        name = self._resolve_class_name(ask)
         return sum(len(q) for q in self._list_waiting() if q.tier <= tier and q.name != name)
 
     def find_share(self, class_name: str) -> float:
@@ -221,7 +221,9 @@
         """Return the share of starts that waiting classes below a tier are guaranteed."""
         return sum(queue.share for queue in self._list_waiting() if queue.tier > tier)
 
-    def take(self, *, rate: float, slots: int, now: float, strict: bool = False) -> Start | None:
+    def pop_next(
+        self, *, rate: float, slots: int, now: float, strict: bool = False
+    ) -> Start | None:
         """Take the ask that starts next.
 
         Args:
@@ -231,16 +233,16 @@
             strict: Leave shares aside: the slot was taken from a running request for the sake of
                 the highest tier that waits.
         """
-        head = self._find_head()
+        head = self._select_head()
         if head is None:
             return None
-        owed = None if strict else self._find_owed(head, slots, rate, now)
+        owed = None if strict else self._select_owed(head, slots, rate, now)
         queue = owed or head
-        waiting = queue.take()
+        waiting = queue.pop_next()
         del self._class_of[waiting.ask.ask_id]
-        paid = self._measure_work(waiting) if owed is not None else 0.0
-        self._count_start(queue, waiting, paid)
-        return Start(waiting=waiting, tier=queue.tier, paid=paid)
+        charged = self._estimate_work(waiting) if owed is not None else 0.0
+        self._record_start(queue, waiting, charged)
+        return Start(waiting=waiting, tier=queue.tier, charged=charged)
 
     def finish(self, start: Start, *, cost: float) -> None:
         """Settle a start whose slot has come free.
@@ -249,14 +251,14 @@
             start: The start.
             cost: Its true work in tokens; 0 when the slot was returned unused.
         """
-        queue = self._classes.get(self._find_name(start.waiting.ask))
+        queue = self._classes.get(self._resolve_class_name(start.waiting.ask))
         if queue is None:
             return
-        queue.robin.charge(start.waiting.ask.organisation, cost - start.waiting.cost)
+        queue.round_robin.charge(start.waiting.ask.organisation, cost - start.waiting.cost)
         if start.by_share:
             queue.shares_running = max(0, queue.shares_running - 1)
             if not cost:
-                queue.debt = min(DEBT_CEILING, queue.debt + start.paid)
+                queue.credit = min(DEBT_CEILING, queue.credit + start.charged)
 
     def list_classes(self) -> list[ClassQueue]:
         """Return all classes, also those with no waiting work."""
@@ -265,30 +267,30 @@
     def _list_waiting(self) -> list[ClassQueue]:
         return [queue for queue in self._classes.values() if queue.by_arrival]
 
-    def _find_head(self) -> ClassQueue | None:
+    def _select_head(self) -> ClassQueue | None:
         order = self._list_waiting()
         return min(order, key=lambda queue: (queue.tier, queue.last_start), default=None)
 
-    def _find_owed(
+    def _select_owed(
         self, head: ClassQueue, slots: int, rate: float, now: float
     ) -> ClassQueue | None:
         owed = [
             queue
             for queue in self._list_waiting()
-            if queue.debt >= DEBT_DUE
+            if queue.credit >= CREDIT_DUE
             and queue.tier > head.tier
             and queue.shares_running < max(1.0, queue.share * slots)
         ]
-        for queue in sorted(owed, key=lambda queue: (-queue.debt, queue.tier)):
-            if self._can_pay(queue, rate, now):
+        for queue in sorted(owed, key=lambda queue: (-queue.credit, queue.tier)):
+            if self._can_start_by_share(queue, rate, now):
                 return queue
         return None
 
-    def _can_pay(self, queue: ClassQueue, rate: float, now: float) -> bool:
-        if queue.debt >= DEBT_CEILING:
+    def _can_start_by_share(self, queue: ClassQueue, rate: float, now: float) -> bool:
+        if queue.credit >= DEBT_CEILING:
             return True
         higher = [other for other in self._list_waiting() if other.tier < queue.tier]
-        if queue.debt < DEBT_PRESSING and any(_costs_target(c, rate, now) for c in higher):
+        if queue.credit < CREDIT_PRESSING and any(_misses_target(c, rate, now) for c in higher):
             return False
         return all(self._keeps_deadlines(other, rate, now) for other in higher)
 
@@ -308,36 +310,36 @@
             rank = following
         return True
 
-    def _measure_work(self, waiting: Waiting) -> float:
+    def _estimate_work(self, waiting: WaitingAsk) -> float:
         """Return the work of an ask in usual starts.
 
         Failure: a class of long runs gets a start for each twenty short ones, and its runs, which
         no higher tier may pause, end up with most of the slots. Paying a long run as several
         starts keeps the class near its share of the slots' time, too.
         """
-        return min(WORK_CEILING, max(1.0, waiting.cost / (self._mean_cost or waiting.cost)))
+        return min(MAX_WORK, max(1.0, waiting.cost / (self._mean_cost or waiting.cost)))
 
-    def _count_start(self, started: ClassQueue, waiting: Waiting, paid: float) -> None:
+    def _record_start(self, started: ClassQueue, waiting: WaitingAsk, charged: float) -> None:
         self._sequence += 1
         started.last_start = self._sequence
         mean = self._mean_cost if self._mean_cost is not None else waiting.cost
-        self._mean_cost = mean + MEAN_WEIGHT * (waiting.cost - mean)
-        if paid:
-            started.debt -= paid
+        self._mean_cost = mean + MEAN_COST_WEIGHT * (waiting.cost - mean)
+        if charged:
+            started.credit -= charged
             started.shares_running += 1
         else:
-            started.debt = min(started.debt, max(0.0, started.debt - 1.0))
+            started.credit = min(started.credit, max(0.0, started.credit - 1.0))
         for queue in self._list_waiting():
             if queue is not started:
-                queue.debt = min(DEBT_CEILING, queue.debt + queue.share)
+                queue.credit = min(DEBT_CEILING, queue.credit + queue.share)
 
-    def _find_name(self, ask: Ask) -> str:
+    def _resolve_class_name(self, ask: Ask) -> str:
         # An entry may know a newer configuration than this process; its tier is then taken at its
         # word, one queue for each.
         known = ask.class_name in self._classes
         return ask.class_name if known else f"{ask.class_name}@{ask.tier}"
 
-    def _make_class(self, name: str, tier: int) -> ClassQueue:
+    def _create_class(self, name: str, tier: int) -> ClassQueue:
         # A new class counts as just started: one that empties and returns gains no turn by it.
         return ClassQueue(name=name, tier=tier, last_start=self._sequence)
 
@@ -346,7 +348,7 @@
             del self._classes[name]
 
 
-def _costs_target(queue: ClassQueue, rate: float, now: float) -> bool:
+def _misses_target(queue: ClassQueue, rate: float, now: float) -> bool:
     """Return whether one more start makes an ask of a class miss its first-token target."""
     first = queue.target_starts.count_before(now)
     last = min(first + TARGETS_CHECKED, len(queue.target_starts))
@@ -357,8 +359,11 @@
     return False
 
 
-def _find_overflow_of_class(queue: ClassQueue | None, ask: Ask) -> Overflow:
+def _select_overflow_of_class(queue: ClassQueue | None, ask: Ask) -> Overflow:
     # The difference of two keeps two organisations from pushing each other's asks out in turn.
-    if queue is None or queue.robin.count_all(ask.organisation) + 2 > queue.robin.count_longest():
+    if (
+        queue is None
+        or queue.round_robin.count_all(ask.organisation) + 2 > queue.round_robin.count_longest()
+    ):
         return Overflow(ask=ask, code=ErrorCode.QUEUE_FULL)
-    return Overflow(ask=queue.robin.find_newest_of_longest().ask, code=ErrorCode.SHED)
+    return Overflow(ask=queue.round_robin.find_newest_of_longest().ask, code=ErrorCode.SHED)
--- a/tests/test_estimates.py
+++ b/tests/test_estimates.py
@@ -6,7 +6,7 @@
 import unittest
 
 from guavamast.estimates import (
-    LENGTH_KEYS,
+    MAX_LENGTH_KEYS,
     WEIGHT_FLOOR,
     LengthEstimates,
     ReleaseRate,
@@ -76,9 +76,9 @@
         self.assertLess(self.lengths.estimate(other, quantile=0.5), 16)
 
     def test_memory_is_bounded(self) -> None:
-        for number in range(LENGTH_KEYS + 500):
+        for number in range(MAX_LENGTH_KEYS + 500):
             self.lengths.observe(make_ask(f"o{number}"), 10)
-        self.assertEqual(len(self.lengths), LENGTH_KEYS)
+        self.assertEqual(len(self.lengths), MAX_LENGTH_KEYS)
 
 
 class StragglerWeightTest(unittest.TestCase):
--- a/tests/test_keepers_properties.py
+++ b/tests/test_keepers_properties.py
@@ -13,7 +13,7 @@
 from guavamast._round_robin import QUANTUM
 from guavamast.errors import ErrorCode
 from guavamast.keepers import EndpointKeeper
-from guavamast.queues import DEBT_CEILING, WORK_CEILING
+from guavamast.queues import DEBT_CEILING, MAX_WORK
 from guavamast.slots import Ask, Granted, KeeperEvent, LoadReport, Paused, Queued, Refused, Release
 from guavamast.world import Configuration, Endpoint, EndpointKind, EndpointState, ServiceClass
 
@@ -24,7 +24,7 @@
 ENTRIES: Final = ("a", "b")
 ORGANISATIONS: Final = ("florist", "plumber", "baker")
 LEAST_STARTS: Final = {
-    name: (DEBT_CEILING + WORK_CEILING) / share + 2 for name, share in SHARES.items() if share
+    name: (DEBT_CEILING + MAX_WORK) / share + 2 for name, share in SHARES.items() if share
 }
 """Natural starts within which a waiting class gets one: from the debt of its longest run to the
 ceiling, and one for each of the owed classes."""
@@ -451,8 +451,8 @@
     @invariant()
     def deficits_are_bounded(self) -> None:
         for queue in self.keeper._queue.list_classes():  # noqa: SLF001
-            assert -WORK_CEILING <= queue.debt <= DEBT_CEILING
-            for deficit in queue.robin.list_deficits():
+            assert -MAX_WORK <= queue.credit <= DEBT_CEILING
+            for deficit in queue.round_robin.list_deficits():
                 assert -DEBT_LIMIT <= deficit <= QUANTUM
 
     @invariant()
--- a/tests/test_queues_properties.py
+++ b/tests/test_queues_properties.py
@@ -7,8 +7,8 @@
 from hypothesis import given
 from hypothesis import strategies as st
 
-from guavamast._round_robin import QUANTUM, RoundRobin, Waiting
-from guavamast.queues import DEBT_CEILING, WORK_CEILING, Start, WaitingQueue
+from guavamast._round_robin import QUANTUM, RoundRobin, WaitingAsk
+from guavamast.queues import DEBT_CEILING, MAX_WORK, Start, WaitingQueue
 from guavamast.slots import Ask
 from guavamast.world import Configuration, ServiceClass
 
@@ -32,9 +32,9 @@
     )
 
 
-def make_waiting(number: int, *, organisation: str, cost: float) -> Waiting:
+def make_waiting(number: int, *, organisation: str, cost: float) -> WaitingAsk:
     """Return a waiting ask of that cost."""
-    return Waiting(
+    return WaitingAsk(
         ask=make_ask(number, organisation=organisation),
         sequence=number,
         arrived_at=0.0,
@@ -64,7 +64,7 @@
                 number += 1
                 robin.add(make_waiting(number, organisation=str(organisation), cost=own[0]))
         for _ in range(starts):
-            waiting = robin.take()
+            waiting = robin.pop_next()
             organisation = waiting.ask.organisation
             served[organisation] += waiting.cost
             number += 1
@@ -107,10 +107,10 @@
             queue.add(ask, cost=1.0, latest_start=1e9, target_start=1e9, now=0.0)
             high = make_ask(number, organisation="other", class_name="high")
             queue.add(high, cost=1.0, latest_start=1e9, target_start=1e9, now=0.0)
-            start = queue.take(rate=1.0, slots=4, now=0.0, strict=strict)
+            start = queue.pop_next(rate=1.0, slots=4, now=0.0, strict=strict)
             self.assertFalse(strict and start.by_share)
             for service_class in queue.list_classes():
-                self.assertTrue(-WORK_CEILING <= service_class.debt <= DEBT_CEILING)
+                self.assertTrue(-MAX_WORK <= service_class.credit <= DEBT_CEILING)
 
     @given(
         st.lists(
@@ -131,11 +131,11 @@
                 ask = make_ask(number, class_name=name)
                 low_cost = cost if name == "low" else 1.0
                 queue.add(ask, cost=low_cost, latest_start=latest_start, target_start=0.5, now=0.0)
-            start = queue.take(rate=1.0, slots=slots, now=0.0)
+            start = queue.pop_next(rate=1.0, slots=slots, now=0.0)
             running += [start] if start.by_share else []
             gap = 0 if start.waiting.ask.class_name == "low" else gap + 1
             if len(running) < max(1.0, share * slots):
-                self.assertLessEqual(gap, (DEBT_CEILING + WORK_CEILING) / share + 1)
+                self.assertLessEqual(gap, (DEBT_CEILING + MAX_WORK) / share + 1)
             else:
                 gap = 0
             for _ in range(min(finished, len(running))):
@@ -152,13 +152,13 @@
         (low,) = [
             service_class for service_class in queue.list_classes() if service_class.tier == 2
         ]
-        start = queue.take(rate=1.0, slots=4, now=0.0)
+        start = queue.pop_next(rate=1.0, slots=4, now=0.0)
         while not start.by_share:
-            start = queue.take(rate=1.0, slots=4, now=0.0)
-        self.assertAlmostEqual(start.paid, 5.0)
-        debt = low.debt
+            start = queue.pop_next(rate=1.0, slots=4, now=0.0)
+        self.assertAlmostEqual(start.charged, 5.0)
+        debt = low.credit
         queue.finish(start, cost=0.0)
-        self.assertAlmostEqual(low.debt, debt + 5.0)
+        self.assertAlmostEqual(low.credit, debt + 5.0)
 
 
 if __name__ == "__main__":
