--- a/src/guavamast/_round_robin.py
+++ b/src/guavamast/_round_robin.py
@@ -11,14 +11,14 @@
     from guavamast.slots import Ask
 
 QUANTUM: Final = 256.0
-"""Tokens that an organisation may start each round; about one short answer."""
+"""Tokens added to an organisation's deficit counter each round; about one short response."""
 MAX_COST: Final = 65_536.0
-"""Tokens above which a request costs no more; bounds an organisation's debt."""
+"""Maximum cost of a request in tokens; bounds an organisation's debt."""
 
 
 @dataclass(slots=True, kw_only=True)
 class WaitingAsk:
-    """A queued ask with what was worked out when it came."""
+    """A queued ask with the estimates from its arrival."""
 
     ask: Ask
     sequence: int
@@ -27,15 +27,15 @@
     cost: float
     """Estimated work in tokens."""
     latest_start: float
-    """Time after which it can't meet its deadline."""
+    """Time after which the ask can't meet its deadline."""
     target_start: float
-    """Time after which it misses its class's first-token target."""
+    """Time after which the ask misses its class's first-token target."""
     is_late: bool = False
-    """It has missed that target; asks that can still meet theirs go first."""
+    """Whether the ask has missed that target; asks that can still meet theirs go first."""
 
 
 class _Account:
-    """One organisation's waiting asks and its balance."""
+    """The waiting asks and the deficit counter of one organisation."""
 
     __slots__ = ("deficit", "last_round", "late", "waiting")
 
@@ -50,13 +50,13 @@
 
 
 class RoundRobin:
-    """Waiting asks, served round by round and organisation by organisation.
+    """Waiting asks in deficit round robin among organisations.
 
-    Each round adds `QUANTUM` to an organisation's deficit counter and each start takes its cost
-    off. An organisation in debt waits until the round that makes its counter positive again; a
-    heap by that round makes a start logarithmic in the number of organisations, however dear
-    the asks are. The debt outlives an empty queue while others wait, so that sending one dear ask
-    at a time gains nothing.
+    Each round adds `QUANTUM` to an organisation's deficit counter and each start subtracts its
+    cost. An organisation in debt waits until the round that makes its counter positive again. A
+    heap ordered by that round makes a start logarithmic in the number of organisations, however
+    expensive the asks are. The debt persists while the organisation's queue is empty and others
+    wait, so that sending one expensive ask at a time gains nothing.
     """
 
     __slots__ = ("_accounts", "_by_count", "_heap", "_length", "_longest", "_round", "_sequence")
@@ -68,7 +68,7 @@
         self._sequence = 0
         self._length = 0
         self._by_count: dict[int, dict[str, None]] = {}
-        """Organisations by how many of their asks wait."""
+        """Organisations by the number of their waiting asks."""
         self._longest = 0
 
     def __len__(self) -> int:
@@ -86,7 +86,7 @@
         self._update_count(organisation, len(account), change=1)
 
     def remove(self, ask: Ask) -> WaitingAsk:
-        """Take an ask out without starting it."""
+        """Remove an ask without starting it."""
         account = self._accounts[ask.organisation]
         waiting = account.waiting.pop(ask.ask_id, None) or account.late.pop(ask.ask_id)
         self._update_count(ask.organisation, len(account), change=-1)
@@ -94,12 +94,12 @@
         return waiting
 
     def demote_late(self, waiting: WaitingAsk) -> None:
-        """Put an ask behind those of its organisation that can still meet their target."""
+        """Move an ask behind those of its organisation that can still meet their target."""
         account = self._accounts[waiting.ask.organisation]
         account.late[waiting.ask.ask_id] = account.waiting.pop(waiting.ask.ask_id)
 
     def pop_next(self) -> WaitingAsk:
-        """Take the next ask to start and charge its organisation."""
+        """Remove and return the next ask to start, and charge its organisation."""
         while True:
             round_number, _, organisation = heappop(self._heap)
             self._round = max(self._round, round_number)
@@ -113,7 +113,7 @@
                 return self._start(organisation, account)
 
     def charge(self, organisation: str, cost: float) -> None:
-        """Take the difference between a start's true and estimated cost off its organisation."""
+        """Charge an organisation the difference between a start's actual and estimated cost."""
         account = self._accounts.get(organisation)
         if account is not None:
             self._top_up(account)
@@ -134,11 +134,11 @@
         return len(account) if account is not None else 0
 
     def count_longest(self) -> int:
-        """Return how many asks the organisation with the most of them has waiting."""
+        """Return the greatest number of waiting asks of any organisation."""
         return self._longest
 
     def find_newest_of_longest(self) -> WaitingAsk:
-        """Return the last ask of an organisation that has the most of them waiting."""
+        """Return the newest ask of an organisation with the most waiting asks."""
         organisation = next(iter(self._by_count[self._longest]))
         account = self._accounts[organisation]
         return next(reversed((account.waiting or account.late).values()))
--- a/src/guavamast/class_queues.py
+++ b/src/guavamast/class_queues.py
@@ -15,11 +15,11 @@
     from guavamast.world import ServiceClass
 
 DEFAULT_QUEUE_LIMIT: Final = 100
-"""Waiting asks of a class that the configuration does not name."""
+"""Maximum number of waiting asks of a class that is not configured."""
 
 
 class SortedTimes:
-    """Points in time, sorted; a change moves at most a few 10 kB at 10,000 entries."""
+    """Sorted points in time; a change moves at most a few 10 kB at 10,000 entries."""
 
     __slots__ = ("_times",)
 
@@ -30,7 +30,7 @@
         return len(self._times)
 
     def add(self, time: float, sequence: int) -> None:
-        """Insert a time; the sequence number tells equal times apart."""
+        """Insert a time; the sequence number distinguishes equal times."""
         insort(self._times, (time, sequence))
 
     def remove(self, time: float, sequence: int) -> None:
@@ -38,7 +38,7 @@
         del self._times[bisect_left(self._times, (time, sequence))]
 
     def count_before(self, time: float) -> int:
-        """Return how many times lie before one."""
+        """Return how many times are before the given one."""
         return bisect_left(self._times, (time, -1))
 
     def get(self, index: int) -> float:
@@ -75,31 +75,31 @@
         self.share = 0.0
         self.limit = DEFAULT_QUEUE_LIMIT
         self.reserved = 0
-        """Places that other classes can't fill; they come on top of the whole queue's limit."""
+        """Places that other classes can't fill, in addition to the limit of the whole queue."""
         self.credit = 0.0
-        """Starts that the class is owed, at most `DEBT_CEILING`; below 0 after a long run."""
+        """Starts owed to the class, at most `DEBT_CEILING`; below 0 after a long run."""
         self.shares_running = 0
-        """Slots held by starts by share."""
+        """Slots that are held by starts by share."""
         self.last_start = last_start
         self.round_robin = RoundRobin()
         self.by_arrival: OrderedDict[int, WaitingAsk] = OrderedDict()
         self.latest_starts = SortedTimes()
         self.target_starts = SortedTimes()
-        """Of the asks that can still meet their target."""
+        """Target starts of the asks that can still meet their target."""
         self.late: OrderedDict[int, WaitingAsk] = OrderedDict()
 
     def __len__(self) -> int:
         return len(self.by_arrival)
 
     def configure(self, service_class: ServiceClass) -> None:
-        """Take on the class as configured."""
+        """Apply the configuration of the class."""
         self.tier = service_class.tier
         self.share = min(1.0, max(0.0, service_class.guaranteed_share))
         self.limit = service_class.queue_limit
         self.reserved = min(self.limit, ceil(self.share * self.limit))
 
     def count_unreserved(self) -> int:
-        """Return how many asks count against the whole queue's limit."""
+        """Return how many asks count towards the limit of the whole queue."""
         return max(0, len(self.by_arrival) - self.reserved)
 
     def add(self, waiting: WaitingAsk) -> None:
@@ -110,30 +110,30 @@
         self.target_starts.add(waiting.target_start, waiting.sequence)
 
     def remove(self, ask: Ask) -> WaitingAsk:
-        """Take an ask out without starting it."""
+        """Remove an ask without starting it."""
         waiting = self.round_robin.remove(ask)
         self._forget(waiting)
         return waiting
 
     def pop_next(self) -> WaitingAsk:
-        """Take the ask whose organisation is next."""
+        """Remove and return the next ask in the order of the organisations."""
         waiting = self.round_robin.pop_next()
         self._forget(waiting)
         return waiting
 
     def find_newest(self) -> WaitingAsk:
-        """Return the last to arrive."""
+        """Return the ask that arrived last."""
         return next(reversed(self.by_arrival.values()))
 
     def count_ahead(self, ask: Ask) -> int:
-        """Return how many of the class start before a new ask of that organisation."""
+        """Return how many asks of the class would start before a new ask of that organisation."""
         starts_before = (
             self.round_robin.count(ask.organisation) + 1
         ) * self.round_robin.count_organisations()
         return min(len(self.target_starts), starts_before)
 
     def demote_late(self, now: float) -> list[WaitingAsk]:
-        """Put the asks that have missed their target behind the others and return them."""
+        """Move the asks that have missed their target behind the others and return them."""
         demoted = []
         while len(self.target_starts) and self.target_starts.get(0) <= now:
             waiting = self.by_arrival[self.target_starts.get_first_sequence()]
--- a/src/guavamast/estimates.py
+++ b/src/guavamast/estimates.py
@@ -16,15 +16,15 @@
 """Log-spaced buckets of a histogram; the last one begins at 2 ** 17.5 tokens."""
 BUCKETS_PER_DOUBLING: Final = 2
 HISTOGRAM_CEILING: Final = 256
-"""Samples at which a histogram is halved, so that old lengths fade."""
+"""Samples at which the counts of a histogram are halved, so that old lengths decay."""
 PRIOR_SAMPLES: Final = 8.0
-"""Weight, in samples, of what all organisations show for a kind and model."""
+"""Weight, in samples, of the lengths of all organisations for a kind and model."""
 DEFAULT_TOKENS: Final = 256
-"""Median output tokens when nothing was seen yet."""
+"""Median output tokens before any sample."""
 MAX_LENGTH_KEYS: Final = 8192
-"""Histograms kept, the least recently used go first; about 0.4 kB each."""
+"""Maximum number of histograms, the least recently used are evicted; about 0.4 kB each."""
 MAX_SHARED_KEYS: Final = 256
-"""Kinds and models whose lengths or times are kept over all organisations."""
+"""Maximum number of kinds and models with lengths or times over all organisations."""
 EWMA_WEIGHT: Final = 0.1
 """Weight of a new sample in a moving average."""
 LOW_QUANTILE: Final = 0.1
@@ -33,24 +33,24 @@
 DEFAULT_INTERVAL_S: Final = 0.02
 """Seconds between tokens; just under the target of the design size."""
 DEFAULT_CALL_S: Final = 0.2
-"""Seconds that a call of a plain service is expected to take before one was seen."""
+"""Expected seconds of a call of a plain service before any sample."""
 DEFAULT_ENGINE_S: Final = DEFAULT_FIRST_TOKEN_S + DEFAULT_TOKENS * DEFAULT_INTERVAL_S
-"""Seconds that a run of an engine is expected to take before one was seen."""
+"""Expected seconds of a run of an engine before any sample."""
 RATE_HALF_LIFE_S: Final = 30.0
-"""Seconds after which a release counts half in the release rate."""
+"""Half-life in seconds of a release in the release rate."""
 PRIOR_RELEASES: Final = 2.0
 """Weight, in releases, of the rate that slots and service time predict."""
 STRAGGLE_RATIO: Final = 2.0
-"""Times the usual pace from which a release counts as slow."""
+"""Multiple of the baseline pace above which a release counts as slow."""
 WEIGHT_FLOOR: Final = 0.05
-"""Least weight; above 0 so that a trickle of requests keeps probing the endpoint."""
+"""Minimum weight; above 0 so that a few requests keep probing the endpoint."""
 WEIGHT_RECOVERY_S: Final = 10.0
-"""Seconds without a release after which the weight has risen by `WEIGHT_STEP`."""
+"""Seconds without a release in which the weight rises by `WEIGHT_STEP`."""
 WEIGHT_STEP: Final = 0.1
 
 
 class LengthHistogram:
-    """Output lengths in log-spaced buckets; older ones fade."""
+    """Histogram of output lengths in log-spaced buckets; older lengths decay."""
 
     __slots__ = ("_counts", "total")
 
@@ -67,7 +67,7 @@
         self.total += 1
 
     def copy_weighted(self, weight: float) -> list[float]:
-        """Return the counts, scaled."""
+        """Return the counts multiplied by a weight."""
         return [count * weight for count in self._counts]
 
 
@@ -77,15 +77,16 @@
 
 
 def compute_bucket_edge(bucket: float) -> float:
-    """Return the least length of a bucket; fractions lie inside of it."""
+    """Return the lower edge of a bucket in tokens; a fractional index lies within the bucket."""
     return 2.0 ** (bucket / BUCKETS_PER_DOUBLING)
 
 
 class LengthEstimates:
-    """Output length by quantile per organisation, kind and model, in bounded memory.
+    """Quantiles of the output length by organisation, kind and model, in bounded memory.
 
-    Few own samples are completed by those of all organisations for the same kind and model. One
-    object may serve all keepers of a process, so that each learns from the others' releases.
+    If an organisation has few samples, those of all organisations for the same kind and model
+    complement them. One object may serve all keepers of a process, so that each learns from the
+    others' releases.
     """
 
     __slots__ = ("_by_organisation", "_shared")
@@ -98,21 +99,21 @@
         return len(self._by_organisation)
 
     def observe(self, ask: Ask, tokens: int) -> None:
-        """Count the length of one whole answer."""
+        """Count the length of one whole response."""
         own_key = (ask.organisation, ask.kind, ask.model)
         _get_or_create(self._by_organisation, own_key, MAX_LENGTH_KEYS).add(tokens)
         _get_or_create(self._shared, (ask.kind, ask.model), MAX_SHARED_KEYS).add(tokens)
 
     def estimate(self, ask: Ask, *, quantile: float, produced: int = 0) -> float:
-        """Return the output length, at that quantile, of a request that has come so far.
+        """Return a quantile of the output length of a request, given the tokens delivered so far.
 
         Args:
             ask: The request; its ``max_tokens`` bounds the estimate.
-            quantile: 0 to 1; of the lengths above ``produced`` once it runs.
-            produced: Tokens delivered already.
+            quantile: 0 to 1; among the lengths above ``produced`` for a running request.
+            produced: Tokens delivered so far.
 
         Returns:
-            Tokens in all, at least ``produced``.
+            Total tokens, at least ``produced``.
         """
         counts = self._combine_counts(ask)
         begin = min(BUCKETS - 1.0, BUCKETS_PER_DOUBLING * math.log2(max(1, produced)))
@@ -134,12 +135,12 @@
 
 
 def _compute_prior(quantile: float) -> float:
-    # Exponential with DEFAULT_TOKENS as its median: low quantiles refuse little on no evidence.
+    # Exponential with median DEFAULT_TOKENS; without samples, low quantiles reject few asks.
     return -DEFAULT_TOKENS * math.log2(1.0 - min(quantile, 0.99))
 
 
 def _compute_quantile(counts: list[float], begin: float, quantile: float) -> float | None:
-    """Return a quantile of the lengths above a point of the scale; None when there are none."""
+    """Return a quantile of the lengths above a bucket position; None when there are none."""
     first = int(begin)
     counts[first] *= 1.0 - (begin - first)
     rank = quantile * sum(counts[first:])
@@ -182,91 +183,93 @@
 class ServiceTimes:
     """Expected seconds of a run on one endpoint, by kind and model."""
 
-    __slots__ = ("_lengths", "_paces", "mean_s", "samples")
+    __slots__ = ("_lengths", "_averages", "mean_s", "samples")
 
     def __init__(self, *, lengths: LengthEstimates, kind: EndpointKind) -> None:
         self._lengths = lengths
-        self._paces: OrderedDict[tuple[str, str], _RunAverages] = OrderedDict()
+        self._averages: OrderedDict[tuple[str, str], _RunAverages] = OrderedDict()
         self.samples = 0
-        """Runs that the estimates rest on."""
+        """Runs that the estimates are based on."""
         self.mean_s = DEFAULT_CALL_S if kind is EndpointKind.SERVICE else DEFAULT_ENGINE_S
-        """Mean seconds of all runs here."""
+        """Moving average of the seconds of all runs on the endpoint."""
 
     def observe(self, ask: Ask, release: Release) -> None:
-        """Learn from a run that ended with its whole answer."""
+        """Update the estimates from a run that ended with its whole response."""
         self.samples += 1
         self.mean_s = _average(self.mean_s, release.duration_s, self.samples)
-        pace = self._get_or_create(ask)
-        pace.samples += 1
+        averages = self._get_or_create(ask)
+        averages.samples += 1
         if not ask.model:
-            pace.call_s = _average(pace.call_s, release.duration_s, pace.samples)
-            _track_low(pace, release.duration_s)
+            averages.call_s = _average(averages.call_s, release.duration_s, averages.samples)
+            _track_low(averages, release.duration_s)
             return
-        pace.first_token_s = _average(pace.first_token_s, release.first_token_s, pace.samples)
+        averages.first_token_s = _average(
+            averages.first_token_s, release.first_token_s, averages.samples
+        )
         interval = compute_interval(release)
         if interval is not None:
-            pace.interval_s = _average(pace.interval_s, interval, pace.samples)
+            averages.interval_s = _average(averages.interval_s, interval, averages.samples)
 
     def estimate(self, ask: Ask, *, quantile: float) -> float:
         """Return the seconds from grant to release at a quantile of the length."""
         if not ask.model:
-            pace = self._paces.get((ask.kind, ask.model)) or _RunAverages()
-            return pace.low_call_s if quantile <= LOW_QUANTILE else pace.call_s
+            averages = self._averages.get((ask.kind, ask.model)) or _RunAverages()
+            return averages.low_call_s if quantile <= LOW_QUANTILE else averages.call_s
         tokens = self._lengths.estimate(ask, quantile=quantile)
         return self.estimate_remaining(ask, tokens=tokens)
 
     def estimate_remaining(self, ask: Ask, *, tokens: float, produced: int = 0) -> float:
-        """Return the seconds to the release of a run of a length, some tokens being out already."""
-        pace = self._paces.get((ask.kind, ask.model)) or _RunAverages()
+        """Return the seconds to the end of a run of ``tokens``, given the tokens ``produced``."""
+        averages = self._averages.get((ask.kind, ask.model)) or _RunAverages()
         if not ask.model:
-            return pace.call_s
-        first_token_s = 0.0 if produced else pace.first_token_s
-        return first_token_s + (tokens - produced) * pace.interval_s
+            return averages.call_s
+        first_token_s = 0.0 if produced else averages.first_token_s
+        return first_token_s + (tokens - produced) * averages.interval_s
 
     def estimate_first_token(self, ask: Ask) -> float:
-        """Return the seconds from grant to the first token, or to the answer of a call."""
-        pace = self._paces.get((ask.kind, ask.model)) or _RunAverages()
-        return pace.first_token_s if ask.model else pace.call_s
+        """Return the seconds from grant to the first token, or to the response of a call."""
+        averages = self._averages.get((ask.kind, ask.model)) or _RunAverages()
+        return averages.first_token_s if ask.model else averages.call_s
 
     def _get_or_create(self, ask: Ask) -> _RunAverages:
         key = (ask.kind, ask.model)
-        pace = self._paces.get(key)
-        if pace is None:
-            pace = self._paces[key] = _RunAverages()
-            if len(self._paces) > MAX_SHARED_KEYS:
-                self._paces.popitem(last=False)
+        averages = self._averages.get(key)
+        if averages is None:
+            averages = self._averages[key] = _RunAverages()
+            if len(self._averages) > MAX_SHARED_KEYS:
+                self._averages.popitem(last=False)
         else:
-            self._paces.move_to_end(key)
-        return pace
+            self._averages.move_to_end(key)
+        return averages
 
 
 def compute_interval(release: Release) -> float | None:
-    """Return the seconds between tokens of a run; None when it has too few of them."""
+    """Return the seconds between tokens of a run; None when it has fewer than two tokens."""
     if release.tokens < 2:
         return None
     return max(0.0, release.duration_s - release.first_token_s) / (release.tokens - 1)
 
 
 def _average(mean: float, sample: float, samples: int) -> float:
-    # The first samples weigh as in a plain mean with the default as one more.
+    # The first samples are weighted as in an arithmetic mean that counts the default as one sample.
     return mean + max(EWMA_WEIGHT, 1.0 / (samples + 1)) * (sample - mean)
 
 
-def _track_low(pace: _RunAverages, sample: float) -> None:
-    step = EWMA_WEIGHT * pace.low_call_s
-    if pace.low_call_s == 0.0:
-        pace.low_call_s = 0.5 * sample
-    elif sample < pace.low_call_s:
-        pace.low_call_s = max(sample, pace.low_call_s - step * (1.0 - LOW_QUANTILE))
+def _track_low(averages: _RunAverages, sample: float) -> None:
+    step = EWMA_WEIGHT * averages.low_call_s
+    if averages.low_call_s == 0.0:
+        averages.low_call_s = 0.5 * sample
+    elif sample < averages.low_call_s:
+        averages.low_call_s = max(sample, averages.low_call_s - step * (1.0 - LOW_QUANTILE))
     else:
-        pace.low_call_s += step * LOW_QUANTILE
+        averages.low_call_s += step * LOW_QUANTILE
 
 
 class ReleaseRate:
-    """Releases a second while every slot is held.
+    """Releases per second while all slots are held.
 
-    The span without a release counts too, so that a stalled endpoint shows a falling rate before
-    its next release comes.
+    The time since the last release counts, too, so that the rate of a stalled endpoint falls
+    before its next release.
     """
 
     __slots__ = ("_full_since", "_releases", "_seconds")
@@ -277,7 +280,7 @@
         self._full_since: float | None = None
 
     def observe(self, *, full: bool, released: bool, now: float) -> None:
-        """Record whether every slot is held from now on and whether a run has just ended."""
+        """Record whether all slots are held from now on and whether a run has just ended."""
         if self._full_since is not None:
             elapsed = max(0.0, now - self._full_since)
             decay = 0.5 ** (elapsed / RATE_HALF_LIFE_S)
@@ -286,12 +289,12 @@
         self._full_since = now if full else None
 
     def estimate(self, *, slots: int, service_s: float, now: float) -> float:
-        """Return releases a second.
+        """Return the releases per second.
 
         Args:
             slots: Slots of the endpoint.
-            service_s: Expected seconds of a run; the rate before any release was seen.
-            now: Present time in seconds.
+            service_s: Expected seconds of a run; determines the rate before the first release.
+            now: Current time in seconds.
         """
         waited = max(0.0, now - self._full_since) if self._full_since is not None else 0.0
         prior_s = PRIOR_RELEASES * max(service_s, 1e-6) / max(1, slots)
@@ -299,7 +302,7 @@
 
 
 class TierRates:
-    """Events a second by tier; old ones fade."""
+    """Events per second by tier; old events decay."""
 
     __slots__ = ("_rates",)
 
@@ -311,12 +314,12 @@
         self._rates.setdefault(tier, _DecayingRate(now=now)).add(now)
 
     def estimate_above(self, tier: int, *, now: float) -> float:
-        """Return the events a second of the tiers higher than one."""
+        """Return the events per second of all tiers above the given one."""
         return sum(rate.get(now) for other, rate in self._rates.items() if other < tier)
 
 
 class _DecayingRate:
-    """Events a second."""
+    """Events per second; old events decay."""
 
     __slots__ = ("_changed_at", "_count")
 
@@ -330,7 +333,7 @@
         self._changed_at = now
 
     def get(self, now: float) -> float:
-        """Return the rate, as if it were steady."""
+        """Return the rate, assuming that it is steady."""
         return self._decay(now) * math.log(2.0) / RATE_HALF_LIFE_S
 
     def _decay(self, now: float) -> float:
@@ -338,11 +341,11 @@
 
 
 class StragglerWeight:
-    """Share of its usual traffic that an endpoint should get.
+    """Share of its normal traffic that an endpoint should get.
 
-    A release that took over `STRAGGLE_RATIO` times the endpoint's own usual pace, or failed,
+    A release that failed, or took over `STRAGGLE_RATIO` times the endpoint's own baseline pace,
     lowers the weight; a good one raises it. Without releases it rises slowly, so that an endpoint
-    that nobody chose is tried again.
+    that was not selected is tried again.
     """
 
     __slots__ = ("_changed_at", "_baselines", "_weight")
@@ -353,7 +356,7 @@
         self._changed_at = now
 
     def observe(self, ask: Ask, release: Release, *, now: float) -> None:
-        """Learn from one release of a slot that was used."""
+        """Update the weight from one release of a slot that was used."""
         weight = self.get(now=now)
         if release.failed:
             weight *= 0.5
@@ -375,7 +378,7 @@
             return False
         key = (ask.kind, ask.model)
         baseline = self._baselines.pop(key, pace)
-        # A lasting change of pace becomes the usual one, but a slow spell must not hide itself.
+        # A lasting change of pace becomes the baseline, but a short slowdown must not mask itself.
         step = 0.1 if pace <= baseline else 0.02
         self._baselines[key] = baseline + step * (pace - baseline)
         if len(self._baselines) > MAX_SHARED_KEYS:
--- a/src/guavamast/forecasts.py
+++ b/src/guavamast/forecasts.py
@@ -1,4 +1,4 @@
-"""What a keeper expects of its endpoint: work, ends of runs, rate of releases and waits."""
+"""Estimates for one endpoint: work, ends of runs, release rate and waits."""
 
 from __future__ import annotations
 
@@ -21,19 +21,19 @@
     from guavamast.world import EndpointKind
 
 PAUSE_S: Final = 0.05
-"""Seconds that an engine takes to give a paused request's slot up."""
+"""Seconds that an engine takes to release the slot of a paused request."""
 OVERDUE_SHARE: Final = 0.1
-"""Share of its age that a run which outlasts its estimate is expected to take longer."""
+"""Share of its age by which a run that exceeds its estimate is expected to take longer."""
 PROMPT_COST: Final = 0.1
-"""Work of a prompt token, in output tokens; prompts are read in parallel."""
+"""Work of a prompt token, in output tokens; prompt tokens are prefilled in parallel."""
 CALL_COST: Final = QUANTUM
-"""Work of a call of a plain service, whose length is not known in tokens."""
+"""Work of a call of a plain service, which has no length in tokens."""
 MIN_RATE_SHARE: Final = 0.02
-"""Share of the releases that a tier is expected to get under any load of higher ones."""
+"""Minimum share of the releases that a tier is expected to get under any load of higher tiers."""
 MIN_SAMPLES: Final = 8
-"""Runs that must have been seen before an ask is refused for its expected wait."""
+"""Runs that must have been observed before an ask is rejected for its expected wait."""
 MAX_LOWER_SHARE: Final = 0.9
-"""Share of the releases that waiting lower classes are expected to take at most."""
+"""Maximum share of the releases that waiting lower classes are expected to take."""
 
 
 class Forecast:
@@ -54,7 +54,7 @@
         self._arrival_rates = TierRates()
 
     def learn(self, ask: Ask, release: Release) -> None:
-        """Learn from a run that ended with its whole answer."""
+        """Update the estimates from a run that ended with its whole response."""
         self._service_times.observe(ask, release)
         if ask.model:
             self._lengths.observe(ask, release.tokens)
@@ -64,11 +64,11 @@
         self._start_rates.observe(tier, now=now)
 
     def record_arrival(self, tier: int, *, now: float) -> None:
-        """Count an ask that came."""
+        """Count the arrival of an ask."""
         self._arrival_rates.observe(tier, now=now)
 
     def record_slots(self, *, full: bool, released: bool = False, now: float) -> None:
-        """Record whether every slot is held from now on and whether a run has just ended."""
+        """Record whether all slots are held from now on and whether a run has just ended."""
         self._rate.observe(full=full, released=released, now=now)
 
     def estimate_cost(self, ask: Ask) -> float:
@@ -79,13 +79,13 @@
         return PROMPT_COST * ask.prompt_tokens + max(1.0, tokens)
 
     def measure_cost(self, grant: Grant) -> float:
-        """Return the work that a grant took, as far as it is known."""
+        """Return the actual work of a grant; its estimate when the actual work is unknown."""
         if grant.ask.model and grant.tokens > 0:
             return PROMPT_COST * grant.ask.prompt_tokens + grant.tokens
         return grant.start.waiting.cost if grant.start is not None else 0.0
 
     def estimate_min_run(self, ask: Ask) -> float:
-        """Return the seconds that nine in ten such runs take longer than."""
+        """Return the seconds that nine in ten runs of this kind exceed."""
         return self._service_times.estimate(ask, quantile=LOW_QUANTILE)
 
     def estimate_first_token(self, ask: Ask) -> float:
@@ -93,7 +93,7 @@
         return self._service_times.estimate_first_token(ask)
 
     def refresh(self, grant: Grant, *, now: float) -> None:
-        """Correct a grant's expected length and end by what it has delivered."""
+        """Update a grant's expected length and end from the tokens that it has delivered."""
         produced = int(grant.estimate_tokens(now)) if grant.ask.model else 0
         tokens = self._lengths.estimate(grant.ask, quantile=0.5, produced=produced)
         grant.expected_tokens = tokens
@@ -103,13 +103,13 @@
         grant.expected_end = now + remaining_s
 
     def list_expected_ends(self, grants: GrantTable, *, now: float) -> list[float]:
-        """Return the times at which slots come free, sorted; a paused one counts as free."""
+        """Return the sorted times at which slots should be freed; paused ones count as free."""
         ends: list[float] = []
         for grant in grants.list_grants():
             if not grant.paused and grant.expected_end <= now:
-                # Failure: a run past its greatest length is expected to end at once, for ever,
-                # and the higher tier that waits for it never takes the slot. Expecting a part of
-                # its age more makes the next look at it find it late.
+                # Without this, a run past its maximum length is always expected to end at once,
+                # and the higher tier that waits for it never takes the slot. Adding a share of
+                # its age makes the next check find the end too late.
                 self.refresh(grant, now=now)
                 min_remaining_s = max(PAUSE_S, OVERDUE_SHARE * (now - grant.granted_at))
                 grant.expected_end = max(grant.expected_end, now + min_remaining_s)
@@ -117,15 +117,16 @@
         return ends
 
     def estimate_rate(self, *, slots: int, now: float) -> float:
-        """Return the releases a second while every slot is held."""
+        """Return the releases per second while all slots are held."""
         return self._rate.estimate(slots=slots, service_s=self._service_times.mean_s, now=now)
 
     def has_enough_samples(self) -> bool:
-        """Return whether waits rest on enough runs to refuse an ask by them.
+        """Return whether enough runs were observed to reject an ask for its expected wait.
 
-        Failure: most of a first burst after a start is refused although the endpoint answers in
-        milliseconds, because waits are worked out from defaults yet. Until `EVIDENCE` runs were
-        seen asks wait, and the queue's limits and their deadlines bound what is held.
+        Without this, most of the first burst after a start is rejected although the endpoint
+        responds in milliseconds, because the waits are still computed from defaults. Until
+        `MIN_SAMPLES` runs were observed, asks wait, bounded by the queue's limits and their
+        deadlines.
         """
         return self._service_times.samples >= MIN_SAMPLES
 
@@ -134,16 +135,16 @@
     ) -> float:
         """Return the seconds until a new ask would start without pausing any.
 
-        A class has two ways to a slot and takes the faster: its turn among all, with lower
-        classes' shares and higher tiers' starts off the rate, and its own share, which only its
-        own asks are before.
+        A class gets a slot in one of two ways, and the faster one counts. In order of tiers, the
+        rate is reduced by lower classes' shares and higher tiers' starts. By its guaranteed share,
+        only asks of its own class go before.
 
         Args:
             ask: The ask.
-            queue: What waits.
-            ahead: Asks that go before it and the ask itself, less the free slots.
+            queue: The waiting asks.
+            ahead: Asks that go before it plus the ask itself, minus the free slots.
             slots: Slots of the endpoint.
-            now: Present time in seconds.
+            now: Current time in seconds.
         """
         tier = queue.find_tier(ask)
         rate = self.estimate_rate(slots=slots, now=now)
@@ -158,8 +159,8 @@
     def estimate_late_wait(self, ask: Ask, *, queue: WaitingQueue, slots: int, now: float) -> float:
         """Return the seconds until an ask that has missed its target would start.
 
-        It goes behind all asks of its tier that come meanwhile and can still meet theirs, so only
-        what their rate of arrival leaves of the releases is there for it.
+        It starts after all asks of its tier that arrive meanwhile and can still meet their target,
+        so only the releases that exceed their arrival rate are available to it.
         """
         tier = queue.find_tier(ask)
         rate = self.estimate_rate(slots=slots, now=now)
--- a/src/guavamast/grants.py
+++ b/src/guavamast/grants.py
@@ -1,4 +1,4 @@
-"""The slots of one endpoint that are held, and which of them a higher tier may take."""
+"""The held slots of one endpoint and the choice of those that a higher tier may take."""
 
 from __future__ import annotations
 
@@ -23,13 +23,13 @@
     tier: int
     granted_at: float
     expires_at: float
-    """Time at which it is given up without a release."""
+    """Time at which the grant expires without a release."""
     expected_end: float
     expected_tokens: float = 0.0
-    """Output tokens in all."""
+    """Total output tokens."""
     tokens: int = 0
     progress_at: float = 0.0
-    """Time at which ``tokens`` was true."""
+    """Time of the last update of ``tokens``."""
     start: Start | None = None
     """None when an entry presented the slot."""
     paused: bool = False
@@ -37,19 +37,19 @@
     def is_pausable(self) -> bool:
         """Return whether a higher tier may take this slot.
 
-        A start by share is left alone: the higher tier that waited then would take it back at
-        once, and the class would get starts but never finish.
+        A start by share is not pausable. Otherwise, the higher tier that waited at the start would
+        take the slot at once, and the class would get starts but never finish a run.
         """
         by_share = self.start is not None and self.start.by_share
         return self.ask.idempotent and not self.paused and not by_share
 
     def estimate_tokens(self, now: float) -> float:
-        """Return the tokens delivered by now, those not reported yet at the usual pace."""
+        """Return the tokens delivered by now, extrapolated at the default pace."""
         return self.tokens + max(0.0, now - self.progress_at) / DEFAULT_INTERVAL_S
 
 
 class GrantTable:
-    """The held slots by ask; its scans take time in the endpoint's slots alone."""
+    """The held slots by ask; the time of a scan depends on the endpoint's slots alone."""
 
     __slots__ = ("_grants",)
 
@@ -67,11 +67,11 @@
         self._grants[grant.ask.ask_id] = grant
 
     def get(self, ask_id: str) -> Grant | None:
-        """Return a grant; None when there is none."""
+        """Return the grant of an ask; None when there is none."""
         return self._grants.get(ask_id)
 
     def remove(self, ask_id: str) -> Grant | None:
-        """Take a grant out; None when there is none."""
+        """Remove and return the grant of an ask; None when there is none."""
         return self._grants.pop(ask_id, None)
 
     def list_grants(self) -> list[Grant]:
@@ -79,14 +79,14 @@
         return list(self._grants.values())
 
     def remove_expired(self, now: float) -> list[Grant]:
-        """Take out the grants whose term is over."""
+        """Remove and return the grants that have expired."""
         expired = [grant for grant in self._grants.values() if grant.expires_at <= now]
         for grant in expired:
             del self._grants[grant.ask.ask_id]
         return expired
 
     def orphan(self, entry: str, *, expires_at: float) -> None:
-        """Put a term to the grants of an entry that can't be heard."""
+        """Limit the life of the grants of an entry that is disconnected."""
         for grant in self._grants.values():
             if grant.ask.entry == entry:
                 grant.expires_at = min(grant.expires_at, expires_at)
@@ -96,19 +96,19 @@
         return min((grant.expires_at for grant in self._grants.values()), default=NO_EXPIRY)
 
     def find_lowest_tier(self) -> int:
-        """Return the greatest tier number that runs; 0 when none does."""
+        """Return the greatest tier number among grants; 0 when there are none."""
         return max((grant.tier for grant in self._grants.values()), default=0)
 
     def count_pausable(self, tier: int) -> int:
-        """Return how many slots an ask of a tier may take."""
+        """Return how many slots an ask of a tier may take by pausing."""
         return sum(1 for g in self._grants.values() if g.tier > tier and g.is_pausable())
 
     def find_pausable_tier(self) -> int:
-        """Return the greatest tier number of the slots that may be taken; 0 when none may."""
+        """Return the greatest tier number among pausable grants; 0 when there are none."""
         return max((g.tier for g in self._grants.values() if g.is_pausable()), default=0)
 
     def select_victim(self, tier: int, *, now: float) -> Grant | None:
-        """Return the grant an ask of a tier takes first: lowest tier, then least work lost."""
+        """Return the grant that an ask of a tier pauses first: lowest tier, least work lost."""
         pausable = [g for g in self._grants.values() if g.tier > tier and g.is_pausable()]
         return min(
             pausable, key=lambda grant: (-grant.tier, grant.estimate_tokens(now)), default=None
--- a/src/guavamast/keeper_host.py
+++ b/src/guavamast/keeper_host.py
@@ -1,4 +1,4 @@
-"""The dispatcher's side of slots: the keepers of its endpoints and the streams to entries."""
+"""The keepers that a dispatcher hosts and its streams to entries."""
 
 from __future__ import annotations
 
@@ -22,17 +22,17 @@
     from guavamast.world import Configuration, Endpoint
 
 CAUTION_S: Final = 1.0
-"""Time a new keeper gives entries to present the slots that they hold."""
+"""Seconds of the cautious start: a new keeper lets entries present the slots that they hold."""
 PROBE_INTERVAL_S: Final = 0.5
-"""Entries with asks in flight hear of the endpoint this often; see ``ANSWER_TIMEOUT_S``."""
+"""Seconds between probes to entries with asks in flight; see ``ANSWER_TIMEOUT_S``."""
 UNKNOWN_ENDPOINT_RETRY_S: Final = 1.0
 MIN_TICK_INTERVAL_S: Final = 0.001
-"""Least time between two ticks, so that a keeper whose time has come can't keep the loop busy."""
+"""Minimum seconds between two ticks, so that a keeper that is always due can't block the loop."""
 IDLE_LIFETIME_S: Final = 60.0
 
 
 class EntryStream:
-    """What is waiting to be sent to one entry."""
+    """Messages that wait to be sent to one entry."""
 
     __slots__ = ("entry", "outbox")
 
@@ -42,15 +42,15 @@
 
 
 class KeeperHost:
-    """Holds the keepers and carries their decisions to the entries.
+    """Hosts the keepers and sends their decisions to the entries.
 
-    A keeper is made at the first ask for its endpoint, whoever this process thinks should keep it:
-    refusing would leave the entry without a keeper while views differ, and two keepers for a moment
-    cost over-admission only.
+    A keeper is created at the first ask for its endpoint, whichever instance should keep it by the
+    membership view of this process. Rejecting the ask would leave the entry without a keeper while
+    views differ; two keepers for a short time cost over-admission only.
 
     Args:
-        clock: Monotonic time.
-        metrics: Where counts go.
+        clock: Monotonic time in seconds.
+        metrics: Receives the counts.
     """
 
     def __init__(self, *, clock: Callable[[], float], metrics: Metrics) -> None:
@@ -58,9 +58,9 @@
         self._metrics = metrics
         self._configuration: Configuration | None = None
         self.configured = asyncio.Event()
-        """Set once there is a configuration to know endpoints from."""
+        """Set once there is a configuration that defines the endpoints."""
         self._lengths = LengthEstimates()
-        """Output lengths as all keepers of this process have seen them."""
+        """Output lengths, learnt by all keepers of this process."""
         self._keepers: dict[str, EndpointKeeper] = {}
         self._endpoints: dict[str, Endpoint] = {}
         """Each kept endpoint as last configured."""
@@ -71,10 +71,10 @@
         self._probe_subscribers: dict[str, set[str]] = {}
         self._timer: asyncio.TimerHandle | None = None
         self.on_new_keeper: Callable[[str], None] = lambda _: None
-        """Called with the endpoint's name; its load is wanted at once, which ends the caution."""
+        """Called with the endpoint's name to poll its load at once, ending the cautious start."""
 
     def configure(self, configuration: Configuration) -> None:
-        """Take a newer configuration; endpoints that it lacks stop granting."""
+        """Apply a newer configuration; endpoints that it lacks stop granting."""
         self._configuration = configuration
         self.configured.set()
         now = self._clock()
@@ -87,9 +87,9 @@
         self.schedule()
 
     def hold(self, name: str, *, out: bool) -> None:
-        """Let an endpoint take no new work while it loads, or go on; the same again does nothing.
+        """Stop new work for an endpoint while it loads, or resume it; a repeat does nothing.
 
-        A hold outlasts new configurations and the keeper's own lifetime.
+        The hold persists across new configurations and the end of the keeper.
         """
         if out == (name in self._cordoned):
             return
@@ -98,7 +98,7 @@
             self.configure(self._configuration)
 
     def count_running(self, name: str) -> int:
-        """Return the requests that hold a slot of an endpoint, as its keeper here knows them."""
+        """Return how many requests hold a slot of an endpoint, by the keeper in this process."""
         keeper = self._keepers.get(name)
         return 0 if keeper is None else keeper.make_probe(now=self._clock()).in_flight
 
@@ -108,7 +108,7 @@
         return replace(endpoint, state=EndpointState.LEAVING)
 
     def connect(self, entry: str) -> EntryStream:
-        """Open an entry's stream; one before it of the same entry is forgotten."""
+        """Open an entry's stream; it replaces an earlier one of the same entry."""
         stream = EntryStream(entry=entry)
         self._streams[entry] = stream
         return stream
@@ -124,7 +124,7 @@
         self.schedule()
 
     def take(self, message: peer_pb2.EntryMessage, *, entry: str) -> None:
-        """Handle one message of an entry; `schedule` is due after the last of a batch."""
+        """Handle one message of an entry; call `schedule` after the last of a batch."""
         now = self._clock()
         kind = message.WhichOneof("body")
         if kind == "ask":
@@ -143,7 +143,7 @@
                 keeper.record_progress(message.progress.ask_id, message.progress.tokens, now=now)
 
     def record_load(self, report: LoadReport) -> None:
-        """Take an endpoint's load report."""
+        """Record an endpoint's load report."""
         keeper = self._keepers.get(report.endpoint)
         if keeper is not None:
             now = self._clock()
@@ -151,7 +151,7 @@
             self.schedule()
 
     def list_kept(self) -> list[str]:
-        """Return the endpoints that were asked for lately."""
+        """Return the endpoints that were asked for lately; drop idle keepers."""
         now = self._clock()
         for name, used_at in list(self._used_at.items()):
             idle = self._keepers[name].make_probe(now=now).in_flight == 0
@@ -160,7 +160,7 @@
         return list(self._keepers)
 
     def send_probes(self) -> None:
-        """Tell each entry with asks in flight how its endpoints stand."""
+        """Send each entry with asks in flight the state of its endpoints."""
         now = self._clock()
         for name, entries in self._probe_subscribers.items():
             message = encode_probe(self._keepers[name].make_probe(now=now))
@@ -201,7 +201,7 @@
             del self._used_at[name]
             return None
         endpoint = self._apply_cordon(endpoint)
-        # A service tells no load, so caution would only hold its first calls back.
+        # A service reports no load, so a cautious start would only delay its first calls.
         caution_s = CAUTION_S if endpoint.kind is EndpointKind.ENGINE else 0.0
         keeper = EndpointKeeper(
             endpoint=endpoint,
@@ -226,7 +226,7 @@
             self._metrics.count(f"keeper.{type(event).__name__.lower()}")
             sent = self._send(event.ask.entry, encode_event(event))
             if isinstance(event, Granted) and not sent:
-                # The entry has gone: nothing will be sent under this grant.
+                # The entry is disconnected: it sends nothing under this grant.
                 self._receive_release(
                     Release(ask_id=event.ask.ask_id, endpoint=event.ask.endpoint, used=False), now
                 )
@@ -239,7 +239,7 @@
         return True
 
     def schedule(self) -> None:
-        """Set the timer to the next thing that a keeper has to do."""
+        """Set the timer to the next wake-up of a keeper."""
         if self._timer is not None:
             self._timer.cancel()
             self._timer = None
--- a/src/guavamast/keepers.py
+++ b/src/guavamast/keepers.py
@@ -1,4 +1,4 @@
-"""The keeper of one endpoint: who gets its slots, who waits and who is refused."""
+"""The keeper of one endpoint: grants its slots, queues asks and rejects them."""
 
 from __future__ import annotations
 
@@ -20,25 +20,25 @@
     from guavamast.world import Configuration, Endpoint
 
 ORPHAN_GRACE_S: Final = 10.0
-"""Seconds for which a grant outlives the stream of its entry."""
+"""Seconds for which a grant stays valid after the stream of its entry has ended."""
 EXPIRY_GRACE_S: Final = 30.0
-"""Seconds after its deadline at which a grant without a release is given up."""
+"""Seconds after its deadline at which a grant without a release expires."""
 PAUSE_LEAD_S: Final = 1.5 * PAUSE_S
-"""Seconds before its target at which an ask no longer waits for an expected release."""
+"""Seconds before its target start at which an ask stops waiting for an expected release."""
 MIN_RETRY_AFTER_S: Final = 0.1
 MAX_RETRY_AFTER_S: Final = 60.0
 PAUSE_REASON: Final = "a higher tier would miss its first-token target"
 
 
 class EndpointKeeper:
-    """Decides on the slots and the queue of one endpoint.
+    """Manages the slots and the queue of one endpoint.
 
     Args:
         endpoint: The endpoint as configured.
         configuration: The configuration in force.
-        now: Present time in seconds.
-        cautious_until: Time until which other entries may not have presented their slots yet.
-        lengths: Output lengths, shared by the keepers of a process; own ones when left out.
+        now: Current time in seconds.
+        cautious_until: Time until which entries may still present slots that they hold.
+        lengths: Output lengths, shared by the keepers of a process; a new object by default.
     """
 
     __slots__ = (
@@ -77,21 +77,21 @@
         self._kv_headroom = KvHeadroom()
         self._kv_check_at: float | None = None
         self._freed_since_report = 0
-        """Presented slots that came free since the last load report was received."""
+        """Presented slots that were freed since the last load report was received."""
         self._strict_starts = 0
-        """Slots that were taken by pausing and go by tier alone when they come free."""
+        """Slots freed by pausing, which are granted by tier alone."""
         self._pause_check_at: float | None = None
 
     def ask(self, ask: Ask, *, now: float) -> list[KeeperEvent]:
-        """Grant, queue or refuse one ask; a repeated ask gets its present state again.
+        """Grant, queue or reject one ask; a repeated ask gets its current state again.
 
         Args:
             ask: The ask.
-            now: Present time in seconds.
+            now: Current time in seconds.
 
         Returns:
-            What became of it, after the refusals of those it pushed out and before the pauses
-            that make room for it.
+            The decision on the ask, after the rejections of asks that it displaced and before
+            the pauses that free a slot for it.
         """
         if ask.ask_id in self._queue or ask.ask_id in self._grants:
             return [self._repeat_state(ask, now)]
@@ -111,7 +111,7 @@
         return events + self._pause_for_waiting(now)
 
     def release(self, release: Release, *, now: float) -> list[KeeperEvent]:
-        """End a grant and learn from its run; an unknown one changes nothing."""
+        """End a grant and update the estimates from its run; ignore an unknown one."""
         grant = self._grants.remove(release.ask_id)
         if grant is None:
             return self.withdraw(release.ask_id, now=now)
@@ -120,10 +120,10 @@
         return self._free_slot(grant, unused=not release.used, now=now)
 
     def withdraw(self, ask_id: str, *, now: float) -> list[KeeperEvent]:
-        """Forget an ask, also one whose grant is on its way to the entry.
+        """Remove an ask, also one whose grant is on its way to the entry.
 
-        An entry that withdraws does not use a grant that crosses its word, so the slot is free at
-        once; a grant that has delivered tokens is in use and waits for its release.
+        An entry that withdraws does not use a grant that crosses its message, so the slot is free
+        at once. A grant that has delivered tokens is in use and waits for its release.
         """
         if self._queue.remove(ask_id) is not None:
             return self._run_queue(now)
@@ -145,7 +145,7 @@
         return self._run_queue(now)
 
     def record_progress(self, ask_id: str, tokens: int, *, now: float) -> None:
-        """Record how many tokens a running request has delivered; late words are dropped."""
+        """Record how many tokens a running request has delivered; drop outdated reports."""
         grant = self._grants.get(ask_id)
         if grant is None or tokens < grant.tokens:
             return
@@ -154,13 +154,13 @@
         self._forecast.refresh(grant, now=now)
 
     def record_load(self, report: LoadReport, *, now: float) -> list[KeeperEvent]:
-        """Record the endpoint's word on its load."""
+        """Record a load report of the endpoint."""
         if self._kv_headroom.record(report, grants=self._grants):
             self._freed_since_report = 0
         return self._run_queue(now)
 
     def drop_entry(self, entry: str, *, now: float) -> list[KeeperEvent]:
-        """Forget the asks of an entry whose stream ended and put a term to its grants."""
+        """Remove the asks of an entry whose stream ended and limit the life of its grants."""
         for ask in self._queue.list_asks():
             if ask.entry == entry:
                 self._queue.remove(ask.ask_id)
@@ -170,7 +170,7 @@
     def configure(
         self, *, endpoint: Endpoint, configuration: Configuration, now: float
     ) -> list[KeeperEvent]:
-        """Take on a new configuration; a leaving endpoint refuses all that wait."""
+        """Apply a new configuration; a leaving endpoint rejects all waiting asks."""
         self._endpoint = endpoint
         self._configuration = configuration
         self._queue.configure(configuration)
@@ -182,7 +182,7 @@
         return [Refused(ask=ask, code=ErrorCode.LEAVING, retry_after_s=0.0) for ask in asks]
 
     def tick(self, *, now: float) -> list[KeeperEvent]:
-        """Act on what has become due: deadlines, expiries, pauses, the end of caution."""
+        """Process what is due: deadlines, expiries, pauses, the end of the cautious start."""
         for grant in self._grants.remove_expired(now):
             self._settle(grant, unused=False)
         return self._run_queue(now)
@@ -198,7 +198,7 @@
         return due if due != float("inf") else None
 
     def make_probe(self, *, now: float) -> Probe:
-        """Return what the choice among candidates needs to know of this endpoint."""
+        """Return the state of this endpoint that the choice among candidates needs."""
         free = self._count_free(now)
         wait_s = max(0, len(self._queue) + 1 - free) / self._estimate_rate(now)
         return Probe(
@@ -216,8 +216,9 @@
         if grant is None:
             waiting = self._queue.get(ask.ask_id)
             return Queued(ask=waiting.ask, estimated_wait_s=self._estimate_wait(ask, now))
-        # Failure: a grant is lost with the entry's stream and asked for again, yet ends with the
-        # grace of the lost stream while it runs. An entry that asks is there, so the term is off.
+        # Without this, a grant that was lost with the entry's stream and asked for again would
+        # expire while it runs, at the end of the grace period of the lost stream. An entry that
+        # asks is connected, so its grant gets the usual expiry again.
         grant.expires_at = max(ask.deadline, now) + EXPIRY_GRACE_S
         if grant.paused:
             return Paused(ask=grant.ask, reason=PAUSE_REASON)
@@ -237,8 +238,8 @@
         return self._build_refusal(ask, ErrorCode.DEADLINE_UNREACHABLE, shortfall_s)
 
     def _is_idle(self) -> bool:
-        # An idle endpoint takes any ask: estimates that are too long would else refuse every one
-        # and never be corrected by a release.
+        # An idle endpoint accepts any ask. Otherwise, estimates that are too long would reject all
+        # asks, and no release would ever correct them.
         return not len(self._grants) and not len(self._queue)
 
     def _make_room(self, ask: Ask, now: float) -> list[KeeperEvent]:
@@ -303,7 +304,7 @@
         return events
 
     def _reject_late(self, now: float) -> list[KeeperEvent]:
-        """Refuse asks that have missed their target and won't meet their deadline either."""
+        """Reject asks that have missed their target and won't meet their deadline either."""
         events: list[KeeperEvent] = []
         for waiting in self._queue.demote_late(now):
             ask = waiting.ask
@@ -387,7 +388,7 @@
         return free
 
     def _count_reported_free(self, now: float) -> int:
-        """Return what the endpoint's report leaves free, with what has changed since."""
+        """Return the free slots by the last load report and the changes since then."""
         report = self._kv_headroom.get_report(now)
         if report is None:
             return 0
@@ -398,7 +399,7 @@
         return self._forecast.estimate_rate(slots=self._endpoint.slots, now=now)
 
     def _estimate_wait(self, ask: Ask, now: float) -> float:
-        """Return the seconds until a new ask would start; pausing bounds them for its tier."""
+        """Return the seconds until a new ask would start, bounded if it may pause a lower tier."""
         queued_ahead = self._queue.count_ahead(ask) + self._queue.count_others(ask)
         ahead = queued_ahead + 1 - max(0, self._count_free(now))
         if ahead <= 0:
--- a/src/guavamast/keeping.py
+++ b/src/guavamast/keeping.py
@@ -1,7 +1,7 @@
-"""Which dispatcher keeps an endpoint.
+"""Selection of the dispatcher that keeps an endpoint.
 
-The keeper decides on the endpoint's queue and slots. It is found without an agreement: every
-process ranks the serving members by rendezvous hash, those of the endpoint's region first.
+The keeper manages the endpoint's queue and slots. It is selected without consensus: every process
+ranks the serving members by rendezvous hash, those of the endpoint's region first.
 """
 
 from __future__ import annotations
@@ -18,12 +18,12 @@
 def find_keeper(endpoint: Endpoint, view: MembershipView) -> Member | None:
     """Return the member that keeps an endpoint in this view.
 
-    Members of the endpoint's failure domain's region come first, so that losing the link between
-    regions leaves each region's endpoints with a keeper that can reach them.
+    Members in the region of the endpoint's failure domain come first. If the link between regions
+    fails, each region's endpoints still have a keeper that can reach them.
 
     Args:
         endpoint: The endpoint.
-        view: The members as this process sees them.
+        view: The membership view of this process.
 
     Returns:
         The keeper, or None when no member serves.
--- a/src/guavamast/kv_room.py
+++ b/src/guavamast/kv_room.py
@@ -1,4 +1,4 @@
-"""Room in an engine's KV cache, from its lagging load reports and the keeper's own grants."""
+"""Headroom in an engine's KV cache, from delayed load reports and the keeper's own grants."""
 
 from __future__ import annotations
 
@@ -11,22 +11,22 @@
     from guavamast.slots import LoadReport
 
 REPORT_MAX_AGE_S: Final = 5.0
-"""Age in seconds from which a load report counts as none."""
+"""Age in seconds from which a load report is ignored."""
 MIN_SAMPLE_TOKENS: Final = 64
-"""Tokens held below which a report says nothing of the share that one takes."""
+"""Tokens held below which a report gives no sample of the cache share of a token."""
 FALL_WEIGHT: Final = 0.3
 RISE_WEIGHT: Final = 0.05
-"""Weights of a new sample of the share a token takes; cached prefixes make samples too high."""
+"""Weights of a new sample of the cache share of a token; cached prefixes make samples too high."""
 MIN_OPEN_SHARE: Final = 0.25
-"""Share of the slots that a report can't close."""
+"""Share of the slots that a report can't block."""
 
 
 class KvHeadroom:
-    """Tells whether one more request fits into the KV cache.
+    """Estimate of whether one more request fits into the KV cache.
 
-    Failure: a report that is stale or wrong shows no room on an empty engine, which then gets no
-    work. A report past its bound is dropped and `FLOOR_SHARE` of the slots stays open, so that a
-    wrong report costs throughput on one engine and never all of it.
+    A stale or wrong report may show no room on an empty engine, which would then get no work.
+    Therefore, a report older than `REPORT_MAX_AGE_S` is ignored and `MIN_OPEN_SHARE` of the slots
+    stays open, so that a wrong report costs throughput on one engine but never all of it.
     """
 
     __slots__ = ("_mean_need", "_report", "_share_per_token")
@@ -37,7 +37,7 @@
         self._mean_need: float | None = None
 
     def record(self, report: LoadReport, *, grants: GrantTable) -> bool:
-        """Take a report on; return False for one that is older than the last, which is dropped."""
+        """Record a report; return False for one older than the last, which is dropped."""
         if self._report is not None and report.as_of < self._report.as_of:
             return False
         self._report = report
@@ -51,23 +51,23 @@
         return True
 
     def record_grant(self, grant: Grant, *, slots: int) -> None:
-        """Count a new grant in the mean need of a request."""
+        """Include a new grant in the average KV cache need of a request."""
         need = self._estimate_need(grant, slots)
         average = need if self._mean_need is None else self._mean_need
         self._mean_need = average + EWMA_WEIGHT * (need - average)
 
     def get_report(self, now: float) -> LoadReport | None:
-        """Return the last report; None when there is none or it is past its bound."""
+        """Return the last report; None when there is none or it is too old."""
         return self._report if self.find_expiry(now=now) is not None else None
 
     def find_expiry(self, *, now: float) -> float | None:
-        """Return the time from which the last report counts as none; None when it does already."""
+        """Return the time at which the last report expires; None when there is no valid one."""
         if self._report is None or now >= self._report.as_of + REPORT_MAX_AGE_S:
             return None
         return self._report.as_of + REPORT_MAX_AGE_S
 
     def has_room(self, *, grants: GrantTable, slots: int, now: float) -> bool:
-        """Return whether one more request of the usual size fits."""
+        """Return whether one more request of average size fits."""
         report = self.get_report(now)
         if report is None or len(grants) < max(1.0, MIN_OPEN_SHARE * slots):
             return True
--- a/src/guavamast/queues.py
+++ b/src/guavamast/queues.py
@@ -1,7 +1,7 @@
-"""The asks that wait at one keeper: which starts next and which gives way when it is full.
+"""The queue of one keeper: which ask starts next and which is dropped when the queue is full.
 
-Starts go in strict order of tiers; each waiting class is owed a configured share of the starts.
-``docs/design/tiers-and-shares.md`` says how the two meet.
+Tiers have strict priority; each waiting class is guaranteed a configured share of the starts.
+``docs/design/tiers-and-shares.md`` describes how the two are combined.
 """
 
 from __future__ import annotations
@@ -20,17 +20,17 @@
     from guavamast.world import Configuration
 
 CREDIT_DUE: Final = 1.0
-"""Starts owed to a class from which it is paid if no higher tier misses a target by it."""
+"""Credit in starts from which a class gets a start if no higher tier misses a target by it."""
 CREDIT_PRESSING: Final = 1.5
-"""Starts owed from which only higher tiers' deadlines, not their targets, put payment off."""
+"""Credit from which only the deadlines of higher tiers, not their targets, delay the start."""
 DEBT_CEILING: Final = 2.0
-"""Starts owed at which it is paid in any case; a class is never owed more."""
+"""Credit at which a class gets a start in any case; also the upper bound of the credit."""
 MAX_WORK: Final = 16.0
-"""Starts that one start by share may cost; bounds the wait of a class of long requests."""
+"""Credit that one start by share may cost; bounds the wait of a class of long requests."""
 MEAN_COST_WEIGHT: Final = 0.05
-"""Weight of a new start in the mean work of a start."""
+"""Weight of a new start in the moving average of the cost of a start."""
 TARGETS_CHECKED: Final = 8
-"""Asks of a class whose first-token targets are weighed before a share is paid."""
+"""Asks of a class whose first-token targets are checked before a start by share."""
 
 
 @dataclass(frozen=True, slots=True, kw_only=True)
@@ -40,17 +40,17 @@
     waiting: WaitingAsk
     tier: int
     charged: float = 0.0
-    """What it cost the class of its share; above 0 only when a higher tier waited meanwhile."""
+    """Credit that it cost the class; above 0 only when a higher tier waited meanwhile."""
 
     @property
     def by_share(self) -> bool:
-        """Whether the start was owed to the class while a higher tier waited."""
+        """Whether the class got the start by its share while a higher tier waited."""
         return self.charged > 0.0
 
 
 @dataclass(frozen=True, slots=True, kw_only=True)
 class Overflow:
-    """The ask that a full queue gives up; it may be the one that came."""
+    """The ask that a full queue drops; it may be the new one."""
 
     ask: Ask
     code: ErrorCode
@@ -80,7 +80,7 @@
         return ask_id in self._class_of
 
     def configure(self, configuration: Configuration) -> None:
-        """Take on tiers, shares and limits; asks that wait move along with their class."""
+        """Apply tiers, shares and limits; waiting asks follow the changes of their class."""
         for name in [name for name in self._classes if name not in configuration.classes]:
             self._classes[name].share = 0.0
             self._drop_if_unknown_and_empty(name, configuration)
@@ -92,20 +92,20 @@
         self._total_limit = max(limits, default=DEFAULT_QUEUE_LIMIT)
 
     def find_tier(self, ask: Ask) -> int:
-        """Return the tier of an ask's class here; its own word when the class is unknown."""
+        """Return the tier of an ask's class; the ask's own tier when the class is unknown."""
         queue = self._classes.get(self._resolve_class_name(ask))
         return queue.tier if queue is not None else ask.tier
 
     def select_overflow(self, ask: Ask) -> Overflow | None:
-        """Return what has to be given up for an ask to wait; None when there is room.
-
-        A full class gives up the newest ask of the organisation that has the most waiting, be it
-        the newcomer: one organisation's flood could else keep all others of its class out. When
-        the whole queue is full, the newest ask of the lowest tier goes; that is the newcomer
-        unless a lower tier than its own waits. A class's reserved places are left alone and not
-        counted: a burst of a higher tier could else keep a class out of the queue, where no share
-        of starts reaches it, and the higher tier loses nothing by places that are not part of its
-        limit.
+        """Return the ask to drop so that a new one can wait; None when there is room.
+
+        A full class drops the newest ask of the organisation that has the most waiting, even if
+        that is the new one. Otherwise, one organisation's burst could keep all others of its class
+        out. When the whole queue is full, the newest ask of the lowest tier is dropped; that is the
+        new one unless a lower tier than its own waits. Reserved places of a class are neither
+        dropped nor counted. Otherwise, a burst of a higher tier could keep a class out of the
+        queue, so that it would get no share of the starts. The higher tier loses nothing by this,
+        because these places are not part of its limit.
         """
         queue = self._classes.get(self._resolve_class_name(ask))
         held = len(queue) if queue is not None else 0
@@ -145,14 +145,14 @@
         return waiting
 
     def remove(self, ask_id: str) -> WaitingAsk | None:
-        """Take an ask out without starting it; None when it does not wait."""
+        """Remove an ask without starting it; return None when it does not wait."""
         queue, waiting = self._class_of.pop(ask_id, (None, None))
         if queue is not None:
             queue.remove(waiting.ask)
         return waiting
 
     def remove_late(self, now: float) -> list[WaitingAsk]:
-        """Take out the asks that can't meet their deadline any more."""
+        """Remove and return the asks that can't meet their deadline any more."""
         late = []
         for queue in self._list_waiting():
             while len(queue) and queue.latest_starts.get(0) <= now:
@@ -162,7 +162,7 @@
         return late
 
     def demote_late(self, now: float) -> list[WaitingAsk]:
-        """Put asks that have missed their target behind the others; return them."""
+        """Move asks that have missed their target behind the others and return them."""
         return [waiting for queue in self._list_waiting() for waiting in queue.demote_late(now)]
 
     def find_first_target(self) -> float | None:
@@ -177,24 +177,24 @@
         return len(queue) if queue is not None else 0
 
     def list_asks(self) -> list[Ask]:
-        """Return all asks that wait."""
+        """Return all waiting asks."""
         return [waiting.ask for _, waiting in self._class_of.values()]
 
     def get(self, ask_id: str) -> WaitingAsk:
-        """Return what is known of a waiting ask."""
+        """Return the queue record of a waiting ask."""
         return self._class_of[ask_id][1]
 
     def find_latest_start(self) -> float | None:
-        """Return the time after which the first of the asks is late."""
+        """Return the earliest time after which an ask can't meet its deadline."""
         times = [queue.latest_starts.get(0) for queue in self._list_waiting()]
         return min(times, default=None)
 
     def find_lowest_tier(self) -> int:
-        """Return the greatest tier number that waits; 0 when none does."""
+        """Return the greatest tier number among waiting asks; 0 when there are none."""
         return max((queue.tier for queue in self._list_waiting()), default=0)
 
     def iterate_targets(self, limit: int) -> Iterator[tuple[int, float]]:
-        """Yield tier and target start of the asks most in need of a slot, highest tier first."""
+        """Yield tier and target start of the most urgent asks, highest tier first."""
         for queue in sorted(self._list_waiting(), key=lambda queue: queue.tier):
             for _ in range(min(limit, len(queue.late))):
                 yield queue.tier, float("-inf")
@@ -202,12 +202,12 @@
                 yield queue.tier, queue.target_starts.get(index)
 
     def count_ahead(self, ask: Ask) -> int:
-        """Return how many asks of its class start before a new one."""
+        """Return how many waiting asks of its class would start before a new ask."""
         queue = self._classes.get(self._resolve_class_name(ask))
         return queue.count_ahead(ask) if queue is not None else 0
 
     def count_others(self, ask: Ask) -> int:
-        """Return how many asks of other classes, of its tier or higher, wait."""
+        """Return how many asks of other classes in its tier or higher wait."""
         tier = self.find_tier(ask)
         name = self._resolve_class_name(ask)
         return sum(len(q) for q in self._list_waiting() if q.tier <= tier and q.name != name)
@@ -218,20 +218,20 @@
         return queue.share if queue is not None else 0.0
 
     def sum_lower_shares(self, tier: int) -> float:
-        """Return the share of starts that waiting classes below a tier are guaranteed."""
+        """Return the sum of the guaranteed shares of waiting classes below a tier."""
         return sum(queue.share for queue in self._list_waiting() if queue.tier > tier)
 
     def pop_next(
         self, *, rate: float, slots: int, now: float, strict: bool = False
     ) -> Start | None:
-        """Take the ask that starts next.
+        """Remove and return the ask that starts next.
 
         Args:
-            rate: Releases a second that can be expected.
+            rate: Expected releases per second.
             slots: Slots of the endpoint.
-            now: Present time in seconds.
-            strict: Leave shares aside: the slot was taken from a running request for the sake of
-                the highest tier that waits.
+            now: Current time in seconds.
+            strict: Ignore shares: a running request was paused to free the slot for the highest
+                tier that waits.
         """
         head = self._select_head()
         if head is None:
@@ -245,11 +245,11 @@
         return Start(waiting=waiting, tier=queue.tier, charged=charged)
 
     def finish(self, start: Start, *, cost: float) -> None:
-        """Settle a start whose slot has come free.
+        """Account for a start whose slot has been freed.
 
         Args:
             start: The start.
-            cost: Its true work in tokens; 0 when the slot was returned unused.
+            cost: Its actual work in tokens; 0 when the slot was returned unused.
         """
         queue = self._classes.get(self._resolve_class_name(start.waiting.ask))
         if queue is None:
@@ -261,7 +261,7 @@
                 queue.credit = min(DEBT_CEILING, queue.credit + start.charged)
 
     def list_classes(self) -> list[ClassQueue]:
-        """Return all classes, also those with no waiting work."""
+        """Return all classes, also those without waiting asks."""
         return list(self._classes.values())
 
     def _list_waiting(self) -> list[ClassQueue]:
@@ -311,11 +311,11 @@
         return True
 
     def _estimate_work(self, waiting: WaitingAsk) -> float:
-        """Return the work of an ask in usual starts.
+        """Return the work of an ask, in starts of mean cost.
 
-        Failure: a class of long runs gets a start for each twenty short ones, and its runs, which
-        no higher tier may pause, end up with most of the slots. Paying a long run as several
-        starts keeps the class near its share of the slots' time, too.
+        Without this, a class of long runs gets a start for each twenty short ones, and its runs,
+        which no higher tier may pause, end up with most of the slots. Charging a long run as
+        several starts keeps the class near its share of slot time, too.
         """
         return min(MAX_WORK, max(1.0, waiting.cost / (self._mean_cost or waiting.cost)))
 
@@ -334,13 +334,13 @@
                 queue.credit = min(DEBT_CEILING, queue.credit + queue.share)
 
     def _resolve_class_name(self, ask: Ask) -> str:
-        # An entry may know a newer configuration than this process; its tier is then taken at its
-        # word, one queue for each.
+        # An entry may have a newer configuration than this process. An unknown class therefore uses
+        # the tier of the ask, with one queue for each tier.
         known = ask.class_name in self._classes
         return ask.class_name if known else f"{ask.class_name}@{ask.tier}"
 
     def _create_class(self, name: str, tier: int) -> ClassQueue:
-        # A new class counts as just started: one that empties and returns gains no turn by it.
+        # A new class counts as just started, so that emptying its queue gains a class no turn.
         return ClassQueue(name=name, tier=tier, last_start=self._sequence)
 
     def _drop_if_unknown_and_empty(self, name: str, configuration: Configuration) -> None:
@@ -360,7 +360,7 @@
 
 
 def _select_overflow_of_class(queue: ClassQueue | None, ask: Ask) -> Overflow:
-    # The difference of two keeps two organisations from pushing each other's asks out in turn.
+    # The difference of two keeps two organisations from displacing each other's asks in turn.
     if (
         queue is None
         or queue.round_robin.count_all(ask.organisation) + 2 > queue.round_robin.count_longest()
--- a/tests/test_estimates.py
+++ b/tests/test_estimates.py
@@ -1,4 +1,4 @@
-"""Tests of what a keeper learns from releases."""
+"""Tests of the estimates that a keeper learns from releases."""
 
 from __future__ import annotations
 
@@ -46,13 +46,13 @@
 
 
 class LengthEstimatesTest(unittest.TestCase):
-    """Quantiles are near the true ones and follow a running request."""
+    """Quantiles are close to the true ones and are updated for a running request."""
 
     def setUp(self) -> None:
         self.lengths = LengthEstimates()
-        chance = random.Random(3)
-        self.samples = sorted(int(chance.lognormvariate(5.0, 1.0)) for _ in range(250))
-        for tokens in chance.sample(self.samples, len(self.samples)):
+        rng = random.Random(3)
+        self.samples = sorted(int(rng.lognormvariate(5.0, 1.0)) for _ in range(250))
+        for tokens in rng.sample(self.samples, len(self.samples)):
             self.lengths.observe(make_ask(), tokens)
 
     def test_quantiles(self) -> None:
@@ -82,7 +82,7 @@
 
 
 class StragglerWeightTest(unittest.TestCase):
-    """A straggler loses share step by step and wins it back by good releases."""
+    """Slow releases gradually lower the weight and good releases raise it again."""
 
     def test_slow_releases_lower_it_and_good_ones_raise_it(self) -> None:
         weight = StragglerWeight(now=0.0)
@@ -100,8 +100,8 @@
         self.assertEqual(weight.get(now=0.0), 1.0)
 
     def test_failures_keep_a_trickle_and_silence_brings_probes(self) -> None:
-        # An endpoint that failed gets no more requests and nothing ever shows that it is well
-        # again: its weight must not reach 0, and must rise while nobody uses it.
+        # Failure: an endpoint that failed gets no more requests, so nothing shows its recovery. Its
+        # weight must not reach 0 and must rise while the endpoint is idle.
         weight = StragglerWeight(now=0.0)
         for _ in range(20):
             weight.observe(make_ask(), make_release(failed=True), now=0.0)
@@ -110,7 +110,7 @@
 
 
 class ReleaseRateTest(unittest.TestCase):
-    """The rate follows releases while every slot is held."""
+    """The rate follows releases while all slots are held."""
 
     def test_steady_rate_and_stall(self) -> None:
         rate = ReleaseRate()
--- a/tests/test_keepers.py
+++ b/tests/test_keepers.py
@@ -1,4 +1,4 @@
-"""Tests of failures and choices that generated histories of a keeper don't show."""
+"""Tests of keeper failures and decisions that generated histories don't cover."""
 
 from __future__ import annotations
 
@@ -59,23 +59,23 @@
 
 
 def tick_until(keeper: EndpointKeeper, end: float) -> list[KeeperEvent]:
-    """Return the events of all wake-ups up to a time."""
+    """Tick at each wake-up until a time and return the events."""
     events = []
     for _ in range(1000):
         due = keeper.next_wakeup()
         if due is None or due > end:
             return events
         events += keeper.tick(now=due)
-    raise AssertionError("a wake-up that tick leaves undone")
+    raise AssertionError("tick left a due wake-up unprocessed")
 
 
 class StarvationTest(unittest.TestCase):
-    """A lower class gets its share at the door, too."""
+    """A lower class gets its share under overload of higher tiers."""
 
     def test_overload_of_top_tier_leaves_room_at_the_door(self) -> None:
-        # A caller of the tagging class is refused each time as "deadline unreachable" while
-        # drafting overloads the engine: its wait was worked out as if all drafting asks went
-        # before it even on the class's own share, so it never waited and no share ever reached it.
+        # Failure: while drafting overloads the engine, each tagging ask is rejected as "deadline
+        # unreachable". Its wait was estimated as if all drafting asks went before it even on the
+        # class's own share, so it never waited and never got a start by share.
         keeper = make_keeper(slots=16)
         for number in range(500):
             keeper.ask(make_ask(f"d{number}", "drafting", max_tokens=50), now=0.0)
@@ -83,31 +83,32 @@
         self.assertIsInstance(event, Queued)
 
     def test_long_runs_by_share_do_not_pile_up(self) -> None:
-        # Drafting callers wait seconds for a first token at twice the load in lower tiers: each
-        # twentieth start was a long summary that may not be paused, short starts came fast, and
-        # the summaries ended up with all slots. A class holds by its share one slot of four here.
+        # Failure: at twice the load in lower tiers, drafting callers wait seconds for a first
+        # token. Each twentieth start was a long summary that may not be paused, and short starts
+        # came fast, so the summaries held all slots in the end. By its share, a class may hold one
+        # slot of four here.
         keeper = make_keeper(slots=4, share=0.25)
         running: list[Ask] = []
         for number in range(20):
             first = make_ask(f"first{number}", "drafting", max_tokens=10)
-            self.follow(keeper.ask(first, now=0.0), running)
+            self.track_running(keeper.ask(first, now=0.0), running)
         for number in range(200):
             now = 0.1 * number
             asks = [make_ask(f"d{number}-{k}", "drafting", max_tokens=10) for k in range(3)]
             asks.append(make_ask(f"s{number}", "summaries", max_tokens=4000))
             for ask in asks:
-                self.follow(keeper.ask(ask, now=now), running)
+                self.track_running(keeper.ask(ask, now=now), running)
             for ask in [ask for ask in running if ask.class_name == "drafting"][:2]:
                 running.remove(ask)
                 release = Release(
                     ask_id=ask.ask_id, endpoint="e", used=True, tokens=10, duration_s=0.3
                 )
-                self.follow(keeper.release(release, now=now + 0.05), running)
+                self.track_running(keeper.release(release, now=now + 0.05), running)
         long = [ask for ask in running if ask.class_name == "summaries"]
         self.assertEqual(len(long), 1)
 
-    def follow(self, events: list[KeeperEvent], running: list[Ask]) -> None:
-        """Keep a list of the asks that run."""
+    def track_running(self, events: list[KeeperEvent], running: list[Ask]) -> None:
+        """Append the asks that were granted."""
         for event in events:
             self.assertNotIsInstance(event, Paused)
             if isinstance(event, Granted):
@@ -115,7 +116,7 @@
 
 
 class PauseTest(unittest.TestCase):
-    """A slot is taken only where waiting would miss the target."""
+    """A running request is paused only where waiting would miss the target."""
 
     def test_waits_for_a_release_that_comes_in_time(self) -> None:
         keeper = make_keeper()
@@ -124,8 +125,8 @@
         self.assertEqual([type(event) for event in events], [Queued])
 
     def test_pauses_when_the_release_fails_to_come(self) -> None:
-        # A drafting caller waits for the whole of a summary: the summary should have ended by its
-        # greatest length, so its end was expected "now" at each look, and "now" was in time.
+        # Failure: a drafting caller waits for a whole summary. The summary had passed its maximum
+        # length, so its end was expected "now" at each check, and "now" was in time.
         keeper = make_keeper()
         keeper.ask(make_ask("s", "summaries", max_tokens=5), now=0.0)
         keeper.ask(make_ask("d", "drafting"), now=0.25)
@@ -134,8 +135,8 @@
         self.assertEqual([event.ask.ask_id for event in paused], ["s"])
 
     def test_late_ask_still_takes_a_lower_tier_slot(self) -> None:
-        # A drafting caller waits for a whole summary that another keeper had let in: the ask had
-        # missed its target behind other drafting before the summary's slot was presented.
+        # Failure: a drafting caller waits for a whole summary that another keeper had granted. The
+        # ask had missed its target behind other drafting before the summary's slot was presented.
         keeper = make_keeper()
         for ask_id in ("running", "late"):
             keeper.ask(make_ask(ask_id, "drafting"), now=0.0)
@@ -157,8 +158,8 @@
     """Asks that can still meet their target go before those that have missed it."""
 
     def test_late_ask_goes_behind(self) -> None:
-        # At twice the load in drafting 3 in 100 callers saw a first token in time: in order of
-        # arrival each ask waits nearly to its deadline, and all of them miss the target.
+        # Failure: at twice the load in drafting, 3 in 100 callers got a first token in time. In
+        # order of arrival, each ask waits nearly to its deadline, and all of them miss the target.
         keeper = make_keeper()
         for ask_id, now in (("running", 0.0), ("late", 0.0), ("fresh", 1.0)):
             keeper.ask(make_ask(ask_id, "drafting"), now=now)
@@ -170,44 +171,44 @@
 
     def test_late_ask_without_a_chance_is_told_at_once(self) -> None:
         keeper = make_keeper()
-        answers = []
+        events = []
         for number in range(400):
             now = 0.1 * number
             if number % 10 == 9:
                 running = next(
-                    event.ask for event in reversed(answers) if isinstance(event, Granted)
+                    event.ask for event in reversed(events) if isinstance(event, Granted)
                 )
                 release = Release(
                     ask_id=running.ask_id, endpoint="e", used=True, tokens=9, duration_s=1.0
                 )
-                answers += keeper.release(release, now=now)
-            answers += tick_until(keeper, now)
-            answers += keeper.ask(make_ask(f"d{number}", "drafting", deadline=now + 30.0), now=now)
-        refused = [event.ask for event in answers if isinstance(event, Refused)]
+                events += keeper.release(release, now=now)
+            events += tick_until(keeper, now)
+            events += keeper.ask(make_ask(f"d{number}", "drafting", deadline=now + 30.0), now=now)
+        refused = [event.ask for event in events if isinstance(event, Refused)]
         self.assertGreater(len(refused), 300)
         self.assertLess(keeper.make_probe(now=40.0).queued, 90)
 
     def test_first_burst_is_kept(self) -> None:
-        # Most of 200 callers of a fleet that has just started are refused within half a second
-        # although its engines answer in 20 ms: the wait was worked out from a default.
+        # Failure: most of 200 callers of a fleet that has just started are rejected within half a
+        # second although its engines respond in 20 ms. The wait was computed from a default.
         keeper = make_keeper(slots=16)
-        answers = []
+        events = []
         for number in range(100):
-            answers += keeper.ask(make_ask(f"d{number}", "drafting", deadline=30.0), now=0.0)
-        answers += tick_until(keeper, 1.0)
-        self.assertFalse([event for event in answers if isinstance(event, Refused)])
+            events += keeper.ask(make_ask(f"d{number}", "drafting", deadline=30.0), now=0.0)
+        events += tick_until(keeper, 1.0)
+        self.assertFalse([event for event in events if isinstance(event, Refused)])
 
 
 class LoadReportTest(unittest.TestCase):
-    """Reports bound the starts only while they are believable."""
+    """Load reports limit the starts only while they are plausible."""
 
     def test_full_cache_holds_back_and_old_report_does_not(self) -> None:
         keeper = make_keeper(slots=8)
         granted = [keeper.ask(make_ask(f"s{n}", "summaries"), now=0.0) for n in range(2)]
         self.assertTrue(all(isinstance(events[0], Granted) for events in granted))
         keeper.record_load(LoadReport(endpoint="e", as_of=1.0, running=2, kv_free=0.0), now=1.0)
-        (held,) = keeper.ask(make_ask("late", "summaries"), now=1.0)
-        self.assertIsInstance(held, Queued)
+        (queued,) = keeper.ask(make_ask("late", "summaries"), now=1.0)
+        self.assertIsInstance(queued, Queued)
         self.assertEqual(tick_until(keeper, 5.99), [])
         (event,) = tick_until(keeper, 6.0)
         self.assertIsInstance(event, Granted)
@@ -232,7 +233,7 @@
 
 
 class RefusalTest(unittest.TestCase):
-    """What can't meet its deadline is refused at once, and estimates can be corrected."""
+    """Asks that can't meet their deadline are rejected at once; estimates can be corrected."""
 
     def test_unreachable_deadline_is_refused_with_a_time_to_come_back(self) -> None:
         keeper = make_keeper()
@@ -250,8 +251,8 @@
         self.assertGreater(event.retry_after_s, 2.0)
 
     def test_idle_endpoint_corrects_an_estimate_that_is_too_long(self) -> None:
-        # Every caller with a deadline of 5 s is refused for good: one slow spell raised the
-        # estimate above it, and refused requests never bring a release that lowers it again.
+        # Failure: all callers with a deadline of 5 s are rejected permanently. A slow period raised
+        # the estimate above it, and rejected requests never bring a release that lowers it again.
         keeper = make_keeper()
         for number in range(30):
             keeper.ask(make_ask(f"s{number}", "summaries"), now=100.0 * number)
--- a/tests/test_keepers_properties.py
+++ b/tests/test_keepers_properties.py
@@ -23,14 +23,14 @@
 TARGETS_MS: Final = {"drafting": 430.0, "tagging": 2_000.0, "summaries": 20_000.0}
 ENTRIES: Final = ("a", "b")
 ORGANISATIONS: Final = ("florist", "plumber", "baker")
-LEAST_STARTS: Final = {
+MAX_PASSED_OVER: Final = {
     name: (DEBT_CEILING + MAX_WORK) / share + 2 for name, share in SHARES.items() if share
 }
-"""Natural starts within which a waiting class gets one: from the debt of its longest run to the
-ceiling, and one for each of the owed classes."""
+"""Non-strict starts within which a waiting class gets one: from the credit after its longest run to
+the maximum credit, plus one for each class with a share."""
 
-DEBT_LIMIT: Final = 6 * 4_100.0
-"""Tokens: the dearest start, and as much again when each of five running asks is corrected."""
+DEFICIT_LIMIT: Final = 6 * 4_100.0
+"""Tokens: the most expensive start, plus as much for correcting each of five running asks."""
 
 CONFIGURATION: Final = Configuration(
     version=1,
@@ -50,7 +50,7 @@
 
 
 class State(Enum):
-    """What the keeper has told of an ask."""
+    """The state of an ask by the keeper's events."""
 
     NEW = "new"
     QUEUED = "queued"
@@ -60,21 +60,21 @@
 
 
 @dataclass(slots=True, kw_only=True)
-class Known:
-    """An ask as its entry sees it."""
+class TrackedAsk:
+    """An ask with its state as seen by its entry."""
 
     ask: Ask
     state: State = State.NEW
     presented: bool = False
     by_share: bool = False
     tokens: int = 0
-    heard_at: float = 0.0
+    progress_at: float = 0.0
     granted_at: float = 0.0
     expires_at: float = float("inf")
 
 
 class KeeperMachine(RuleBasedStateMachine):
-    """Plays entries and endpoint against one keeper and checks each of its events."""
+    """Simulates entries and an endpoint for one keeper and checks each of its events."""
 
     @initialize(slots=st.integers(1, 4), cautious_s=st.sampled_from([0.0, 0.0, 0.0, 3.0]))
     def start(self, slots: int, cautious_s: float) -> None:
@@ -89,120 +89,135 @@
             now=self.now,
             cautious_until=self.cautious_until,
         )
-        self.known: dict[str, Known] = {}
+        self.tracked: dict[str, TrackedAsk] = {}
         self.report: LoadReport | None = None
-        self.freed = 0
+        self.freed_since_report = 0
         """Presented slots released since the last report."""
         self.passed_over = dict.fromkeys(SHARES, 0)
-        """Natural starts of others while the class waited, since its own last one."""
-        self.earned = dict.fromkeys(SHARES, 0.0)
-        self.paid = dict.fromkeys(SHARES, 0)
-        self.taken_slots = 0
+        """Non-strict starts of others while the class waited, since its own last start."""
+        self.shares_earned = dict.fromkeys(SHARES, 0.0)
+        self.shares_used = dict.fromkeys(SHARES, 0)
+        self.paused_slots = 0
         """Slots freed by pausing that no start has used yet."""
 
-    def find(self, *states: State) -> list[Known]:
+    def list_asks(self, *states: State) -> list[TrackedAsk]:
         """Return the asks in these states."""
-        return [known for known in self.known.values() if known.state in states]
+        return [tracked for tracked in self.tracked.values() if tracked.state in states]
 
-    def list_waiting(self, name: str) -> list[Known]:
+    def list_waiting(self, name: str) -> list[TrackedAsk]:
         """Return the waiting asks of a class."""
-        return [known for known in self.find(State.QUEUED) if known.ask.class_name == name]
+        return [
+            tracked for tracked in self.list_asks(State.QUEUED) if tracked.ask.class_name == name
+        ]
 
-    def pick(self, index: int, *states: State) -> Known:
+    def pick(self, index: int, *states: State) -> TrackedAsk:
         """Return one of the asks in these states."""
-        found = self.find(*states)
+        found = self.list_asks(*states)
         return found[index % len(found)]
 
     def count_reported_free(self) -> int:
-        """Return what the last report leaves free during a cautious start."""
+        """Return the slots free by the last report during a cautious start."""
         if self.report is None or self.now >= self.report.as_of + 5.0:
             return 0
-        held = self.find(State.GRANTED, State.PAUSED)
-        recent = sum(known.granted_at > self.report.as_of for known in held)
-        return self.endpoint.slots - self.report.running - recent + self.freed
+        held = self.list_asks(State.GRANTED, State.PAUSED)
+        recent = sum(tracked.granted_at > self.report.as_of for tracked in held)
+        return self.endpoint.slots - self.report.running - recent + self.freed_since_report
 
     # Checks of events
 
-    def handle(self, events: list[KeeperEvent], new: Known | None = None) -> None:
-        """Check the events in their order and follow them."""
+    def handle(self, events: list[KeeperEvent], new: TrackedAsk | None = None) -> None:
+        """Check the events in order and update the states of their asks."""
         for event in events:
-            known = self.known[event.ask.ask_id]
+            tracked = self.tracked[event.ask.ask_id]
             if isinstance(event, Granted):
-                self.check_start(known)
+                self.check_start(tracked)
             elif isinstance(event, Queued):
-                assert known.state in (State.NEW, State.QUEUED)
-                known.state = State.QUEUED
+                assert tracked.state in (State.NEW, State.QUEUED)
+                tracked.state = State.QUEUED
             elif isinstance(event, Refused):
-                self.check_refusal(known, event, new)
+                self.check_refusal(tracked, event, new)
             elif isinstance(event, Paused):
-                self.check_pause(known)
+                self.check_pause(tracked)
             if isinstance(event, Refused) and event.code is ErrorCode.QUEUE_FULL:
-                assert known is new
-        if not self.find(State.QUEUED):
-            self.taken_slots = 0
+                assert tracked is new
+        if not self.list_asks(State.QUEUED):
+            self.paused_slots = 0
 
-    def check_start(self, known: Known) -> None:
-        assert known.state in (State.NEW, State.QUEUED)
+    def check_start(self, tracked: TrackedAsk) -> None:
+        assert tracked.state in (State.NEW, State.QUEUED)
         assert self.endpoint.state is EndpointState.ACTIVE
         if self.now < self.cautious_until:
             assert self.count_reported_free() > 0, "granted above the report"
-        known.state = State.GRANTED
-        known.granted_at = self.now
-        known.expires_at = known.ask.deadline + 30.0
-        known.heard_at = self.now
-        held = self.find(State.GRANTED, State.PAUSED)
+        tracked.state = State.GRANTED
+        tracked.granted_at = self.now
+        tracked.expires_at = tracked.ask.deadline + 30.0
+        tracked.progress_at = self.now
+        held = self.list_asks(State.GRANTED, State.PAUSED)
         assert len(held) <= self.endpoint.slots, "granted above the slots"
-        name = known.ask.class_name
-        higher = [other for other in self.find(State.QUEUED) if other.ask.tier < known.ask.tier]
-        known.by_share = bool(higher)
-        self.paid[name] += known.by_share
-        assert self.paid[name] <= self.earned[name] + 1e-6, "paid more than the share"
+        name = tracked.ask.class_name
+        higher = [
+            other for other in self.list_asks(State.QUEUED) if other.ask.tier < tracked.ask.tier
+        ]
+        tracked.by_share = bool(higher)
+        self.shares_used[name] += tracked.by_share
+        assert (
+            self.shares_used[name] <= self.shares_earned[name] + 1e-6
+        ), "started by share beyond the credit earned"
         self.passed_over[name] = 0
-        strict = self.taken_slots > 0
-        self.taken_slots -= strict
-        assert not (strict and known.by_share), "a pause served a lower tier"
+        strict = self.paused_slots > 0
+        self.paused_slots -= strict
+        assert not (strict and tracked.by_share), "a slot freed by a pause went to a lower tier"
         for other, share in SHARES.items():
             waits = self.list_waiting(other)
             if other != name and waits:
-                self.earned[other] += share
+                self.shares_earned[other] += share
                 self.passed_over[other] += not strict and not self.holds_share(other)
-                least = LEAST_STARTS.get(other, float("inf"))
-                assert self.passed_over[other] <= least, f"{other} starves"
+                limit = MAX_PASSED_OVER.get(other, float("inf"))
+                assert self.passed_over[other] <= limit, f"{other} starves"
 
     def holds_share(self, name: str) -> bool:
-        """Return whether starts by share hold as many slots as the class may have by it."""
-        held = [known for known in self.find(State.GRANTED) if known.by_share]
-        count = sum(known.ask.class_name == name for known in held)
+        """Return whether starts by share hold as many slots as the class may hold by its share."""
+        held = [tracked for tracked in self.list_asks(State.GRANTED) if tracked.by_share]
+        count = sum(tracked.ask.class_name == name for tracked in held)
         return count >= max(1.0, SHARES[name] * self.endpoint.slots)
 
-    def check_refusal(self, known: Known, event: Refused, new: Known | None) -> None:
-        assert known.state in (State.NEW, State.QUEUED), "ended twice or while running"
+    def check_refusal(self, tracked: TrackedAsk, event: Refused, new: TrackedAsk | None) -> None:
+        assert tracked.state in (State.NEW, State.QUEUED), "ended twice or while running"
         assert event.retry_after_s >= 0.0
-        known.state = State.ENDED
+        tracked.state = State.ENDED
         if event.code is ErrorCode.SHED:
-            self.check_shed(known, new)
+            self.check_shed(tracked, new)
         if event.code is ErrorCode.QUEUE_FULL:
-            at_limit = len(self.list_waiting(known.ask.class_name)) >= LIMITS[known.ask.class_name]
-            assert at_limit or self.count_exposed(known.ask.tier) == 0, "lower tier kept"
-
-    def check_shed(self, known: Known, new: Known | None) -> None:
-        assert new is not None, "shed for none"
-        if known.ask.class_name == new.ask.class_name:
-            own = self.count_own(new)
+            at_limit = (
+                len(self.list_waiting(tracked.ask.class_name)) >= LIMITS[tracked.ask.class_name]
+            )
+            assert (
+                at_limit or self.count_unreserved_below(tracked.ask.tier) == 0
+            ), "an ask of a lower tier was kept"
+
+    def check_shed(self, tracked: TrackedAsk, new: TrackedAsk | None) -> None:
+        assert new is not None, "shed without a new ask"
+        if tracked.ask.class_name == new.ask.class_name:
+            same_organisation = self.count_same_organisation(new)
             most = max(
-                [self.count_own(w) for w in self.list_waiting(new.ask.class_name)], default=0
+                [self.count_same_organisation(w) for w in self.list_waiting(new.ask.class_name)],
+                default=0,
             )
-            assert self.count_own(known) + 1 >= max(own + 2, most), "shed from one with few waiting"
+            assert self.count_same_organisation(tracked) + 1 >= max(
+                same_organisation + 2, most
+            ), "shed from one with few waiting"
         else:
-            assert new.ask.tier < known.ask.tier, "shed for an equal or lower tier"
-            assert self.count_exposed(known.ask.tier) == 0, "a lower tier could have been shed"
+            assert new.ask.tier < tracked.ask.tier, "shed for an equal or lower tier"
+            assert (
+                self.count_unreserved_below(tracked.ask.tier) == 0
+            ), "a lower tier could have been shed"
 
-    def count_own(self, known: Known) -> int:
+    def count_same_organisation(self, tracked: TrackedAsk) -> int:
         """Return how many asks of the same class and organisation wait."""
-        waiting = self.list_waiting(known.ask.class_name)
-        return sum(other.ask.organisation == known.ask.organisation for other in waiting)
+        waiting = self.list_waiting(tracked.ask.class_name)
+        return sum(other.ask.organisation == tracked.ask.organisation for other in waiting)
 
-    def count_exposed(self, tier: int) -> int:
+    def count_unreserved_below(self, tier: int) -> int:
         """Return how many asks of lower tiers hold places that are not reserved."""
         exposed = 0
         for name, other_tier in TIERS.items():
@@ -211,27 +226,29 @@
                 exposed += max(0, len(self.list_waiting(name)) - reserved)
         return exposed
 
-    def check_pause(self, known: Known) -> None:
-        assert known.state is State.GRANTED
-        assert not known.by_share, "a start by share was taken back"
-        waiting = self.find(State.QUEUED, State.NEW)
-        assert any(w.ask.tier < known.ask.tier for w in waiting), "paused for none higher"
-        for other in self.find(State.GRANTED):
+    def check_pause(self, tracked: TrackedAsk) -> None:
+        assert tracked.state is State.GRANTED
+        assert not tracked.by_share, "a start by share was paused"
+        waiting = self.list_asks(State.QUEUED, State.NEW)
+        assert any(
+            w.ask.tier < tracked.ask.tier for w in waiting
+        ), "paused without a higher tier waiting"
+        for other in self.list_asks(State.GRANTED):
             if not other.by_share:
-                assert other.ask.tier <= known.ask.tier, "a lower tier runs on"
-                same = other.ask.tier == known.ask.tier
-                assert not same or self.measure_work(other) >= self.measure_work(known) - 1e-6
-        known.state = State.PAUSED
+                assert other.ask.tier <= tracked.ask.tier, "a lower tier keeps running"
+                same = other.ask.tier == tracked.ask.tier
+                assert not same or self.measure_work(other) >= self.measure_work(tracked) - 1e-6
+        tracked.state = State.PAUSED
 
-    def measure_work(self, known: Known) -> float:
-        """Return the tokens that a pause may lose, those since the last word at 50 a second."""
-        return known.tokens + 50.0 * (self.now - known.heard_at)
+    def measure_work(self, tracked: TrackedAsk) -> float:
+        """Return the tokens that a pause may lose, at 50 a second since the last report."""
+        return tracked.tokens + 50.0 * (self.now - tracked.progress_at)
 
     # Rules
 
     def make_ask(self, name: str, entry: str, allowed_s: float, max_tokens: int = 100) -> Ask:
-        """Return a new ask; its organisation follows from its number."""
-        number = len(self.known)
+        """Return a new ask; its organisation depends on its number."""
+        number = len(self.tracked)
         return Ask(
             ask_id=f"r{number}",
             entry=entry,
@@ -247,10 +264,10 @@
         )
 
     def send(self, ask: Ask) -> None:
-        """Ask, and check that there is an answer."""
-        known = self.known[ask.ask_id] = Known(ask=ask)
-        self.handle(self.keeper.ask(ask, now=self.now), known)
-        assert known.state is not State.NEW, "no answer to an ask"
+        """Send an ask and check that the keeper decides on it."""
+        tracked = self.tracked[ask.ask_id] = TrackedAsk(ask=ask)
+        self.handle(self.keeper.ask(ask, now=self.now), tracked)
+        assert tracked.state is not State.NEW, "no decision on an ask"
 
     @rule(
         name=st.sampled_from(sorted(TIERS)),
@@ -277,24 +294,24 @@
         times=st.integers(1, 40),
     )
     def overload(self, names: list[str], allowed_s: float, interval_s: float, times: int) -> None:
-        """Serve one request for each that comes, so that a backlog lasts."""
+        """Finish one request for each new one, so that a backlog persists."""
         for number in range(times):
             self.send(self.make_ask(names[number % len(names)], "a", allowed_s))
             self.pass_time(interval_s)
-            if self.find(State.PAUSED, State.GRANTED):
+            if self.list_asks(State.PAUSED, State.GRANTED):
                 self.finish(self.pick(0, State.PAUSED, State.GRANTED), tokens=50)
 
-    @precondition(lambda self: self.find(State.QUEUED, State.GRANTED, State.PAUSED))
+    @precondition(lambda self: self.list_asks(State.QUEUED, State.GRANTED, State.PAUSED))
     @rule(index=st.integers(0, 50))
     def repeat_ask(self, index: int) -> None:
-        known = self.pick(index, State.QUEUED, State.GRANTED, State.PAUSED)
-        (event,) = self.keeper.ask(known.ask, now=self.now)
+        tracked = self.pick(index, State.QUEUED, State.GRANTED, State.PAUSED)
+        (event,) = self.keeper.ask(tracked.ask, now=self.now)
         expected = {State.QUEUED: Queued, State.GRANTED: Granted, State.PAUSED: Paused}
-        assert isinstance(event, expected[known.state])
-        if known.state is not State.QUEUED:
-            known.expires_at = max(known.ask.deadline, self.now) + 30.0
+        assert isinstance(event, expected[tracked.state])
+        if tracked.state is not State.QUEUED:
+            tracked.expires_at = max(tracked.ask.deadline, self.now) + 30.0
 
-    @precondition(lambda self: self.find(State.GRANTED, State.PAUSED))
+    @precondition(lambda self: self.list_asks(State.GRANTED, State.PAUSED))
     @rule(
         index=st.integers(0, 50),
         used=st.booleans(),
@@ -304,20 +321,20 @@
     )
     def release(self, index: int, used: bool, failed: bool, tokens: int, times: int) -> None:
         for _ in range(times):
-            if self.find(State.GRANTED, State.PAUSED):
-                known = self.pick(index, State.GRANTED, State.PAUSED)
-                self.finish(known, used=used, failed=failed, tokens=tokens)
+            if self.list_asks(State.GRANTED, State.PAUSED):
+                tracked = self.pick(index, State.GRANTED, State.PAUSED)
+                self.finish(tracked, used=used, failed=failed, tokens=tokens)
 
     def finish(
-        self, known: Known, *, used: bool = True, failed: bool = False, tokens: int = 0
+        self, tracked: TrackedAsk, *, used: bool = True, failed: bool = False, tokens: int = 0
     ) -> None:
         """Release a slot twice; the second release must change nothing."""
-        self.end(known)
-        self.freed += known.presented
-        if not used and known.by_share:
-            self.earned[known.ask.class_name] += 1.0
+        self.end_ask(tracked)
+        self.freed_since_report += tracked.presented
+        if not used and tracked.by_share:
+            self.shares_earned[tracked.ask.class_name] += 1.0
         release = Release(
-            ask_id=known.ask.ask_id,
+            ask_id=tracked.ask.ask_id,
             endpoint="e",
             used=used,
             failed=failed,
@@ -328,36 +345,36 @@
         self.handle(self.keeper.release(release, now=self.now))
         assert self.keeper.release(release, now=self.now) == []
 
-    def end(self, known: Known) -> None:
-        """Note that a slot comes free."""
-        self.taken_slots += known.state is State.PAUSED
-        known.state = State.ENDED
+    def end_ask(self, tracked: TrackedAsk) -> None:
+        """Record that a slot is freed."""
+        self.paused_slots += tracked.state is State.PAUSED
+        tracked.state = State.ENDED
 
-    @precondition(lambda self: self.find(State.QUEUED))
+    @precondition(lambda self: self.list_asks(State.QUEUED))
     @rule(index=st.integers(0, 50))
     def withdraw_waiting(self, index: int) -> None:
-        known = self.pick(index, State.QUEUED)
-        known.state = State.ENDED
-        self.handle(self.keeper.withdraw(known.ask.ask_id, now=self.now))
-        assert self.keeper.withdraw(known.ask.ask_id, now=self.now) == []
+        tracked = self.pick(index, State.QUEUED)
+        tracked.state = State.ENDED
+        self.handle(self.keeper.withdraw(tracked.ask.ask_id, now=self.now))
+        assert self.keeper.withdraw(tracked.ask.ask_id, now=self.now) == []
 
     @rule(seconds=st.sampled_from([0.05, 0.5, 3.0, 20.0]))
     def pass_time(self, seconds: float) -> None:
         self.now += seconds
-        for known in self.find(State.GRANTED, State.PAUSED):
-            if known.expires_at <= self.now:
-                self.end(known)
+        for tracked in self.list_asks(State.GRANTED, State.PAUSED):
+            if tracked.expires_at <= self.now:
+                self.end_ask(tracked)
         self.handle(self.keeper.tick(now=self.now))
-        for known in self.find(State.QUEUED):
-            assert known.ask.deadline > self.now, "held past its deadline"
+        for tracked in self.list_asks(State.QUEUED):
+            assert tracked.ask.deadline > self.now, "held past its deadline"
 
-    @precondition(lambda self: self.find(State.GRANTED))
+    @precondition(lambda self: self.list_asks(State.GRANTED))
     @rule(index=st.integers(0, 50), tokens=st.integers(1, 200))
     def progress(self, index: int, tokens: int) -> None:
-        known = self.pick(index, State.GRANTED)
-        known.tokens += tokens
-        known.heard_at = self.now
-        self.keeper.record_progress(known.ask.ask_id, known.tokens, now=self.now)
+        tracked = self.pick(index, State.GRANTED)
+        tracked.tokens += tokens
+        tracked.progress_at = self.now
+        self.keeper.record_progress(tracked.ask.ask_id, tracked.tokens, now=self.now)
 
     @rule(
         running=st.integers(0, 5),
@@ -368,50 +385,52 @@
         report = LoadReport(endpoint="e", as_of=self.now - lag_s, running=running, kv_free=kv_free)
         if self.report is None or report.as_of >= self.report.as_of:
             self.report = report
-            self.freed = 0
+            self.freed_since_report = 0
         self.handle(self.keeper.record_load(report, now=self.now))
 
-    @rule(entry=st.sampled_from(ENTRIES), comes_back=st.booleans())
-    def lose_entry_of(self, entry: str, comes_back: bool) -> None:
-        self.lose_entry(entry, comes_back)
+    @rule(entry=st.sampled_from(ENTRIES), reconnects=st.booleans())
+    def lose_entry_of(self, entry: str, reconnects: bool) -> None:
+        self.lose_entry(entry, reconnects)
 
-    def lose_entry(self, entry: str, comes_back: bool) -> None:
-        """End an entry's stream; it may present its slots again."""
-        for known in self.find(State.QUEUED):
-            if known.ask.entry == entry:
-                known.state = State.ENDED
+    def lose_entry(self, entry: str, reconnects: bool) -> None:
+        """End an entry's stream; the entry may reconnect and present its slots again."""
+        for tracked in self.list_asks(State.QUEUED):
+            if tracked.ask.entry == entry:
+                tracked.state = State.ENDED
         self.handle(self.keeper.drop_entry(entry, now=self.now))
-        for known in self.find(State.GRANTED, State.PAUSED):
-            if known.ask.entry == entry:
-                known.expires_at = min(known.expires_at, self.now + 10.0)
-                if comes_back:
-                    self.represent(known)
+        for tracked in self.list_asks(State.GRANTED, State.PAUSED):
+            if tracked.ask.entry == entry:
+                tracked.expires_at = min(tracked.expires_at, self.now + 10.0)
+                if reconnects:
+                    self.present_again(tracked)
 
-    @precondition(lambda self: self.find(State.GRANTED))
+    @precondition(lambda self: self.list_asks(State.GRANTED))
     @rule(index=st.integers(0, 50), seconds=st.sampled_from([0.5, 20.0]))
     def lose_grant(self, index: int, seconds: float) -> None:
-        """Break a stream with a grant on its way; the entry comes back and asks again."""
-        known = self.pick(index, State.GRANTED)
-        self.lose_entry(known.ask.entry, False)
-        (event,) = self.keeper.ask(known.ask, now=self.now)
-        assert isinstance(event, Granted if known.state is State.GRANTED else Paused)
-        known.expires_at = max(known.ask.deadline, self.now) + 30.0
+        """End a stream while a grant is in transit; the entry reconnects and asks again."""
+        tracked = self.pick(index, State.GRANTED)
+        self.lose_entry(tracked.ask.entry, False)
+        (event,) = self.keeper.ask(tracked.ask, now=self.now)
+        assert isinstance(event, Granted if tracked.state is State.GRANTED else Paused)
+        tracked.expires_at = max(tracked.ask.deadline, self.now) + 30.0
         self.pass_time(seconds)
 
-    def represent(self, known: Known) -> None:
+    def present_again(self, tracked: TrackedAsk) -> None:
         """Present a slot again."""
-        events = self.keeper.present(known.ask, held_s=1.0, tokens=known.tokens, now=self.now)
-        known.expires_at = max(known.ask.deadline, self.now) + 30.0
-        known.heard_at = self.now
+        events = self.keeper.present(tracked.ask, held_s=1.0, tokens=tracked.tokens, now=self.now)
+        tracked.expires_at = max(tracked.ask.deadline, self.now) + 30.0
+        tracked.progress_at = self.now
         self.handle(events)
 
     @rule(name=st.sampled_from(sorted(TIERS)), held_s=st.sampled_from([0.0, 5.0]))
     def present_unknown(self, name: str, held_s: float) -> None:
         ask = self.make_ask(name, "a", 30.0)
-        known = self.known[ask.ask_id] = Known(ask=ask, state=State.GRANTED, presented=True)
-        known.expires_at = ask.deadline + 30.0
-        known.heard_at = self.now
-        known.granted_at = self.now - held_s
+        tracked = self.tracked[ask.ask_id] = TrackedAsk(
+            ask=ask, state=State.GRANTED, presented=True
+        )
+        tracked.expires_at = ask.deadline + 30.0
+        tracked.progress_at = self.now
+        tracked.granted_at = self.now - held_s
         self.handle(self.keeper.present(ask, held_s=held_s, tokens=0, now=self.now))
 
     @rule(slots=st.integers(1, 4))
@@ -422,9 +441,9 @@
     def leave_and_return(self, seconds: float, name: str) -> None:
         active = self.endpoint
         self.configure(replace(active, state=EndpointState.LEAVING))
-        assert not self.find(State.QUEUED)
+        assert not self.list_asks(State.QUEUED)
         self.send(self.make_ask(name, "a", 30.0))
-        assert not self.find(State.QUEUED)
+        assert not self.list_asks(State.QUEUED)
         self.pass_time(seconds)
         self.configure(active)
 
@@ -439,26 +458,26 @@
     @invariant()
     def slots_do_not_leak(self) -> None:
         probe = self.keeper.make_probe(now=self.now)
-        assert probe.in_flight == len(self.find(State.GRANTED, State.PAUSED))
-        assert probe.queued == len(self.find(State.QUEUED))
+        assert probe.in_flight == len(self.list_asks(State.GRANTED, State.PAUSED))
+        assert probe.queued == len(self.list_asks(State.QUEUED))
 
     @invariant()
     def slots_are_not_idle(self) -> None:
         closed = self.now < self.cautious_until or self.report is not None
-        held = len(self.find(State.GRANTED, State.PAUSED))
-        assert closed or held >= self.endpoint.slots or not self.find(State.QUEUED)
+        held = len(self.list_asks(State.GRANTED, State.PAUSED))
+        assert closed or held >= self.endpoint.slots or not self.list_asks(State.QUEUED)
 
     @invariant()
     def deficits_are_bounded(self) -> None:
         for queue in self.keeper._queue.list_classes():  # noqa: SLF001
             assert -MAX_WORK <= queue.credit <= DEBT_CEILING
             for deficit in queue.round_robin.list_deficits():
-                assert -DEBT_LIMIT <= deficit <= QUANTUM
+                assert -DEFICIT_LIMIT <= deficit <= QUANTUM
 
     @invariant()
     def wakes_for_deadlines(self) -> None:
-        for known in self.find(State.QUEUED):
-            assert self.keeper.next_wakeup() <= known.ask.deadline
+        for tracked in self.list_asks(State.QUEUED):
+            assert self.keeper.next_wakeup() <= tracked.ask.deadline
 
     @invariant()
     def queues_are_bounded(self) -> None:
@@ -466,20 +485,20 @@
             assert len(self.list_waiting(name)) <= limit
 
     def teardown(self) -> None:
-        """Let all deadlines and terms pass: every ask and every slot must have ended."""
+        """Let all deadlines and expiries pass; every ask and every slot must have ended."""
         if not hasattr(self, "keeper"):
             return
         for _ in range(5000):
             due = self.keeper.next_wakeup()
             if due is None:
                 break
-            assert due >= self.now, "a wake-up that tick left undone"
+            assert due >= self.now, "tick left a due wake-up unprocessed"
             self.now = due
-            for known in self.find(State.GRANTED, State.PAUSED):
-                if known.expires_at <= self.now:
-                    self.end(known)
+            for tracked in self.list_asks(State.GRANTED, State.PAUSED):
+                if tracked.expires_at <= self.now:
+                    self.end_ask(tracked)
             self.handle(self.keeper.tick(now=self.now))
-        assert not self.find(State.NEW, State.QUEUED, State.GRANTED, State.PAUSED)
+        assert not self.list_asks(State.NEW, State.QUEUED, State.GRANTED, State.PAUSED)
         assert self.keeper.make_probe(now=self.now).in_flight == 0
 
 
--- a/tests/test_keeping.py
+++ b/tests/test_keeping.py
@@ -1,4 +1,4 @@
-"""Tests of who keeps an endpoint."""
+"""Tests of the selection of an endpoint's keeper."""
 
 from __future__ import annotations
 
@@ -30,7 +30,7 @@
 
 
 class KeepingTest(unittest.TestCase):
-    """A keeper is of the endpoint's region while one serves there."""
+    """The keeper is in the endpoint's region while a member serves there."""
 
     def test_prefers_region(self) -> None:
         members = [make_member(f"n{i}", region="north") for i in range(3)]
--- a/tests/test_queues_properties.py
+++ b/tests/test_queues_properties.py
@@ -1,4 +1,4 @@
-"""Properties of the queue's parts that a keeper's histories reach too rarely."""
+"""Properties of the queue that generated histories of a keeper rarely reach."""
 
 from __future__ import annotations
 
@@ -45,7 +45,7 @@
 
 
 class RoundRobinPropertiesTest(unittest.TestCase):
-    """Organisations that always wait get the same work, whatever their asks cost."""
+    """Backlogged organisations get the same work, whatever their asks cost."""
 
     @given(
         st.lists(
@@ -56,21 +56,27 @@
     def test_backlogged_organisations_share_work(
         self, costs: list[list[float]], starts: int
     ) -> None:
-        robin = RoundRobin()
+        round_robin = RoundRobin()
         served = dict.fromkeys(map(str, range(len(costs))), 0.0)
         number = 0
-        for organisation, own in enumerate(costs):
+        for organisation, ask_costs in enumerate(costs):
             for _ in range(2):
                 number += 1
-                robin.add(make_waiting(number, organisation=str(organisation), cost=own[0]))
+                round_robin.add(
+                    make_waiting(number, organisation=str(organisation), cost=ask_costs[0])
+                )
         for _ in range(starts):
-            waiting = robin.pop_next()
+            waiting = round_robin.pop_next()
             organisation = waiting.ask.organisation
             served[organisation] += waiting.cost
             number += 1
-            own = costs[int(organisation)]
-            robin.add(make_waiting(number, organisation=organisation, cost=own[number % len(own)]))
-            for deficit in robin.list_deficits():
+            ask_costs = costs[int(organisation)]
+            round_robin.add(
+                make_waiting(
+                    number, organisation=organisation, cost=ask_costs[number % len(ask_costs)]
+                )
+            )
+            for deficit in round_robin.list_deficits():
                 self.assertTrue(-COST_LIMIT < deficit <= QUANTUM)
         spread = max(served.values()) - min(served.values())
         self.assertLessEqual(spread, COST_LIMIT + 2 * QUANTUM)
@@ -94,7 +100,7 @@
 
 
 class WaitingQueuePropertiesTest(unittest.TestCase):
-    """What a class is owed stays bounded."""
+    """The credit of a class is bounded."""
 
     @given(
         st.lists(st.tuples(st.sampled_from(["high", "low"]), st.booleans()), max_size=60),
@@ -156,9 +162,9 @@
         while not start.by_share:
             start = queue.pop_next(rate=1.0, slots=4, now=0.0)
         self.assertAlmostEqual(start.charged, 5.0)
-        debt = low.credit
+        credit = low.credit
         queue.finish(start, cost=0.0)
-        self.assertAlmostEqual(low.credit, debt + 5.0)
+        self.assertAlmostEqual(low.credit, credit + 5.0)
 
 
 if __name__ == "__main__":
