--- a/src/guavamast/_slot_wire.py
+++ b/src/guavamast/_slot_wire.py
@@ -17,7 +17,7 @@
 
 
 def encode_ask(ask: Ask, *, now: float) -> peer_pb2.AskMessage:
-    """Return the message of an ask; its deadline travels as the time that is left."""
+    """Return the message of an ask; its deadline is encoded as the remaining time."""
     return peer_pb2.AskMessage(
         ask_id=ask.ask_id,
         endpoint=ask.endpoint,
--- a/src/guavamast/races.py
+++ b/src/guavamast/races.py
@@ -1,4 +1,4 @@
-"""A request's asks at several keepers: the first grant is used, a later one is given back."""
+"""A request's asks at several keepers: the first grant is used, a later one is released unused."""
 
 from __future__ import annotations
 
@@ -9,31 +9,31 @@
     from guavamast.slots import Queued
 
 RACE_WAIT_S: Final = 0.05
-"""Estimated wait from which a queued ask is raced."""
-RACERS: Final = 2
-"""Keepers at which one request waits at the same time."""
+"""Estimated wait of a queued ask from which another keeper is asked as well."""
+MAX_OPEN_ASKS: Final = 2
+"""Keepers at which one request may wait at the same time."""
 ASK_LIMIT: Final = 32
-"""Asks of one request before it is refused."""
+"""Asks of one request before it is rejected."""
 
 
 @dataclass(frozen=True, slots=True, kw_only=True)
 class RaceRules:
-    """When a second keeper is asked."""
+    """Conditions for asking further keepers."""
 
-    racers: int = RACERS
+    racers: int = MAX_OPEN_ASKS
     wait_s: float = RACE_WAIT_S
     ask_limit: int = ASK_LIMIT
 
 
 class SlotRace:
-    """Keeps the open asks of one request apart from the grant that it uses.
+    """Tracks the open asks of one request and the grant that it uses.
 
-    Failure: both keepers grant, the entry sends to both, and the answer is paid for and perhaps
-    run twice. The first grant closes the race; any grant after it is to be released unused, also
-    one that was on its way when its ask was withdrawn.
+    Without this, two keepers grant, the entry sends to both endpoints, and the request is paid
+    for and perhaps run twice. Only the first grant is used; any later one is released unused,
+    including one that was in transit when its ask was withdrawn.
 
     Args:
-        rules: When a second keeper is asked.
+        rules: The conditions for asking further keepers.
     """
 
     __slots__ = ("_asked", "_open", "_rules", "_winner")
@@ -46,17 +46,17 @@
 
     @property
     def asked(self) -> frozenset[str]:
-        """Endpoints that this request has asked for, to be excluded from the next choice."""
+        """Endpoints that were asked for this request, to be excluded from the next choice."""
         return frozenset(self._asked)
 
     @property
     def winner(self) -> str:
-        """The ask whose grant is used; empty while there is none."""
+        """ID of the ask whose grant is used; empty while there is none."""
         return self._winner
 
     @property
     def is_waiting(self) -> bool:
-        """Whether a keeper may still grant."""
+        """Whether an open ask may still be granted."""
         return bool(self._open)
 
     @property
@@ -65,24 +65,24 @@
         return not self._winner and len(self._asked) < self._rules.ask_limit
 
     def record_ask(self, ask_id: str, endpoint: str) -> None:
-        """Note that a keeper is asked."""
+        """Record an ask sent to a keeper."""
         self._asked.append(endpoint)
         self._open[ask_id] = endpoint
 
     def record_queued(self, queued: Queued) -> bool:
-        """Return whether to ask a further keeper, as this one lets the request wait."""
+        """Return whether to ask another keeper, as this one queues the request."""
         if queued.ask.ask_id not in self._open or not self.may_ask:
             return False
         waits = queued.estimated_wait_s >= self._rules.wait_s
         return waits and len(self._open) < self._rules.racers
 
     def record_refused(self, ask_id: str) -> bool:
-        """Return whether to ask a further keeper, as none is left to grant."""
+        """Record a rejection; return whether to ask another keeper, as no ask is open."""
         self._open.pop(ask_id, None)
         return self.may_ask and not self._open
 
     def record_granted(self, ask_id: str) -> bool:
-        """Return whether to use the grant; else it is to be released unused at once."""
+        """Record a grant; return whether to use it, else it is to be released unused at once."""
         if self._winner or ask_id not in self._open:
             return False
         del self._open[ask_id]
@@ -90,12 +90,12 @@
         return True
 
     def close(self) -> dict[str, str]:
-        """Return the asks to withdraw, with their endpoints; no later grant will be used."""
-        losers = self._open
+        """Close all asks and return those to withdraw, by ID; no later grant is used."""
+        open_asks = self._open
         self._open = {}
-        return losers
+        return open_asks
 
     def restart(self) -> None:
-        """Begin anew after a failed or paused run; endpoints asked before may be asked again."""
+        """Reset after a failed or paused run; endpoints asked before may be asked again."""
         self._winner = ""
         self._asked.clear()
--- a/src/guavamast/slot_finder.py
+++ b/src/guavamast/slot_finder.py
@@ -1,4 +1,4 @@
-"""Finds a slot for one request, going on from keeper to keeper while one may still take it."""
+"""Search for a slot for one request, asking further keepers while one may still grant it."""
 
 from __future__ import annotations
 
@@ -23,19 +23,19 @@
 
 NO_ENDPOINT_RETRY_S: Final = 2.0
 
-GOING_CODES: Final = frozenset({ErrorCode.LEAVING, ErrorCode.NO_ENDPOINT})
-"""Codes of a keeper whose endpoint is out of use."""
+UNAVAILABLE_CODES: Final = frozenset({ErrorCode.LEAVING, ErrorCode.NO_ENDPOINT})
+"""Rejection codes of a keeper whose endpoint is out of use."""
 STATUS_BY_CODE: Final = {
     ErrorCode.DEADLINE_EXCEEDED: 504,
     ErrorCode.RATE_LIMITED: 429,
     ErrorCode.CONCURRENCY_LIMITED: 429,
 }
-"""Statuses of refusals; 503 for the others."""
+"""HTTP statuses of rejections; 503 for all other codes."""
 
 
 @dataclass(slots=True, kw_only=True)
 class SlotWish:
-    """What one request needs a slot for."""
+    """What one request requires of a slot."""
 
     organisation: str
     class_name: str
@@ -54,36 +54,36 @@
 
 
 class _Search:
-    """The open asks of one request and what has become of them.
+    """The open asks of one request and their results.
 
     Args:
         links: The streams to keepers.
     """
 
-    __slots__ = ("_events", "_links", "_tasks", "_winner", "race", "refusals")
+    __slots__ = ("_events", "_links", "_tasks", "_winner", "race", "rejections")
 
     def __init__(self, *, links: SlotLinks) -> None:
         self.race = SlotRace(rules=RaceRules())
-        self.refusals: list[AskRefused] = []
+        self.rejections: list[AskRefused] = []
         self._links = links
-        self._events: asyncio.Queue[Queued | _Ended] = asyncio.Queue()
+        self._events: asyncio.Queue[Queued | _AskEnded] = asyncio.Queue()
         self._tasks: dict[str, asyncio.Task[SlotHold]] = {}
         self._winner: SlotHold | None = None
 
     def start(self, ask: Ask) -> None:
-        """Ask one keeper."""
+        """Ask one keeper for a slot."""
         self.race.record_ask(ask.ask_id, ask.endpoint)
         acquire = self._links.acquire(ask, on_queued=self._events.put_nowait)
         task = asyncio.ensure_future(acquire)
-        task.add_done_callback(lambda _: self._events.put_nowait(_Ended(ask_id=ask.ask_id)))
+        task.add_done_callback(lambda _: self._events.put_nowait(_AskEnded(ask_id=ask.ask_id)))
         self._tasks[ask.ask_id] = task
 
     def wants_another(self) -> bool:
-        """Return whether a further keeper is to be asked now."""
+        """Return whether to ask another keeper now."""
         return self._winner is None and self.race.may_ask
 
     async def wait(self) -> SlotHold | None:
-        """Wait for a slot, or until a further keeper is to be asked, which gives None.
+        """Wait for a slot; return None when another keeper is to be asked.
 
         Raises:
             TimeoutError: The deadline has passed.
@@ -93,35 +93,35 @@
             if isinstance(event, Queued):
                 if self.race.record_queued(event):
                     return None
-            elif self._take_end(event.ask_id):
+            elif self._handle_end(event.ask_id):
                 return self._winner
 
     async def wait_for_any(self) -> SlotHold | None:
-        """Wait until a slot is held or no keeper is left that may give one."""
+        """Wait until a slot is held or no open ask may still be granted."""
         while self._winner is None and self.race.is_waiting:
             await self.wait()
         return self._winner
 
     def close(self) -> None:
-        """Withdraw the other asks; a grant that came at the same moment is given back unused."""
+        """Withdraw the other asks; a grant that arrived at the same moment is released unused."""
         for ask_id, task in self._tasks.items():
             if not task.done():
                 task.cancel()
             elif self._winner is None or ask_id != self._winner.ask.ask_id:
-                self._give_back(task)
+                self._release_unused(task)
 
-    def _take_end(self, ask_id: str) -> bool:
-        """Return whether the wait is over: a slot is held or a further keeper is to be asked."""
+    def _handle_end(self, ask_id: str) -> bool:
+        """Record the end of an ask; return whether to stop waiting, with or without a slot."""
         try:
             hold = self._tasks[ask_id].result()
-        except AskRefused as refused:
-            self.refusals.append(refused)
+        except AskRefused as rejection:
+            self.rejections.append(rejection)
             return self.race.record_refused(ask_id) or not self.race.is_waiting
         if self.race.record_granted(ask_id):
             self._winner = hold
         return True
 
-    def _give_back(self, task: asyncio.Task[SlotHold]) -> None:
+    def _release_unused(self, task: asyncio.Task[SlotHold]) -> None:
         if task.cancelled() or task.exception() is not None:
             return
         ask = task.result().ask
@@ -130,17 +130,17 @@
 
 
 @dataclass(frozen=True, slots=True, kw_only=True)
-class _Ended:
-    """An ask has ended, with a slot or without."""
+class _AskEnded:
+    """The end of an ask, with or without a slot."""
 
     ask_id: str
 
 
 class SlotFinder:
-    """Chooses endpoints and asks their keepers.
+    """Finds a slot for a request by asking the keepers of chosen endpoints.
 
     Args:
-        state: The entry's configuration, view and chooser.
+        state: The entry's configuration, membership view and endpoint chooser.
         links: The streams to keepers.
         clock: Monotonic time.
     """
@@ -150,71 +150,72 @@
         self._links = links
         self._clock = clock
 
-    async def find(self, wish: SlotWish, latch: SendLatch) -> SlotHold:
+    async def find(self, requirements: SlotWish, latch: SendLatch) -> SlotHold:
         """Return a held slot.
 
-        A request that a keeper lets wait is raced at a second one; the later grant is given back.
+        When a keeper queues the request, a second keeper is asked as well; the later grant is
+        released unused.
 
         Args:
-            wish: What the slot is for.
-            latch: The request's latch, which proves the outcome of a refusal.
+            requirements: What the request requires of the slot.
+            latch: The request's send latch, which sets the outcome of a rejection.
 
         Raises:
-            Refusal: No keeper of the pool gives a slot in time.
+            Refusal: No keeper of the pool grants a slot before the deadline.
         """
         search = _Search(links=self._links)
         try:
-            while search.wants_another() and self._start_next(search, wish):
+            while search.wants_another() and self._start_next(search, requirements):
                 hold = await search.wait()
                 if hold is not None:
                     return hold
             hold = await search.wait_for_any()
         except TimeoutError:
-            raise self._refuse_late(latch) from None
+            raise self._reject_late(latch) from None
         finally:
             search.close()
         if hold is None:
-            raise self._refuse(search.refusals, latch)
+            raise self._reject(search.rejections, latch)
         return hold
 
-    def _start_next(self, search: _Search, wish: SlotWish) -> bool:
-        """Ask one more keeper; False when there is none."""
-        asked = search.race.asked | wish.excluded
-        candidates = self._choose(wish, frozenset(asked))
-        if not candidates or self._clock() >= wish.deadline:
+    def _start_next(self, search: _Search, requirements: SlotWish) -> bool:
+        """Ask another keeper; return False when there is none or the deadline has passed."""
+        asked = search.race.asked | requirements.excluded
+        candidates = self._choose(requirements, frozenset(asked))
+        if not candidates or self._clock() >= requirements.deadline:
             return False
-        search.start(self._make_ask(wish, candidates[0]))
+        search.start(self._build_ask(requirements, candidates[0]))
         return True
 
-    def _choose(self, wish: SlotWish, asked: frozenset[str]) -> list[str]:
-        wanted = Wanted(
-            tier=wish.tier,
-            model=wish.model,
-            service=wish.service,
-            prefix_key=wish.prefix_key,
-            prompt_tokens=wish.prompt_tokens,
+    def _choose(self, requirements: SlotWish, asked: frozenset[str]) -> list[str]:
+        endpoint_requirements = Wanted(
+            tier=requirements.tier,
+            model=requirements.model,
+            service=requirements.service,
+            prefix_key=requirements.prefix_key,
+            prompt_tokens=requirements.prompt_tokens,
             excluded=asked,
-            idempotent=wish.idempotent,
+            idempotent=requirements.idempotent,
         )
-        return self._state.chooser.choose(wanted, now=self._clock())
+        return self._state.chooser.choose(endpoint_requirements, now=self._clock())
 
-    def _make_ask(self, wish: SlotWish, endpoint: str) -> Ask:
+    def _build_ask(self, requirements: SlotWish, endpoint: str) -> Ask:
         return Ask(
             ask_id=uuid.uuid4().hex,
             entry=self._state.instance.name,
             endpoint=endpoint,
-            organisation=wish.organisation,
-            class_name=wish.class_name,
-            tier=wish.tier,
-            kind=wish.kind,
-            model=wish.model,
-            prompt_tokens=wish.prompt_tokens,
-            max_tokens=wish.max_tokens,
-            deadline=wish.deadline,
-            idempotent=wish.idempotent,
+            organisation=requirements.organisation,
+            class_name=requirements.class_name,
+            tier=requirements.tier,
+            kind=requirements.kind,
+            model=requirements.model,
+            prompt_tokens=requirements.prompt_tokens,
+            max_tokens=requirements.max_tokens,
+            deadline=requirements.deadline,
+            idempotent=requirements.idempotent,
         )
 
-    def _refuse_late(self, latch: SendLatch) -> Refusal:
+    def _reject_late(self, latch: SendLatch) -> Refusal:
         return latch.refuse(
             ErrorCode.DEADLINE_EXCEEDED,
             "no slot became free before the deadline",
@@ -222,20 +223,20 @@
             retry_after_s=NO_ENDPOINT_RETRY_S,
         )
 
-    def _refuse(self, refusals: list[AskRefused], latch: SendLatch) -> Refusal:
-        if not refusals:
+    def _reject(self, rejections: list[AskRefused], latch: SendLatch) -> Refusal:
+        if not rejections:
             return latch.refuse(
                 ErrorCode.NO_ENDPOINT,
                 "no endpoint can take the request now",
                 status=503,
                 retry_after_s=NO_ENDPOINT_RETRY_S,
             )
-        # An endpoint that leaves tells nothing of when the others will have room.
-        staying = [refused for refused in refusals if refused.code not in GOING_CODES]
-        soonest = min(staying or refusals, key=lambda refused: refused.retry_after_s)
+        # The retry delay of a leaving endpoint says nothing about the others' capacity.
+        staying = [rejection for rejection in rejections if rejection.code not in UNAVAILABLE_CODES]
+        soonest = min(staying or rejections, key=lambda rejection: rejection.retry_after_s)
         return latch.refuse(
             soonest.code,
-            f"refused by {len(refusals)} endpoints' keepers",
+            f"refused by {len(rejections)} endpoints' keepers",
             status=STATUS_BY_CODE.get(soonest.code, 503),
             retry_after_s=soonest.retry_after_s if staying else NO_ENDPOINT_RETRY_S,
         )
--- a/src/guavamast/slot_holds.py
+++ b/src/guavamast/slot_holds.py
@@ -1,4 +1,4 @@
-"""One ask for a slot, as the entry holds it from its asking to its release."""
+"""An ask for a slot as the entry tracks it, from its creation to its release."""
 
 from __future__ import annotations
 
@@ -14,7 +14,7 @@
 
 
 class AskRefused(Exception):
-    """The keeper ended an ask without a slot."""
+    """A rejection of an ask by its keeper."""
 
     def __init__(self, *, code: ErrorCode, retry_after_s: float) -> None:
         super().__init__(code)
@@ -23,7 +23,7 @@
 
 
 class HoldState(Enum):
-    """How an ask stands."""
+    """State of an ask."""
 
     WAITING = 1
     HELD = 2
@@ -31,7 +31,7 @@
 
 
 class SlotHold:
-    """One ask, from its asking to its release."""
+    """One ask, from its creation to its release."""
 
     __slots__ = (
         "addresses",
@@ -48,17 +48,17 @@
         self.ask = ask
         self.state = HoldState.WAITING
         self.addresses: list[str] = []
-        """Keepers that were told of it, the present one last."""
+        """Addresses of the keepers that have received the ask, the current one last."""
         self.granted: asyncio.Future[None] = asyncio.get_running_loop().create_future()
         self.held_since = 0.0
         self.tokens = 0
-        """Tokens received so far, told to a new keeper."""
+        """Tokens received so far, reported to a new keeper."""
         self.on_queued: Callable[[Queued], None] | None = None
-        """Called when the keeper lets the ask wait."""
+        """Called when the keeper queues the ask."""
         self.on_paused: Callable[[str], None] | None = None
-        """Called when the keeper wants the slot back."""
+        """Called when the keeper pauses the request to free its slot."""
 
     @property
     def address(self) -> str:
-        """The keeper that decides on it now; empty while there is none."""
+        """Address of the current keeper; empty while there is none."""
         return self.addresses[-1] if self.addresses else ""
--- a/src/guavamast/slot_links.py
+++ b/src/guavamast/slot_links.py
@@ -1,8 +1,8 @@
 """The entry's side of slots: one open stream to each keeper that it asks.
 
-An ask lives until its release. When the keeper of its endpoint changes, or its stream breaks, a
-waiting ask is asked again at the new keeper and a held slot is presented to it, so that a keeper's
-crash loses no queued request and cuts no running one.
+An ask lasts until its release. When the keeper of its endpoint changes or its stream breaks, a
+waiting ask is sent again to the new keeper and a held slot is presented to it, so that a keeper's
+crash loses no queued request and interrupts no running one.
 """
 
 from __future__ import annotations
@@ -31,8 +31,8 @@
     from guavamast.slots import Ask, Probe
 
 ANSWER_TIMEOUT_S: Final = 1.0
-"""Silence of a keeper that owes an answer after which it counts as unreachable. A keeper answers
-each ask at once and sends a probe twice a second to an entry with queued asks."""
+"""Silence after which a keeper with waiting asks counts as unreachable. A keeper answers each ask
+at once and sends a probe twice a second to an entry with queued asks."""
 RECONNECT_S: Final = 0.2
 RECONNECT_MAX_S: Final = 2.0
 NO_KEEPER_RETRY_S: Final = 0.1
@@ -41,14 +41,14 @@
 
 
 class SlotLinks:
-    """Asks keepers for slots and follows changes of keeper.
+    """Asks keepers for slots and moves the asks when a keeper changes.
 
     Args:
         entry: Name of this instance.
-        find_keeper: Gives the peer address of an endpoint's keeper, leaving out addresses that
+        find_keeper: Returns the peer address of an endpoint's keeper, leaving out addresses that
             can't be reached from here; None when there is none.
-        on_probe: Takes each probe that a keeper sends along.
-        on_allotment: Takes each share of an organisation's limits.
+        on_probe: Called with each probe that a keeper sends.
+        on_allotment: Called with each allotment, a share of an organisation's limits.
         clock: Monotonic time.
     """
 
@@ -75,14 +75,14 @@
         """Ask for a slot and wait for it.
 
         Args:
-            ask: The wish; its deadline bounds the wait.
-            on_queued: Called when the keeper lets the ask wait.
+            ask: The ask; its deadline bounds the wait.
+            on_queued: Called when the keeper queues the ask.
 
         Returns:
-            The held slot, to be given to `release` exactly once.
+            The held slot, to be passed to `release` exactly once.
 
         Raises:
-            AskRefused: The keeper refused or shed it.
+            AskRefused: The keeper rejected or shed it.
             TimeoutError: The deadline passed first.
         """
         hold = SlotHold(ask=ask)
@@ -98,7 +98,7 @@
         return hold
 
     def release(self, hold: SlotHold, release: Release) -> None:
-        """End a held slot; keepers that were told of it before learn it too."""
+        """Release a held slot at all keepers that have received its ask."""
         if hold.state is HoldState.ENDED:
             return
         hold.state = HoldState.ENDED
@@ -107,7 +107,7 @@
             self.send(address, encode_release(release))
 
     def reroute(self) -> None:
-        """Move each ask whose keeper has changed; call after a change of view or link."""
+        """Move each ask whose keeper has changed; call after the view or a link has changed."""
         for hold in list(self._holds.values()):
             self._route(hold)
         needed = {hold.address for hold in self._holds.values()}
@@ -121,11 +121,11 @@
         return frozenset(name for name, link in self._links.items() if not link.reachable)
 
     def count_holds(self) -> int:
-        """Return the asks that wait or hold a slot."""
+        """Return the number of asks that wait or hold a slot."""
         return len(self._holds)
 
     def count_held(self, endpoint: str) -> int:
-        """Return the slots that are held at one endpoint."""
+        """Return the number of slots held at one endpoint."""
         return sum(
             hold.state is HoldState.HELD and hold.ask.endpoint == endpoint
             for hold in self._holds.values()
@@ -138,14 +138,14 @@
         self._links.clear()
 
     def count_waiting(self, address: str) -> int:
-        """Return the waiting asks that a keeper owes an answer."""
+        """Return the number of asks that wait at a keeper."""
         return sum(
             hold.state is HoldState.WAITING and hold.address == address
             for hold in self._holds.values()
         )
 
-    def take(self, message: peer_pb2.KeeperMessage, *, address: str) -> None:
-        """Handle one message of a keeper."""
+    def receive(self, message: peer_pb2.KeeperMessage, *, address: str) -> None:
+        """Handle one message from a keeper."""
         kind = message.WhichOneof("body")
         if kind == "probe":
             self.on_probe(decode_probe(message.probe))
@@ -158,7 +158,7 @@
         body = getattr(message, kind)
         hold = self._holds.get(body.ask_id)
         if hold is None or hold.address != address:
-            self._give_back_stray(kind, body, address)
+            self._release_stray_grant(kind, body, address)
             return
         self._apply(hold, decode_event(message, hold.ask))
 
@@ -172,16 +172,16 @@
             hold.state = HoldState.ENDED
             self._holds.pop(hold.ask.ask_id, None)
             if not hold.granted.done():
-                refused = AskRefused(code=event.code, retry_after_s=event.retry_after_s)
-                hold.granted.set_exception(refused)
+                rejection = AskRefused(code=event.code, retry_after_s=event.retry_after_s)
+                hold.granted.set_exception(rejection)
         elif isinstance(event, Queued) and hold.on_queued is not None:
             hold.on_queued(event)
         elif isinstance(event, Paused) and hold.on_paused is not None:
             hold.on_paused(event.reason)
 
-    def _give_back_stray(self, kind: str, body: peer_pb2.GrantMessage, address: str) -> None:
-        # Failure: a keeper that was frozen grants an ask that has moved on, and the slot leaks
-        # there until it expires. Giving it back unused is enough: nothing was sent under it.
+    def _release_stray_grant(self, kind: str, body: peer_pb2.GrantMessage, address: str) -> None:
+        # Without this, a keeper that was frozen grants an ask that has moved to another keeper,
+        # and the slot leaks until it expires. Releasing it unused suffices: nothing was sent.
         if kind == "grant":
             release = Release(ask_id=body.ask_id, endpoint=body.endpoint, used=False)
             self.send(address, encode_release(release))
@@ -190,20 +190,20 @@
         address = self._find_keeper(hold.ask.endpoint, self.list_unreachable())
         if address is None:
             loop = asyncio.get_running_loop()
-            loop.call_later(NO_KEEPER_RETRY_S, self._route_again, hold)
+            loop.call_later(NO_KEEPER_RETRY_S, self._retry_route, hold)
             return
         if address == hold.address:
             return
         if hold.address and hold.state is HoldState.WAITING:
             self._send_withdraw(hold, hold.address)
         hold.addresses = [name for name in hold.addresses if name != address] + [address]
-        self._tell(hold)
+        self._send_hold(hold)
 
-    def _route_again(self, hold: SlotHold) -> None:
+    def _retry_route(self, hold: SlotHold) -> None:
         if hold.state is not HoldState.ENDED:
             self._route(hold)
 
-    def _tell(self, hold: SlotHold) -> None:
+    def _send_hold(self, hold: SlotHold) -> None:
         now = self.clock()
         ask = encode_ask(hold.ask, now=now)
         if hold.state is HoldState.WAITING:
@@ -214,11 +214,11 @@
             )
             self.send(hold.address, peer_pb2.EntryMessage(present=present))
 
-    def tell_all(self, address: str) -> None:
-        """Tell a keeper again of all asks that are its own; call when its link stands anew."""
+    def resend_holds(self, address: str) -> None:
+        """Send all asks of a keeper to it again; call when its link is restored."""
         for hold in self._holds.values():
             if hold.address == address:
-                self._tell(hold)
+                self._send_hold(hold)
 
     def _abandon(self, hold: SlotHold) -> None:
         if hold.state is HoldState.ENDED:
@@ -237,7 +237,7 @@
         self.send(address, peer_pb2.EntryMessage(withdraw=withdraw))
 
     def send(self, address: str, message: peer_pb2.EntryMessage) -> None:
-        """Send a message to a dispatcher; lost when its stream is."""
+        """Send a message to a keeper; it is lost when the stream is."""
         link = self._links.get(address)
         if link is None:
             link = self._links[address] = SlotLink(address=address, links=self)
@@ -245,21 +245,21 @@
 
 
 class SlotLink:
-    """The open stream to one keeper, opened again while it is wanted."""
+    """The stream to one keeper, reopened after each loss until it is closed."""
 
-    __slots__ = ("_address", "_heard_at", "_links", "_outbox", "_task", "reachable")
+    __slots__ = ("_address", "_received_at", "_links", "_outbox", "_task", "reachable")
 
     def __init__(self, *, address: str, links: SlotLinks) -> None:
         self._address = address
         self._links = links
         self._outbox: asyncio.Queue[peer_pb2.EntryMessage] = asyncio.Queue()
-        self._heard_at = 0.0
+        self._received_at = 0.0
         self.reachable = True
         """False from the loss of the stream until the keeper has answered on a new one."""
         self._task = asyncio.ensure_future(self._run())
 
     def send(self, message: peer_pb2.EntryMessage) -> None:
-        """Queue a message; dropped when the stream is lost, since asks are told again."""
+        """Queue a message; dropped while the stream is lost, since asks are sent again."""
         if self.reachable:
             self._outbox.put_nowait(message)
 
@@ -268,23 +268,23 @@
         self._task.cancel()
 
     async def _run(self) -> None:
-        pause = RECONNECT_S
+        delay = RECONNECT_S
         while True:
             try:
                 await self._serve()
             except LinkErrors as error:
                 get_logger().info("slot stream to %s lost: %r", self._address, error)
             except Exception:
-                # Failure: the library raises an error of another kind, this task ends, and every
-                # ask of the address waits to its deadline. Any end of a stream is a lost stream.
+                # Without this, an error of another kind in the library ends this task, and every
+                # ask at the address waits until its deadline. Any end counts as a lost stream.
                 get_logger().exception("slot stream to %s failed", self._address)
             if self.reachable:
-                pause = RECONNECT_S
+                delay = RECONNECT_S
                 self.reachable = False
                 self._outbox = asyncio.Queue()
                 self._links.reroute()
-            await asyncio.sleep(pause)
-            pause = min(RECONNECT_MAX_S, pause * 2)
+            await asyncio.sleep(delay)
+            delay = min(RECONNECT_MAX_S, delay * 2)
 
     async def _serve(self) -> None:
         host, port = self._address.rsplit(":", 1)
@@ -295,12 +295,12 @@
                 async with asyncio.timeout(ANSWER_TIMEOUT_S):
                     await stream.send_message(peer_pb2.EntryBatch(messages=[hello]))
                     await stream.recv_message()
-                self._note_heard()
+                self._record_received()
                 if not self.reachable:
-                    # Failure: the only keeper restarts, its asks still point at its address, and
-                    # nobody tells the new process of them. It hears all of its own again here.
+                    # Without this, when the only keeper restarts, the asks still routed to its
+                    # address are unknown to the new process. All of them are sent again here.
                     self.reachable = True
-                    self._links.tell_all(self._address)
+                    self._links.resend_holds(self._address)
                     self._links.reroute()
                 await self._exchange(stream)
         finally:
@@ -330,14 +330,14 @@
 
     async def _receive_batches(self, stream: object) -> None:
         while (batch := await stream.recv_message()) is not None:
-            self._note_heard()
+            self._record_received()
             for message in batch.messages:
-                self._links.take(message, address=self._address)
+                self._links.receive(message, address=self._address)
 
     async def _watch_silence(self) -> None:
-        # Failure: a frozen keeper keeps its connection, and the asks it owes an answer wait until
-        # their deadlines. Silence is judged only while asks wait there, and a healthy keeper
-        # speaks twice a second then.
+        # Without this, asks at a frozen keeper whose connection stays open wait until their
+        # deadlines. Silence is measured only while asks wait there, when a healthy keeper sends
+        # a probe twice a second.
         silent_since = None
         while True:
             await asyncio.sleep(ANSWER_TIMEOUT_S / 4)
@@ -345,9 +345,9 @@
             if not self._links.count_waiting(self._address):
                 silent_since = None
                 continue
-            silent_since = max(silent_since or now, self._heard_at)
+            silent_since = max(silent_since or now, self._received_at)
             if now - silent_since > ANSWER_TIMEOUT_S:
-                raise TimeoutError("the keeper owes an answer")
+                raise TimeoutError("keeper sent nothing while asks were waiting")
 
-    def _note_heard(self) -> None:
-        self._heard_at = self._links.clock()
+    def _record_received(self) -> None:
+        self._received_at = self._links.clock()
--- a/src/guavamast/slots.py
+++ b/src/guavamast/slots.py
@@ -16,7 +16,7 @@
 
 @dataclass(frozen=True, slots=True, kw_only=True)
 class Ask:
-    """A request's wish for one slot of one endpoint."""
+    """An entry's request for one slot of one endpoint."""
 
     ask_id: str
     """Unique for each request and candidate endpoint."""
@@ -37,14 +37,14 @@
 
 @dataclass(frozen=True, slots=True, kw_only=True)
 class Granted:
-    """The slot is the ask's until it is released."""
+    """The ask holds a slot until its release."""
 
     ask: Ask
 
 
 @dataclass(frozen=True, slots=True, kw_only=True)
 class Queued:
-    """The ask waits."""
+    """The ask waits in the keeper's queue."""
 
     ask: Ask
     estimated_wait_s: float
@@ -52,7 +52,7 @@
 
 @dataclass(frozen=True, slots=True, kw_only=True)
 class Refused:
-    """The ask has ended without a slot."""
+    """The ask was rejected and has ended without a slot."""
 
     ask: Ask
     code: ErrorCode
@@ -61,7 +61,7 @@
 
 @dataclass(frozen=True, slots=True, kw_only=True)
 class Paused:
-    """A running request must give its slot up; the entry may ask again and resume."""
+    """A running request must give up its slot; the entry may ask again and resume it."""
 
     ask: Ask
     reason: str
@@ -72,14 +72,14 @@
 
 @dataclass(frozen=True, slots=True, kw_only=True)
 class Release:
-    """The end of a grant, with what was learnt from the run."""
+    """The end of a grant, with the measurements of the run."""
 
     ask_id: str
     endpoint: str
     used: bool
-    """False when the grant is given back without a byte sent."""
+    """False when the grant is released before any byte was sent."""
     failed: bool = False
-    """The endpoint did not give a whole, right answer."""
+    """True when the endpoint did not give a complete, correct response."""
     tokens: int = 0
     first_token_s: float = 0.0
     duration_s: float = 0.0
@@ -87,26 +87,26 @@
 
 @dataclass(frozen=True, slots=True, kw_only=True)
 class Probe:
-    """What a keeper tells of its endpoint, for the choice among candidates."""
+    """The state of an endpoint as its keeper reports it, for the choice among candidates."""
 
     endpoint: str
     in_flight: int
     queued: int
     estimated_wait_s: float
     lowest_tier: int
-    """Greatest tier number that is queued or runs here; 0 when there is none."""
+    """Greatest tier number that is queued or running here; 0 when there is none."""
     weight: float = 1.0
-    """1 for a healthy endpoint; less for a straggler or one that failed lately."""
+    """1 for a healthy endpoint; less for a straggler or one that failed recently."""
     slots: int = 1
 
 
 @dataclass(frozen=True, slots=True, kw_only=True)
 class LoadReport:
-    """An endpoint's own, lagging word on its load."""
+    """The load that an endpoint reports about itself, with a delay."""
 
     endpoint: str
     as_of: float
     """Time of the measurement, converted to the receiver's clock."""
     running: int
     kv_free: float = 1.0
-    """Share of the KV cache's memory that is free, 0 to 1."""
+    """Free share of the KV cache, 0 to 1."""
--- a/tests/test_races_properties.py
+++ b/tests/test_races_properties.py
@@ -22,7 +22,7 @@
 
 
 def make_ask(number: int) -> Ask:
-    """Return the ask of a request's number at an endpoint."""
+    """Return the ask of a number, at the endpoint of the same number."""
     return Ask(
         ask_id=str(number),
         entry="i",
@@ -39,14 +39,14 @@
 
 
 class SlotRaceProperties(unittest.TestCase):
-    """No grant is used twice or forgotten, whatever crosses on the way."""
+    """No grant is used twice or leaked, whatever messages cross in transit."""
 
     @example(steps=CROSSED_GRANTS)
     @given(steps=STEPS)
     def test_one_grant_is_used_and_all_others_are_given_back(self, steps: list) -> None:
-        """The caller's request runs at two engines.
+        """Guards against a request that runs at two engines.
 
-        Two keepers grant at nearly the same time, the second while its withdrawal is on its way.
+        Two keepers grant at nearly the same time, the second while its withdrawal is in transit.
         """
         rules = RaceRules(racers=2, wait_s=0.05, ask_limit=4)
         race = SlotRace(rules=rules)
--- a/tests/test_slot_finder.py
+++ b/tests/test_slot_finder.py
@@ -1,4 +1,4 @@
-"""Tests of finding a slot over several keepers, with scripted answers."""
+"""Tests of finding a slot among several keepers, with scripted events."""
 
 from __future__ import annotations
 
@@ -20,17 +20,17 @@
 
 
 class ScriptedLinks:
-    """Keepers that grant, queue or refuse as told, by endpoint."""
+    """Keepers that grant, queue or reject asks as scripted, by endpoint."""
 
     def __init__(self, **script: str) -> None:
         self.script = script
         self.asked: list[str] = []
         self.withdrawn: list[str] = []
-        self.given_back: list[str] = []
+        self.released_unused: list[str] = []
         self.freed = asyncio.Event()
 
     async def acquire(self, ask: Ask, *, on_queued: Callable[[Queued], None]) -> SlotHold:
-        """Answer as scripted: ``grant``, ``refuse``, ``queue`` (until freed) or ``wait``."""
+        """Act as scripted: ``grant``, ``refuse``, ``leaving`` or ``queue`` (until freed)."""
         self.asked.append(ask.endpoint)
         answer = self.script[ask.endpoint]
         await asyncio.sleep(0)
@@ -48,16 +48,16 @@
         return SlotHold(ask=ask)
 
     def release(self, hold: SlotHold, release: Release) -> None:
-        """Note a grant that is given back."""
+        """Record a grant that is released unused."""
         if not release.used:
-            self.given_back.append(hold.ask.endpoint)
+            self.released_unused.append(hold.ask.endpoint)
 
 
 def make_finder(links: ScriptedLinks) -> SlotFinder:
-    """Return a finder that goes through the endpoints in the script's order."""
+    """Return a finder that tries the endpoints in the script's order."""
 
-    def choose(wanted: Wanted, *, now: float) -> list[str]:  # noqa: ARG001
-        return [name for name in links.script if name not in wanted.excluded][:2]
+    def choose(requirements: Wanted, *, now: float) -> list[str]:  # noqa: ARG001
+        return [name for name in links.script if name not in requirements.excluded][:2]
 
     state = SimpleNamespace(
         chooser=SimpleNamespace(choose=choose), instance=SimpleNamespace(name="i")
@@ -65,8 +65,8 @@
     return SlotFinder(state=state, links=links, clock=time.monotonic)
 
 
-def make_wish(timeout_s: float = 10.0) -> SlotWish:
-    """Return a wish of the top tier."""
+def make_requirements(timeout_s: float = 10.0) -> SlotWish:
+    """Return the requirements of a request of the top tier."""
     return SlotWish(
         organisation="o",
         class_name="c",
@@ -78,27 +78,27 @@
 
 
 class SlotFinderTest(unittest.IsolatedAsyncioTestCase):
-    """A request goes on from keeper to keeper and uses one grant."""
+    """A request asks one keeper after another and uses one grant."""
 
     async def test_full_keepers_are_passed_by(self) -> None:
         links = ScriptedLinks(a="refuse", b="refuse", c="grant")
-        hold = await make_finder(links).find(make_wish(), SendLatch())
+        hold = await make_finder(links).find(make_requirements(), SendLatch())
         self.assertEqual(hold.ask.endpoint, "c")
 
     async def test_queued_ask_is_raced_and_the_loser_withdrawn(self) -> None:
-        # The first keeper lets the request wait, the second has a slot. The caller gets that one
-        # at once, and the first keeper's queue keeps no ask that nobody wants.
+        # The first keeper queues the request, the second has a slot. The caller gets that slot at
+        # once, and no abandoned ask stays in the first keeper's queue.
         links = ScriptedLinks(a="queue", b="grant", c="grant")
-        hold = await make_finder(links).find(make_wish(), SendLatch())
+        hold = await make_finder(links).find(make_requirements(), SendLatch())
         await asyncio.sleep(0)
         self.assertEqual(hold.ask.endpoint, "b")
         self.assertEqual((links.asked, links.withdrawn), (["a", "b"], ["a"]))
 
     async def test_two_grants_at_once_leave_one(self) -> None:
-        # Both queues come free in the same turn of the loop. One grant is used, the other is given
-        # back unused, so that no slot leaks.
+        # Both keepers grant in the same iteration of the event loop. One grant is used, the other
+        # is released unused, so that no slot leaks.
         links = ScriptedLinks(a="queue", b="queue")
-        search = asyncio.ensure_future(make_finder(links).find(make_wish(), SendLatch()))
+        search = asyncio.ensure_future(make_finder(links).find(make_requirements(), SendLatch()))
         while len(links.asked) < 2:
             await asyncio.sleep(0)
         await asyncio.sleep(0.01)
@@ -106,31 +106,31 @@
         hold = await search
         await asyncio.sleep(0)
         other = "b" if hold.ask.endpoint == "a" else "a"
-        self.assertEqual(links.given_back + links.withdrawn, [other])
+        self.assertEqual(links.released_unused + links.withdrawn, [other])
 
     async def test_all_full_is_refused_as_not_run_with_a_time(self) -> None:
         links = ScriptedLinks(a="refuse", b="refuse")
         with self.assertRaises(Refusal) as caught:
-            await make_finder(links).find(make_wish(), SendLatch())
+            await make_finder(links).find(make_requirements(), SendLatch())
         self.assertIs(caught.exception.outcome, Outcome.NOT_RUN)
         self.assertEqual(caught.exception.retry_after_s, 3.0)
 
     async def test_time_to_come_back_is_that_of_endpoints_that_stay(self) -> None:
-        # One endpoint leaves, the other is full for 3 s. Told to come back at once, callers would
-        # ask for nothing again and again.
+        # One endpoint leaves, the other is full for 3 s. With the delay of the leaving one, 0 s,
+        # callers would retry in vain again and again.
         for script, expected in (({"a": "leaving", "b": "refuse"}, 3.0), ({"a": "leaving"}, 2.0)):
             with self.assertRaises(Refusal) as caught:
-                await make_finder(ScriptedLinks(**script)).find(make_wish(), SendLatch())
+                await make_finder(ScriptedLinks(**script)).find(make_requirements(), SendLatch())
             self.assertEqual(caught.exception.retry_after_s, expected)
 
     async def test_no_endpoint_is_refused_at_once(self) -> None:
         with self.assertRaises(Refusal) as caught:
-            await make_finder(ScriptedLinks()).find(make_wish(), SendLatch())
+            await make_finder(ScriptedLinks()).find(make_requirements(), SendLatch())
         self.assertIs(caught.exception.code, ErrorCode.NO_ENDPOINT)
 
     async def test_caller_that_goes_leaves_no_ask(self) -> None:
         links = ScriptedLinks(a="queue", b="queue")
-        search = asyncio.ensure_future(make_finder(links).find(make_wish(), SendLatch()))
+        search = asyncio.ensure_future(make_finder(links).find(make_requirements(), SendLatch()))
         await asyncio.sleep(0.01)
         search.cancel()
         await asyncio.gather(search, return_exceptions=True)
--- a/tests/test_slot_links.py
+++ b/tests/test_slot_links.py
@@ -40,7 +40,7 @@
 
 
 class Keeper:
-    """A dispatcher's slot service alone."""
+    """The slot service of a dispatcher, without its other parts."""
 
     def __init__(self, *, configured: bool = True) -> None:
         self.host = KeeperHost(clock=time.monotonic, metrics=NoMetrics())
@@ -71,7 +71,7 @@
 
 
 class FrozenService(PeerBase):
-    """Answers the hello and nothing after it, like a process that was paused."""
+    """Answers the hello and nothing after it, like a suspended process."""
 
     async def Slots(self, stream: Stream) -> None:  # noqa: N802
         await stream.recv_message()
@@ -89,7 +89,7 @@
 
 
 def make_ask(number: int) -> Ask:
-    """Return an ask with a minute to its deadline."""
+    """Return an ask whose deadline is in a minute."""
     return Ask(
         ask_id=f"ask-{number}",
         entry="entry",
@@ -113,7 +113,7 @@
         for keeper in (self.first, self.second):
             await keeper.start()
             self.addAsyncCleanup(keeper.stop)
-        self.order = [self.first.address, self.second.address]
+        self.addresses = [self.first.address, self.second.address]
         self.links = SlotLinks(
             entry="entry",
             find_keeper=self.find_keeper,
@@ -123,7 +123,7 @@
         self.addAsyncCleanup(self.links.close)
 
     def find_keeper(self, _: str, unreachable: frozenset[str]) -> str | None:
-        return next((item for item in self.order if item not in unreachable), None)
+        return next((item for item in self.addresses if item not in unreachable), None)
 
     async def test_grant_queue_and_release(self) -> None:
         held = await self.links.acquire(make_ask(1))
@@ -140,9 +140,9 @@
             await self.links.acquire(ask)
 
     async def test_keeper_crash_loses_no_ask_and_no_slot(self) -> None:
-        # The caller of a queued request sees nothing but a longer wait. Its keeper dies while one
-        # request runs and one waits; both are told to the next keeper, which counts the running
-        # one in and grants the waiting one only after its release.
+        # The keeper crashes while one request runs and one waits. Both are sent to the next
+        # keeper, which counts the running one and grants the waiting one only after its release,
+        # so the caller of the queued request only waits longer.
         held = await self.links.acquire(make_ask(1))
         queued = asyncio.ensure_future(self.links.acquire(make_ask(2)))
         await wait_until(lambda: self.first.count_in_flight() == 1)
@@ -153,27 +153,27 @@
         self.assertEqual((await queued).address, self.second.address)
 
     async def test_only_keeper_that_comes_back_is_asked_again(self) -> None:
-        # The caller waits a moment longer. The only keeper there is dies with an ask in its queue
-        # and starts again at its address, knowing nothing; the entry tells it all of its asks.
-        self.order = [self.first.address]
+        # The only keeper crashes with an ask in its queue and restarts at its address without
+        # state. The entry sends it all asks again, so the caller only waits longer.
+        self.addresses = [self.first.address]
         held = await self.links.acquire(make_ask(1))
         queued = asyncio.ensure_future(self.links.acquire(make_ask(2)))
         await wait_until(lambda: self.first.count_in_flight() == 1)
         await self.first.stop()
-        again = Keeper()
-        await again.start(int(self.first.address.rpartition(":")[2]))
-        self.addAsyncCleanup(again.stop)
-        await wait_until(lambda: again.count_in_flight() == 1)
+        restarted = Keeper()
+        await restarted.start(int(self.first.address.rpartition(":")[2]))
+        self.addAsyncCleanup(restarted.stop)
+        await wait_until(lambda: restarted.count_in_flight() == 1)
         self.links.release(held, Release(ask_id="ask-1", endpoint="e", used=True))
         self.assertIs((await asyncio.wait_for(queued, 15)).state, HoldState.HELD)
 
     async def test_change_of_view_moves_asks(self) -> None:
-        # Nobody dies, but the view names another keeper. The waiting ask is withdrawn at the old
-        # one and granted at the new one; the held slot is presented there.
+        # No keeper crashes, but the view names another one. The waiting ask is withdrawn at the
+        # old keeper and granted at the new one; the held slot is presented there.
         held = await self.links.acquire(make_ask(1))
         queued = asyncio.ensure_future(self.links.acquire(make_ask(2)))
         await wait_until(lambda: self.first.count_in_flight() == 1)
-        self.order.reverse()
+        self.addresses.reverse()
         self.links.reroute()
         await wait_until(lambda: self.second.count_in_flight() == 1)
         self.links.release(held, Release(ask_id="ask-1", endpoint="e", used=True))
@@ -181,23 +181,23 @@
         await wait_until(lambda: self.first.count_in_flight() == 0)
 
     async def test_frozen_keeper_is_left(self) -> None:
-        # The keeper's process is frozen: its connection stands and nothing is answered. The ask
-        # moves on after the answer timeout instead of waiting until its deadline.
+        # The keeper's process is frozen: its connection stays open and nothing is answered. The
+        # ask moves to another keeper after the timeout instead of waiting until its deadline.
         frozen = Server([FrozenService()])
         await frozen.start("127.0.0.1", 0)
         port = frozen._server.sockets[0].getsockname()[1]
         self.addCleanup(frozen.close)
-        self.order.insert(0, f"127.0.0.1:{port}")
+        self.addresses.insert(0, f"127.0.0.1:{port}")
         held = await self.links.acquire(make_ask(1))
         self.assertEqual(held.address, self.first.address)
 
     async def test_keeper_without_configuration_is_passed_over(self) -> None:
-        # The caller is served by the next keeper. A dispatcher that has just started knows no
-        # endpoint yet; it answers no hello, so the entry doesn't take its word for a refusal.
-        fresh = Keeper(configured=False)
-        await fresh.start()
-        self.addAsyncCleanup(fresh.stop)
-        self.order.insert(0, fresh.address)
+        # A dispatcher that has just started knows no endpoint yet and would reject the ask. It
+        # answers no hello until it is configured, so the entry uses the next keeper.
+        unconfigured = Keeper(configured=False)
+        await unconfigured.start()
+        self.addAsyncCleanup(unconfigured.stop)
+        self.addresses.insert(0, unconfigured.address)
         held = await self.links.acquire(make_ask(1))
         self.assertEqual(held.address, self.first.address)
 
