--- a/src/guavamast/rendezvous.py
+++ b/src/guavamast/rendezvous.py
@@ -18,10 +18,10 @@
 
 @lru_cache(maxsize=1024)
 def recall_weight(key: str, candidate: str) -> int:
-    """Return the weight of a candidate, remembered: for few names that are asked for often."""
+    """Return the weight of a candidate from a cache, for few names that are looked up often."""
     return compute_weight(key, candidate)
 
 
 def rank(key: str, candidates: Iterable[str]) -> list[str]:
-    """Return the candidates, the one of highest weight for the key first."""
+    """Return the candidates in descending order of their weight for a key."""
     return sorted(candidates, key=lambda name: (compute_weight(key, name), name), reverse=True)
--- a/tests/test_placement.py
+++ b/tests/test_placement.py
@@ -74,12 +74,12 @@
 
 
 class EndpointChooserTest(unittest.TestCase):
-    """What is chosen, and what never is."""
+    """Which endpoints are chosen, and which never are."""
 
-    def count_first(self, chooser: EndpointChooser, wanted: Wanted, *, now: float) -> dict:
+    def count_first(self, chooser: EndpointChooser, requirements: Wanted, *, now: float) -> dict:
         counts: dict[str, int] = {}
         for _ in range(200):
-            first = chooser.choose(wanted, now=now)[0]
+            first = chooser.choose(requirements, now=now)[0]
             counts[first] = counts.get(first, 0) + 1
         return counts
 
@@ -91,21 +91,23 @@
         chooser = make_chooser(
             make_engine("a"), make_engine("b"), make_engine("c", leaving=True), make_engine("d")
         )
-        wanted = Wanted(tier=1, model="m", excluded=frozenset({"b"}), count=4, prefix_key="p")
+        requirements = Wanted(tier=1, model="m", excluded=frozenset({"b"}), count=4, prefix_key="p")
         for step in range(100):
-            self.assertEqual(set(chooser.choose(wanted, now=step / 10)), {"a", "d"})
+            self.assertEqual(set(chooser.choose(requirements, now=step / 10)), {"a", "d"})
 
     def test_prefix_keeps_its_home_until_the_home_is_loaded(self) -> None:
         engines = [make_engine(f"e{number}") for number in range(6)]
         chooser = make_chooser(*engines)
-        wanted = Wanted(tier=1, model="m", prefix_key="dossier", prompt_tokens=2000)
+        requirements = Wanted(tier=1, model="m", prefix_key="dossier", prompt_tokens=2000)
         for engine in engines:
             chooser.record_probe(make_probe(engine.name), now=0.0)
-        home = chooser.choose(wanted, now=0.0)[0]
-        chooser.record_probe(make_probe(home), now=0.0)
-        self.assertEqual(chooser.choose(wanted, now=0.0)[0], home)
-        chooser.record_probe(make_probe(home, in_flight=4, queued=8, estimated_wait_s=5), now=0.0)
-        self.assertNotEqual(chooser.choose(wanted, now=0.0)[0], home)
+        affinity = chooser.choose(requirements, now=0.0)[0]
+        chooser.record_probe(make_probe(affinity), now=0.0)
+        self.assertEqual(chooser.choose(requirements, now=0.0)[0], affinity)
+        chooser.record_probe(
+            make_probe(affinity, in_flight=4, queued=8, estimated_wait_s=5), now=0.0
+        )
+        self.assertNotEqual(chooser.choose(requirements, now=0.0)[0], affinity)
 
     def test_own_region_goes_before_a_far_one(self) -> None:
         chooser = make_chooser(
@@ -117,29 +119,29 @@
         self.assertNotIn("c", first)
 
     def test_crashed_endpoint_is_left_at_once_and_gets_one_trial(self) -> None:
-        """The caller sees slow answers, though a third of the endpoints could serve it.
+        """Guards against slow responses while a third of the endpoints could serve the caller.
 
         A crashed endpoint refuses connections at once, so its keeper sees free slots and its probe
-        looks best. The entry must leave it at the first failure, and when the pause is over one
-        request, not all of them, may find out whether it is back.
+        looks best. The entry must avoid it from the first failure, and after the delay only one
+        request, not all of them, may test whether it has recovered.
         """
         chooser = make_chooser(make_engine("a"), make_engine("b"))
         chooser.record_outcome("a", succeeded=False, now=0.0)
         chooser.record_probe(make_probe("a"), now=0.0)
         chooser.record_probe(make_probe("b", in_flight=4, estimated_wait_s=3.0), now=0.0)
-        wanted = Wanted(tier=1, model="m", count=1)
-        self.assertEqual(self.count_first(chooser, wanted, now=0.1), {"b": 200})
+        requirements = Wanted(tier=1, model="m", count=1)
+        self.assertEqual(self.count_first(chooser, requirements, now=0.1), {"b": 200})
         chooser.record_probe(make_probe("a"), now=1.0)
         chooser.record_probe(make_probe("b", in_flight=4, estimated_wait_s=3.0), now=1.0)
-        self.assertEqual(self.count_first(chooser, wanted, now=1.0)["a"], 1)
+        self.assertEqual(self.count_first(chooser, requirements, now=1.0)["a"], 1)
         chooser.record_outcome("a", succeeded=True, now=1.5)
-        self.assertGreater(self.count_first(chooser, wanted, now=1.5)["a"], 1)
+        self.assertGreater(self.count_first(chooser, requirements, now=1.5)["a"], 1)
 
     def test_call_that_may_not_be_repeated_makes_no_trial(self) -> None:
         chooser = make_chooser(make_engine("a"), make_engine("b"))
         chooser.record_outcome("a", succeeded=False, now=0.0)
-        wanted = Wanted(tier=1, model="m", count=1, idempotent=False)
-        self.assertEqual(self.count_first(chooser, wanted, now=100.0), {"b": 200})
+        requirements = Wanted(tier=1, model="m", count=1, idempotent=False)
+        self.assertEqual(self.count_first(chooser, requirements, now=100.0), {"b": 200})
 
     def test_last_endpoint_is_chosen_although_it_failed(self) -> None:
         chooser = make_chooser(make_engine("a"))
@@ -160,7 +162,7 @@
         chooser = make_chooser(make_engine("a"), make_engine("b"))
         chooser.record_probe(make_probe("a", estimated_wait_s=60.0, in_flight=4), now=0.0)
         chooser.record_probe(make_probe("b"), now=0.0)
-        wanted = Wanted(tier=1, model="m", count=1)
-        self.assertNotIn("a", self.count_first(chooser, wanted, now=0.1))
+        requirements = Wanted(tier=1, model="m", count=1)
+        self.assertNotIn("a", self.count_first(chooser, requirements, now=0.1))
         later = PROBE_LIFETIME_S + 0.1
-        self.assertGreater(self.count_first(chooser, wanted, now=later).get("a", 0), 0)
+        self.assertGreater(self.count_first(chooser, requirements, now=later).get("a", 0), 0)
--- a/tests/test_placement_properties.py
+++ b/tests/test_placement_properties.py
@@ -1,4 +1,4 @@
-"""Properties of the choice of endpoints over any history."""
+"""Properties of the choice of endpoints after any history of events."""
 
 from __future__ import annotations
 
@@ -25,16 +25,16 @@
 
 
 class EndpointChooserProperties(unittest.TestCase):
-    """What holds whatever probes, failures and configurations come in which order."""
+    """Invariants under any order of probes, failures and configurations."""
 
     @given(steps=STEPS, seed=st.integers(0, 999), count=st.integers(1, 4))
     def test_only_active_endpoints_are_chosen_and_none_is_missed(
         self, steps: list, seed: int, count: int
     ) -> None:
-        """A drained endpoint gets new work, or a caller is refused though an endpoint is free.
+        """Guards against new work for a drained endpoint and rejections while one is free.
 
-        Old probes and outcomes of a leaving endpoint still come in, and endpoints that failed
-        or are excluded leave few to choose from.
+        Old probes and outcomes of a leaving endpoint still arrive, and endpoints that failed or
+        are excluded leave few to choose from.
         """
         chooser = make_chooser(*(make_engine(name) for name in NAMES), seed=seed)
         leaving: set[str] = set()
@@ -50,8 +50,10 @@
                 engines = {each: make_engine(each, leaving=each in leaving) for each in NAMES}
                 chooser.configure(Configuration(version=2, endpoints=engines), make_view())
             else:
-                wanted = Wanted(tier=1, model="m", prefix_key=name, excluded=excluded, count=count)
-                chosen = chooser.choose(wanted, now=now)
+                requirements = Wanted(
+                    tier=1, model="m", prefix_key=name, excluded=excluded, count=count
+                )
+                chosen = chooser.choose(requirements, now=now)
                 left = set(NAMES) - leaving - excluded
                 self.assertLessEqual(set(chosen), left)
                 self.assertEqual(len(set(chosen)), len(chosen))
@@ -67,23 +69,23 @@
             chooser.record_probe(make_probe("a"), now=now)
             chooser.record_probe(make_probe("b", in_flight=4, estimated_wait_s=9.0), now=now)
             chooser.record_outcome("a", succeeded=False, now=now)
-            wanted = Wanted(tier=1, model="m", prefix_key=name, count=1)
-            self.assertEqual(chooser.choose(wanted, now=now + 0.2), ["b"])
+            requirements = Wanted(tier=1, model="m", prefix_key=name, count=1)
+            self.assertEqual(chooser.choose(requirements, now=now + 0.2), ["b"])
 
 
 class PrefixRingProperties(unittest.TestCase):
-    """Prefixes keep their home when other endpoints come and go."""
+    """Prefixes keep their affinity endpoint when other endpoints are added or removed."""
 
     @given(key=st.text(max_size=5), names=st.frozensets(st.sampled_from(NAMES), min_size=2))
     def test_home_moves_only_with_its_own_endpoint(self, key: str, names: frozenset) -> None:
-        home, second = PrefixRing(names).find(key, 2)
-        for gone in names - {home}:
-            self.assertEqual(PrefixRing(names - {gone}).find(key, 1), [home])
-        self.assertEqual(PrefixRing(names - {home}).find(key, 1), [second])
+        first, second = PrefixRing(names).select(key, 2)
+        for removed in names - {first}:
+            self.assertEqual(PrefixRing(names - {removed}).select(key, 1), [first])
+        self.assertEqual(PrefixRing(names - {first}).select(key, 1), [second])
 
     def test_shares_are_near_even(self) -> None:
         names = [f"e{number}" for number in range(10)]
         ring = PrefixRing(names)
-        homes = [ring.find(f"prefix-{number}", 1)[0] for number in range(5000)]
+        selected = [ring.select(f"prefix-{number}", 1)[0] for number in range(5000)]
         for name in names:
-            self.assertTrue(200 <= homes.count(name) <= 900, homes.count(name))
+            self.assertTrue(200 <= selected.count(name) <= 900, selected.count(name))
