--- a/src/guavamast/addresses.py
+++ b/src/guavamast/addresses.py
@@ -1,8 +1,8 @@
-"""Which instances callers are told to connect to.
+"""Choice of the instances that callers connect to.
 
-All callers keep an answer for a while and loads arrive late, so an answer that names the least
-loaded instance sends everybody there. Answers are spread evenly instead: successive ones walk
-through the instances by a low-discrepancy sequence, and the load only bends the shares.
+All callers cache a response for a while and loads arrive late, so responses that name the least
+loaded instance would send every caller there. Responses are spread evenly instead: successive ones
+step through the instances by a low-discrepancy sequence, and the load only adjusts the shares.
 """
 
 from __future__ import annotations
@@ -20,21 +20,21 @@
 GOLDEN_RATIO: Final = 0.6180339887498949
 """Step of the sequence; its multiples modulo 1 leave no large gap at any length."""
 ADDRESS_COUNT: Final = 4
-"""Addresses in an answer: one to use and others to fall back to."""
+"""Addresses in a response: one to use and others to fall back to."""
 LOAD_EXPONENT: Final = 1.0
 """How strongly an instance's share falls with its load; ``docs/design/membership.md``."""
-SHORTEST_VALIDITY: Final = 0.7
-"""Share of the longest validity that an answer has at least, so that callers ask at odd times."""
+MIN_VALIDITY_SHARE: Final = 0.7
+"""Minimum share of the longest validity; it varies, so that callers query at different times."""
 
 
 @dataclass(frozen=True, slots=True, kw_only=True)
 class AddressAnswer:
-    """What a caller is told."""
+    """The instances that a caller may connect to."""
 
     members: tuple[Member, ...]
-    """The instances, the one to use first."""
+    """The instances, the preferred one first."""
     valid_for_s: float
-    """Time for which the caller may keep the answer."""
+    """Time for which the caller may cache the response."""
 
 
 def choose_addresses(
@@ -44,37 +44,37 @@
     seed: int,
     validity_s: float,
 ) -> AddressAnswer:
-    """Choose the instances that one caller is told.
+    """Choose the instances to return to one caller.
 
     Args:
-        view: The members as the answering instance sees them.
-        caller_hint: Failure domain or region of the caller; where the caller gives none, that of
-            the answering instance, which the caller found.
-        seed: A number that the answering instance raises by one with each answer and starts at
-            random.
-        validity_s: Longest time for which an answer may be kept. A leaving instance goes on
-            accepting for that time, so an answer never outlives it.
+        view: The members as the responding instance sees them.
+        caller_hint: Failure domain or region of the caller; if the caller gives none, that of the
+            responding instance, which the caller has reached.
+        seed: A counter that the responding instance starts at random and raises by one with each
+            response.
+        validity_s: Longest time for which a response may be cached. A leaving instance accepts
+            requests for that time, so a response never outlives it.
 
     Returns:
-        Live instances, those of the caller's region first; leaving ones never. Suspected ones
-        only where nothing else is left.
+        Live instances, those of the caller's region first; never leaving ones. Suspected ones
+        only when there are no others.
     """
     serving = view.list_serving()
     live = [member for member in serving if member.state == MemberState.LIVE] or list(serving)
     region = _find_region(view.members, caller_hint)
     near = [member for member in live if member.instance.failure_domain.region == region]
-    chosen = _pick(near or live, seed, ADDRESS_COUNT)
+    chosen = _select(near or live, seed, ADDRESS_COUNT)
     chosen = _add_other_domain(chosen, live, seed)
     spread = (seed * GOLDEN_RATIO) % 1.0
-    share = SHORTEST_VALIDITY + (1.0 - SHORTEST_VALIDITY) * spread
+    share = MIN_VALIDITY_SHARE + (1.0 - MIN_VALIDITY_SHARE) * spread
     return AddressAnswer(members=tuple(chosen), valid_for_s=validity_s * share)
 
 
 def compute_weights(members: Sequence[Member]) -> list[float]:
-    """Return each member's share of the answers before normalising; 1 at the mean load.
+    """Return each member's share of the responses before normalising; 1 at the mean load.
 
-    The loads may be older than a request lasts. The weight is therefore smooth and bounded, so
-    that one report moves an instance's share by a part of it only.
+    The loads may be older than the duration of a request. The weight is therefore smooth and
+    bounded, so that one report changes only part of an instance's share.
     """
     mean = sum(member.load for member in members) / max(len(members), 1)
     if mean <= 0.0:
@@ -82,13 +82,13 @@
     return [(2.0 / (1.0 + member.load / mean)) ** LOAD_EXPONENT for member in members]
 
 
-def _pick(members: Sequence[Member], seed: int, count: int) -> list[Member]:
-    left = sorted(members, key=lambda member: member.instance.name)
+def _select(members: Sequence[Member], seed: int, count: int) -> list[Member]:
+    remaining = sorted(members, key=lambda member: member.instance.name)
     chosen: list[Member] = []
     step = seed
-    while left and len(chosen) < count:
-        index = _find_index(compute_weights(left), (step * GOLDEN_RATIO) % 1.0)
-        chosen.append(left.pop(index))
+    while remaining and len(chosen) < count:
+        index = _find_index(compute_weights(remaining), (step * GOLDEN_RATIO) % 1.0)
+        chosen.append(remaining.pop(index))
         step += 1
     return chosen
 
@@ -103,12 +103,12 @@
 
 
 def _add_other_domain(chosen: list[Member], live: Sequence[Member], seed: int) -> list[Member]:
-    """Have the last address in another failure domain, so that losing one leaves an address."""
+    """Put an address of another failure domain last, so that losing a domain leaves one."""
     domains = {member.instance.failure_domain.name for member in chosen}
     if len(domains) != 1:
         return chosen
     others = [m for m in live if m.instance.failure_domain.name not in domains]
-    return [*chosen[: ADDRESS_COUNT - 1], *_pick(others, seed, 1)]
+    return [*chosen[: ADDRESS_COUNT - 1], *_select(others, seed, 1)]
 
 
 def _find_region(members: Sequence[Member], hint: str) -> str:
--- a/src/guavamast/capacity.py
+++ b/src/guavamast/capacity.py
@@ -1,4 +1,4 @@
-"""Which endpoints the kinds of request, and so the classes, can use."""
+"""Endpoints that each kind of request, and so each service class, can use."""
 
 from __future__ import annotations
 
@@ -13,13 +13,13 @@
 
 @dataclass(frozen=True, slots=True, kw_only=True)
 class ClassCapacity:
-    """The endpoints that a class's requests may run at; several classes share them."""
+    """The endpoints that a class's requests may run at; classes may share endpoints."""
 
     name: str
     endpoints: frozenset[str]
-    """All of them, those that are leaving included."""
+    """All of them, including those that are leaving."""
     active: frozenset[str]
-    """Those that take new work."""
+    """Those that accept new requests."""
     slots: int
     """Slots of the active ones."""
 
@@ -29,7 +29,7 @@
 
     A kind that is the name of a ``[call]`` runs at the services that have this call; any other
     kind is a kind of chat and runs at the engines. In a fleet without engines such a kind can
-    only be that of a call without a ``[call]`` section, which runs at the services.
+    only belong to a call without a ``[call]`` section, which runs at the services.
 
     Args:
         configuration: The fleet.
@@ -47,7 +47,7 @@
 
 
 def list_kinds(configuration: Configuration, class_name: str) -> list[str]:
-    """Return the kinds of request that any organisation puts into a class."""
+    """Return the kinds of request that any organisation assigns to a class."""
     kinds = {
         kind
         for organisation in configuration.organisations.values()
@@ -64,7 +64,7 @@
         configuration: The fleet.
 
     Returns:
-        Capacities by class; a class that nobody uses has none.
+        Capacities by class; an unused class has none.
     """
     kinds: dict[str, set[str]] = {}
     for organisation in configuration.organisations.values():
@@ -72,12 +72,12 @@
             kinds.setdefault(class_name, set()).add(kind)
     pools = {kind: find_pool(configuration, kind) for used in kinds.values() for kind in used}
     return {
-        name: _sum_up(name, [endpoint for kind in sorted(used) for endpoint in pools[kind]])
+        name: _build_capacity(name, [endpoint for kind in sorted(used) for endpoint in pools[kind]])
         for name, used in kinds.items()
     }
 
 
-def _sum_up(name: str, pool: list[Endpoint]) -> ClassCapacity:
+def _build_capacity(name: str, pool: list[Endpoint]) -> ClassCapacity:
     endpoints = {endpoint.name: endpoint for endpoint in pool}
     active = {
         endpoint.name: endpoint.slots
--- a/src/guavamast/load_poller.py
+++ b/src/guavamast/load_poller.py
@@ -1,4 +1,4 @@
-"""Reads the load reports of the engines that a dispatcher keeps."""
+"""Polling of the load reports of the engines that a dispatcher keeps."""
 
 from __future__ import annotations
 
@@ -27,8 +27,8 @@
     """Polls ``GET /load`` of each kept engine once an interval.
 
     Args:
-        host: Holds the keepers.
-        get_configuration: Gives the configuration in force.
+        host: The host of the keepers.
+        get_configuration: Returns the current configuration.
         clock: Monotonic time.
     """
 
@@ -42,7 +42,7 @@
         self._host = host
         self._get_configuration = get_configuration
         self._clock = clock
-        self._extra: set[asyncio.Task[None]] = set()
+        self._extra_polls: set[asyncio.Task[None]] = set()
         self._client = SimpleAsyncHTTPClient(force_instance=True, max_clients=1000)
 
     async def run(self) -> None:
@@ -55,26 +55,26 @@
             await asyncio.sleep(POLL_INTERVAL_S)
 
     def poll_soon(self, name: str) -> None:
-        """Ask one engine now, out of turn; a failure to is left to the next turn."""
+        """Poll one engine now; after a failure, the next regular poll tries again."""
         endpoint = self._get_configuration().endpoints.get(name)
         if endpoint is not None and endpoint.kind is EndpointKind.ENGINE:
             task = asyncio.ensure_future(self._poll(endpoint))
-            self._extra.add(task)
-            task.add_done_callback(self._extra.discard)
+            self._extra_polls.add(task)
+            task.add_done_callback(self._extra_polls.discard)
 
     async def _poll(self, endpoint: Endpoint) -> None:
         try:
             response = await self._client.fetch(
                 f"{endpoint.url}/load", request_timeout=TIMEOUT_S, follow_redirects=False
             )
-            report = self._read(endpoint.name, response.body)
+            report = self._parse_report(endpoint.name, response.body)
         except Exception as error:
-            # Whatever an endpoint answers or fails with, it means no report this time.
-            get_logger().debug("no load report of %s: %r", endpoint.name, error)
+            # Any error or malformed response only means that there is no report this time.
+            get_logger().debug("no load report from %s: %r", endpoint.name, error)
             return
         self._host.record_load(report)
 
-    def _read(self, endpoint: str, body: bytes) -> LoadReport:
+    def _parse_report(self, endpoint: str, body: bytes) -> LoadReport:
         value = json.loads(body)
         age = max(0.0, time.time() - float(value["as_of"]))
         return LoadReport(
--- a/src/guavamast/rollouts.py
+++ b/src/guavamast/rollouts.py
@@ -1,7 +1,8 @@
-"""Which endpoints may be taken out of use at the same time to load models.
+"""Limits on the endpoints that are out of use at the same time to load models.
 
-Each endpoint's keeper gives its orders. How many are out at once is agreed in one row of the
-platform's table that names them: a keeper adds its endpoint only while the limits below hold.
+Each endpoint's keeper sends its orders. The keepers coordinate through one row of the
+platform's table that lists the endpoints out of use: a keeper adds its endpoint only while the
+limits below hold.
 """
 
 from __future__ import annotations
@@ -20,29 +21,29 @@
 
 @dataclass(frozen=True, slots=True, kw_only=True)
 class RolloutLimits:
-    """How fast a rollout may go."""
+    """Limits on the speed of a rollout."""
 
     loading: int = 2
-    """Endpoints that load at the same time: the weight store is rate-limited."""
+    """Endpoints that may load at the same time: the weight store is rate-limited."""
     floor: float = 0.6
-    """Share of the slots of each class, and of each model, that stays in use."""
+    """Minimum share of the slots of each class, and of each model, that stays in use."""
 
 
 DEFAULT_LIMITS: Final = RolloutLimits()
 
 
 def find_wanted(configuration: Configuration, endpoint: Endpoint) -> dict[str, str]:
-    """Return the version of each model that an endpoint is to run; none unless it is active."""
+    """Return the target version of each model of an engine; none unless it is active."""
     if endpoint.kind is not EndpointKind.ENGINE or endpoint.state is not EndpointState.ACTIVE:
         return {}
     return {name: configuration.models[name].version for name in sorted(endpoint.models)}
 
 
 def find_missing(wanted: Mapping[str, str], reported: Mapping[str, str]) -> dict[str, str]:
-    """Return the models that have to be loaded, by name.
+    """Return the target versions of the models to load, by name of the model.
 
-    A model that an endpoint runs and need not is left there: requests are not sent to it, and
-    dropping it would be one more order that can go wrong.
+    A model that an endpoint runs but does not need stays loaded: requests are not sent to it,
+    and unloading it would be one more order that can fail.
     """
     return {name: version for name, version in wanted.items() if reported.get(name) != version}
 
@@ -57,25 +58,26 @@
     """Return whether one more endpoint may be out of use.
 
     Args:
-        configuration: The configuration in force; a new one changes the answer at once, which
-            stops a rollout half-way.
+        configuration: The current configuration; a new one changes the result at once, which stops
+            a rollout halfway.
         endpoint: The one to take out.
-        out: Endpoints that are out already, for a load or because they fail.
-        limits: How fast the rollout may go.
+        out: Endpoints that are already out of use, to load a model or because they fail.
+        limits: The limits on the speed of the rollout.
 
     Returns:
-        Whether the number of loads and the floor of each class and model allow it. A group whose
-        endpoints are all in use may always give one, as a group of one could else never load.
+        Whether the limit on loads and the minimum share of each class and model allow it. A group
+        whose endpoints are all in use always allows one, as a group of one could otherwise never
+        load.
     """
     others = {name for name in out if name != endpoint.name and name in configuration.endpoints}
     if len(others) >= limits.loading:
         return False
     groups = [group for group in _list_groups(configuration) if endpoint.name in group]
-    return all(_keeps_floor(group, others, endpoint.name, limits) for group in groups)
+    return all(_keeps_enough_slots(group, others, endpoint.name, limits) for group in groups)
 
 
 def _list_groups(configuration: Configuration) -> list[dict[str, int]]:
-    """Return the slots by active endpoint of each class and of each model."""
+    """Return, for each class and each model, the slots by active endpoint."""
     groups = []
     for name in configuration.classes:
         kinds = list_kinds(configuration, name)
@@ -89,10 +91,10 @@
     ]
 
 
-def _keeps_floor(
+def _keeps_enough_slots(
     group: Mapping[str, int], out: set[str], candidate: str, limits: RolloutLimits
 ) -> bool:
     if not out & set(group):
         return True
-    left = sum(slots for name, slots in group.items() if name not in out and name != candidate)
-    return left >= limits.floor * sum(group.values())
+    remaining = sum(slots for name, slots in group.items() if name not in out and name != candidate)
+    return remaining >= limits.floor * sum(group.values())
--- a/tests/test_addresses_properties.py
+++ b/tests/test_addresses_properties.py
@@ -1,4 +1,4 @@
-"""Properties of the addresses that callers are told."""
+"""Properties of the addresses returned to callers."""
 
 from __future__ import annotations
 
@@ -40,41 +40,41 @@
 
 
 class ChooseAddressesTest(unittest.TestCase):
-    """Answers that callers keep for a while."""
+    """Responses that callers cache for a while."""
 
     @given(VIEWS, st.sampled_from(["sierra", "wallonie-a", "elsewhere"]), st.integers(0, 2**40))
     def test_answers_hold_serving_instances_of_the_callers_region_first(
         self, view: MembershipView, hint: str, seed: int
     ) -> None:
-        answer = choose_addresses(view, caller_hint=hint, seed=seed, validity_s=10.0)
-        names = [member.instance.name for member in answer.members]
-        states = {member.state for member in answer.members}
+        response = choose_addresses(view, caller_hint=hint, seed=seed, validity_s=10.0)
+        names = [member.instance.name for member in response.members]
+        states = {member.state for member in response.members}
         live = [m for m in view.members if m.state == MemberState.LIVE]
         self.assertEqual(len(names), len(set(names)))
         self.assertNotIn(MemberState.LEAVING, states)
         self.assertEqual(bool(names), bool(view.list_serving()))
-        self.assertLessEqual(answer.valid_for_s, 10.0)
+        self.assertLessEqual(response.valid_for_s, 10.0)
         if live:
             self.assertEqual(states, {MemberState.LIVE})
-        regions = [member.instance.failure_domain.region for member in answer.members]
+        regions = [member.instance.failure_domain.region for member in response.members]
         region = hint.split("-")[0]
         domains = [member.instance.failure_domain for member in view.members]
         known = any(hint in (domain.name, domain.region) for domain in domains)
         if known and any(m.instance.failure_domain.region == region for m in live):
             self.assertEqual(regions[0], region)
         if len({m.instance.failure_domain.name for m in live}) > 1:
-            domains = {member.instance.failure_domain.name for member in answer.members}
+            domains = {member.instance.failure_domain.name for member in response.members}
             self.assertGreater(len(domains), 1)
 
     @given(st.integers(2, 40), st.integers(0, 2**31), st.floats(1.0, 500.0))
     def test_a_run_of_answers_is_even_whatever_one_old_load_says(
         self, count: int, seed: int, load: float
     ) -> None:
-        """All callers ask within one load report's age and keep what they got.
+        """Guards against all callers being sent to the least loaded instance.
 
-        If each answer named the least loaded instance, all of them would go there. However low or
-        high one report is, no instance gets more than about twice its share, and the others'
-        shares differ by little.
+        All callers ask within the age of one load report and cache the response. However low or
+        high that report is, no instance gets more than about twice its share, and the shares of
+        the others differ by little.
         """
         members = [make_member(n, MemberState.LIVE, 10.0, "sierra") for n in range(count)]
         members[0] = replace(members[0], load=load)
