--- a/src/guavamast/service_call.py
+++ b/src/guavamast/service_call.py
@@ -1,4 +1,4 @@
-"""A caller's request to a plain service, and what running it needs from its surroundings."""
+"""A call of a plain service, and the interfaces that running it depends on."""
 
 from __future__ import annotations
 
@@ -26,17 +26,17 @@
     class_name: str
     tier: int
     deadline: float
-    """When the caller stops waiting, on the monotonic clock; covers the call's own timeout."""
+    """Monotonic time at which the caller stops waiting; covers the call's own timeout."""
 
 
 class SlotUnavailable(GuavamastError):
     """No slot was granted, and none is held.
 
     Args:
-        code: Why.
-        message: One sentence for a person.
+        code: Why no slot was granted.
+        message: A human-readable sentence.
         status: HTTP status.
-        retry_after_s: When asking again may help.
+        retry_after_s: Seconds after which a retry may succeed.
     """
 
     def __init__(
@@ -53,15 +53,15 @@
     @property
     @abstractmethod
     def endpoint(self) -> Endpoint:
-        """Where the call is to be sent."""
+        """Endpoint that the call is sent to."""
 
     @abstractmethod
     def release(self, *, used: bool, failed: bool, duration_s: float) -> None:
-        """Give the slot back; called once for each grant."""
+        """Release the slot; called once for each grant."""
 
 
 class SlotSource(ABC):
-    """Where slots come from."""
+    """Source of slots."""
 
     @abstractmethod
     async def acquire(self, call: ServiceCall, *, excluded: frozenset[str]) -> SlotGrant:
@@ -71,19 +71,19 @@
 
         Args:
             call: The call; its deadline bounds the wait.
-            excluded: Names of endpoints that failed this call before.
+            excluded: Names of endpoints that already failed this call.
 
         Raises:
-            SlotUnavailable: None was granted.
+            SlotUnavailable: No slot was granted.
         """
 
 
 class RetryPolicy(ABC):
-    """Says whether an idempotent call's attempt may be repeated."""
+    """Decides whether a failed attempt of an idempotent call is retried."""
 
     @abstractmethod
     def record_success(self, call: ServiceCall) -> None:
-        """Note that a call got its answer."""
+        """Record that a call got its response."""
 
     @abstractmethod
     def plan(self, call: ServiceCall, *, attempt: int, now: float) -> float | None:
--- a/src/guavamast/service_calls.py
+++ b/src/guavamast/service_calls.py
@@ -1,21 +1,21 @@
-"""Calls of plain services, from the caller's request to its one answer.
+"""Calls of plain services, from the caller's request to its single response.
 
-An HTTP handler makes a `ServiceCall` of its request and awaits `ServiceCalls.run`::
+An HTTP handler builds a `ServiceCall` from its request and awaits `ServiceCalls.run`::
 
     try:
-        answer = await service_calls.run(call)
+        response = await service_calls.run(call)
     except Refusal as refusal:
         write_refusal(refusal)         # status, code, outcome, Retry-After
     else:
-        self.set_status(answer.status)
-        self.set_header("Content-Type", answer.content_type)
-        self.finish(answer.body)
-
-``GET /v1/operations/{key}`` awaits `ServiceCalls.show` in the same way. A handler may be cancelled
-at any time: a non-idempotent call goes on by itself until its answer is recorded, and a daemon
-that leaves awaits `ServiceCalls.drain` before it exits. The daemon calls ``PauseWatch.beat`` every
-``BEAT_INTERVAL_S``, else every call is refused, and awaits `ServiceCalls.delete_expired` for ever
-in a task of its own.
+        self.set_status(response.status)
+        self.set_header("Content-Type", response.content_type)
+        self.finish(response.body)
+
+``GET /v1/operations/{key}`` awaits `ServiceCalls.get_operation` in the same way. A handler may be
+cancelled at any time: a non-idempotent call continues on its own until its response is recorded,
+and a daemon that shuts down awaits `ServiceCalls.drain` before it exits. The daemon calls
+``PauseWatch.beat`` every ``BEAT_INTERVAL_S``, as every call is rejected otherwise, and runs
+`ServiceCalls.delete_expired`, which never returns, in a task of its own.
 """
 
 from __future__ import annotations
@@ -70,7 +70,7 @@
 ]
 
 RETRIED_STATUSES: Final = frozenset({502, 503, 504})
-"""Answers of an endpoint after which an idempotent call may go to another."""
+"""Response statuses of an endpoint after which an idempotent call may be retried at another."""
 
 
 @dataclass(frozen=True, slots=True, kw_only=True)
@@ -80,11 +80,11 @@
     state: OperationState
     started_at: float
     ended_at: float
-    answer: Answer | None
+    response: Answer | None
 
 
-def take_all(prefix: str) -> bool:  # noqa: ARG001
-    """Take every part of the table, as a lone instance does."""
+def owns_every_prefix(prefix: str) -> bool:  # noqa: ARG001
+    """Return True for every part of the table, as a single instance cleans up all of them."""
     return True
 
 
@@ -92,14 +92,14 @@
     """Runs calls of plain services.
 
     Args:
-        store: The rows of non-idempotent calls.
-        slots: Where slots come from.
+        store: Stores the rows of non-idempotent calls.
+        slots: Source of slots.
         sender: Sends to endpoints.
-        gate: The configuration's word right before a send.
-        pauses: Whether this process was paused.
-        retries: For idempotent calls.
+        gate: Checks right before a send that the configuration still allows it.
+        pauses: Detects that this process was paused.
+        retries: Retry policy of idempotent calls.
         clock: Source of times.
-        metrics: Where counts of operations go.
+        metrics: Receives the counts of operations.
     """
 
     __slots__ = (
@@ -143,17 +143,17 @@
         self._tasks: set[asyncio.Task[Answer]] = set()
 
     async def run(self, call: ServiceCall) -> Answer:
-        """Run a call and return its answer.
+        """Run a call and return its response.
 
         Raises:
-            Refusal: There is no answer; the outcome says what is known.
+            Refusal: There is no response; the outcome says what is known.
         """
         if call.rule.idempotent:
             return await self._run_idempotent(call)
         run = self._single_runner.prepare(call)
         return await self._wait_until_deadline(run)
 
-    async def show(self, organisation: str, key: str) -> OperationView:
+    async def get_operation(self, organisation: str, key: str) -> OperationView:
         """Return the state of an organisation's non-idempotent call.
 
         Raises:
@@ -162,8 +162,8 @@
         try:
             operation = await self._store.find(OperationKey(organisation=organisation, key=key))
             if operation is None:
-                raise _refuse_unknown_key()
-            return await self._make_view(operation)
+                raise _build_unknown_key_rejection()
+            return await self._build_view(operation)
         except (PlatformUnavailable, AnswerMissing) as error:
             raise Refusal(
                 error.code,
@@ -180,15 +180,15 @@
         await self._repairs.drain()
 
     async def delete_expired(
-        self, *, retention_s: float, is_mine: Callable[[str], bool] = take_all
+        self, *, retention_s: float, is_mine: Callable[[str], bool] = owns_every_prefix
     ) -> None:
-        """Delete old rows for ever, a part of the table at a time.
+        """Delete expired rows periodically, one part of the table at a time; never return.
 
         Args:
-            retention_s: Age at which a finished row may go.
-            is_mine: Whether this instance takes the part with that prefix. Without a division each
-                instance scans the whole table once a retention period; two that both take a part
-                do no harm.
+            retention_s: Age in seconds from which a finished row may be deleted.
+            is_mine: Whether this instance cleans up the part with that prefix. By default each
+                instance scans the whole table once per retention period; it is harmless when two
+                instances clean up the same part.
         """
         while True:
             prefix = find_due_prefix(retention_s=retention_s, now=self._clock.read_wall())
@@ -198,10 +198,11 @@
             await self._clock.sleep(compute_sweep_interval(retention_s))
 
     async def _wait_until_deadline(self, run: SingleRun) -> Answer:
-        """Wait for a run that goes on by itself.
+        """Wait for a run, which continues on its own after the deadline.
 
-        The run may outlast the caller, so that its answer is recorded for the next time. After the
-        deadline ``stop`` keeps an unsent run from being sent, so ``not_run`` stays true.
+        The run may outlast the caller, so that its response is recorded for the caller's next
+        request. After the deadline ``stop`` prevents an unsent run from being sent, so that
+        ``not_run`` stays true.
         """
         task = self._start(self._single_runner.run(run))
         remaining_s = run.call.deadline - self._clock.read_monotonic()
@@ -220,22 +221,22 @@
     def _start(self, work: Coroutine[None, None, Answer]) -> asyncio.Task[Answer]:
         task = asyncio.ensure_future(work)
         self._tasks.add(task)
-        task.add_done_callback(self._forget)
+        task.add_done_callback(self._discard_task)
         return task
 
-    def _forget(self, task: asyncio.Task[Answer]) -> None:
-        """Drop an ended task; its result may have lost its caller."""
+    def _discard_task(self, task: asyncio.Task[Answer]) -> None:
+        """Remove a finished task and retrieve its exception, as its caller may be gone."""
         self._tasks.discard(task)
         if not task.cancelled():
             task.exception()
 
-    async def _make_view(self, operation: Operation) -> OperationView:
+    async def _build_view(self, operation: Operation) -> OperationView:
         recorded = operation.answer
         return OperationView(
             state=operation.state,
             started_at=operation.started_at,
             ended_at=operation.ended_at,
-            answer=None if recorded is None else await self._store.load_answer(recorded),
+            response=None if recorded is None else await self._store.load_answer(recorded),
         )
 
     async def _run_idempotent(self, call: ServiceCall) -> Answer:
@@ -246,19 +247,19 @@
             attempt += 1
             grant = await self._acquire(call, latch, failed)
             failed |= {grant.endpoint.name}
-            answer: Answer | None = None
+            response: Answer | None = None
             try:
-                answer = await self._send_idempotent(call, grant, latch)
+                response = await self._send_idempotent(call, grant, latch)
             except (NotSent, AnswerLost, Obstructed) as error:
-                reason = error
-            if answer is not None and answer.status not in RETRIED_STATUSES:
+                last_error = error
+            if response is not None and response.status not in RETRIED_STATUSES:
                 self._retries.record_success(call)
-                return answer
+                return response
             wait_s = self._retries.plan(call, attempt=attempt, now=self._clock.read_monotonic())
             if wait_s is None:
-                if answer is not None:
-                    return answer
-                raise _refuse_idempotent(latch, reason)
+                if response is not None:
+                    return response
+                raise _build_rejection(latch, last_error)
             await self._clock.sleep(wait_s)
 
     async def _acquire(
@@ -279,16 +280,16 @@
         return await self._attempts.send(call, grant, latch, Stop(), timeout_s=timeout_s)
 
 
-def _refuse_idempotent(latch: SendLatch, reason: Exception) -> Refusal:
-    if isinstance(reason, Obstructed) and reason.code is ErrorCode.DEADLINE_EXCEEDED:
-        return latch.refuse(reason.code, "the deadline has passed", status=504)
+def _build_rejection(latch: SendLatch, error: Exception) -> Refusal:
+    if isinstance(error, Obstructed) and error.code is ErrorCode.DEADLINE_EXCEEDED:
+        return latch.refuse(error.code, "the deadline has passed", status=504)
     code = ErrorCode.ENDPOINT_FAILED if latch.sent else ErrorCode.NO_ENDPOINT
-    message = "no endpoint gave a whole answer"
+    message = "no endpoint returned a complete response"
     return latch.refuse(code, message, status=503, retry_after_s=SEND_RETRY_AFTER_S)
 
 
-def _refuse_unknown_key() -> Refusal:
-    """Make the answer for a key without a row: it never started, or its row was deleted."""
+def _build_unknown_key_rejection() -> Refusal:
+    """Build the rejection for a key without a row: it never started, or its row was deleted."""
     return Refusal(
         ErrorCode.NOT_FOUND,
         "no call with this key is known; it never started or its record has expired",
--- a/src/guavamast/service_handlers.py
+++ b/src/guavamast/service_handlers.py
@@ -1,4 +1,4 @@
-"""HTTP handlers of calls of plain services and of their operations."""
+"""HTTP handlers for calls of plain services and for their recorded operations."""
 
 from __future__ import annotations
 
@@ -28,7 +28,7 @@
 
 
 def find_rule(configuration: Configuration, service: str, call: str) -> CallRule:
-    """Return the rule of a call; one that isn't named counts as non-idempotent."""
+    """Return the rule of a call; without a ``[call]`` section it counts as non-idempotent."""
     rule = configuration.calls.get((service, call))
     return rule or CallRule(
         service=service, call=call, idempotent=False, timeout_s=DEFAULT_CALL_TIMEOUT_S
@@ -39,12 +39,12 @@
     """``POST /v1/services/{service}/{call}``."""
 
     def initialize(self, services: CallerServices, calls: ServiceCalls) -> None:  # type: ignore[override]
-        """Take the entry's services."""
+        """Store the entry's services."""
         super().initialize(services)
         self.calls = calls
 
     async def post(self, service: str, call: str) -> None:
-        """Run a call and answer what it answered."""
+        """Run a call and relay its response."""
         self.read_request_id()
         organisation = self.find_caller()
         rule = find_rule(self.services.state.configuration, service, call)
@@ -57,7 +57,7 @@
             rule=rule,
             body=self.read_body(),
             content_type=self.request.headers.get("Content-Type", "application/json"),
-            idempotency_key=self._read_key(rule),
+            idempotency_key=self._read_idempotency_key(rule),
             class_name=service_class.name,
             tier=service_class.tier,
             deadline=self.compute_deadline(service_class),
@@ -65,24 +65,24 @@
         await self.run(partial(self._serve, request), organisation)
 
     async def _serve(self, request: ServiceCall) -> None:
-        answer = await self.calls.run(request)
+        response = await self.calls.run(request)
         self.set_header("X-Request-Id", self.request_id)
-        write_answer(self, answer)
+        write_response(self, response)
 
     def _require_service(self, service: str) -> None:
         endpoints = self.services.state.configuration.endpoints.values()
         known = {item.service for item in endpoints if item.kind is EndpointKind.SERVICE}
         if service not in known:
             raise SendLatch().refuse(
-                ErrorCode.UNKNOWN_SERVICE, f"no service {service!r}", status=404
+                ErrorCode.UNKNOWN_SERVICE, f"unknown service {service!r}", status=404
             )
 
-    def _read_key(self, rule: CallRule) -> str:
+    def _read_idempotency_key(self, rule: CallRule) -> str:
         header = self.request.headers.get("Idempotency-Key", "")
         key = parse_label(header, name="Idempotency-Key", longest=MAX_IDEMPOTENCY_KEY_LENGTH)
         if not key and not rule.idempotent:
             raise refuse_input(
-                "a non-idempotent call needs an Idempotency-Key",
+                "a non-idempotent call requires an Idempotency-Key header",
                 ErrorCode.IDEMPOTENCY_KEY_MISSING,
             )
         return key
@@ -92,45 +92,45 @@
     """``GET /v1/operations/{key}``."""
 
     def initialize(self, services: CallerServices, calls: ServiceCalls) -> None:  # type: ignore[override]
-        """Take the entry's services."""
+        """Store the entry's services."""
         super().initialize(services)
         self.calls = calls
 
     async def get(self, key: str) -> None:
-        """Answer how a non-idempotent call of this organisation stands."""
+        """Return the state of a non-idempotent call of this organisation."""
         self.read_request_id()
         organisation = self.find_caller()
         parse_label(key, name="the key", longest=MAX_IDEMPOTENCY_KEY_LENGTH)
-        view = await self.calls.show(organisation.name, key)
+        view = await self.calls.get_operation(organisation.name, key)
         self.finish(encode_view(key, view))
 
 
-def write_answer(handler: CallerHandler, answer: Answer) -> None:
-    """Pass an endpoint's answer on."""
-    handler.set_status(answer.status)
-    handler.set_header("Content-Type", answer.content_type)
-    handler.finish(answer.body)
+def write_response(handler: CallerHandler, response: Answer) -> None:
+    """Write an endpoint's response to the caller."""
+    handler.set_status(response.status)
+    handler.set_header("Content-Type", response.content_type)
+    handler.finish(response.body)
 
 
 def encode_view(key: str, view: OperationView) -> dict[str, Any]:
-    """Return the body that tells an operation's state."""
+    """Return the response body for an operation's state."""
     body: dict[str, Any] = {
         "key": key,
         "state": view.state,
         "started_at": view.started_at,
         "ended_at": view.ended_at,
     }
-    if view.answer is not None:
-        body["answer"] = _encode_answer(view.answer)
+    if view.response is not None:
+        body["answer"] = _encode_response(view.response)
     return body
 
 
-def _encode_answer(answer: Answer) -> dict[str, Any]:
-    fields: dict[str, Any] = {"status": answer.status, "content_type": answer.content_type}
+def _encode_response(response: Answer) -> dict[str, Any]:
+    fields: dict[str, Any] = {"status": response.status, "content_type": response.content_type}
     try:
-        fields["body"] = json.loads(answer.body)
+        fields["body"] = json.loads(response.body)
     except ValueError:
-        fields["body_base64"] = base64.b64encode(answer.body).decode()
+        fields["body_base64"] = base64.b64encode(response.body).decode()
     return fields
 
 
--- a/src/guavamast/service_slots.py
+++ b/src/guavamast/service_slots.py
@@ -1,4 +1,4 @@
-"""Connects calls of plain services to the entry: slots, the gate before a send, retries."""
+"""The entry's slots, send gate and retry policy for calls of plain services."""
 
 from __future__ import annotations
 
@@ -32,11 +32,11 @@
 
     @property
     def endpoint(self) -> Endpoint:
-        """Where the call is to be sent."""
+        """Endpoint that the call is sent to."""
         return self._endpoint
 
     def release(self, *, used: bool, failed: bool, duration_s: float) -> None:
-        """Give the slot back."""
+        """Release the slot."""
         ask = self._hold.ask
         release = Release(
             ask_id=ask.ask_id,
@@ -49,12 +49,12 @@
 
 
 class EntrySlotSource(SlotSource):
-    """Finds slots of services' endpoints.
+    """Acquires slots of service endpoints.
 
     Args:
         state: The entry's configuration.
-        finder: Chooses endpoints and asks their keepers.
-        links: Takes releases.
+        finder: Selects endpoints and requests slots from their keepers.
+        links: Sends releases to keepers.
     """
 
     def __init__(self, *, state: EntryState, finder: SlotFinder, links: SlotLinks) -> None:
@@ -64,7 +64,7 @@
 
     async def acquire(self, call: ServiceCall, *, excluded: frozenset[str]) -> SlotGrant:
         """Wait for a slot."""
-        wish = SlotWish(
+        requirements = SlotWish(
             organisation=call.organisation,
             class_name=call.class_name,
             tier=call.tier,
@@ -75,7 +75,7 @@
             excluded=set(excluded),
         )
         try:
-            hold = await self._finder.find(wish, SendLatch())
+            hold = await self._finder.find(requirements, SendLatch())
         except Refusal as refusal:
             raise SlotUnavailable(
                 refusal.code,
@@ -89,7 +89,7 @@
             self._links.release(hold, unused)
             raise SlotUnavailable(
                 ErrorCode.NO_ENDPOINT,
-                "the endpoint has left",
+                "the endpoint is no longer active",
                 status=503,
                 retry_after_s=NO_ENDPOINT_RETRY_S,
             )
@@ -97,26 +97,26 @@
 
 
 class EntryGate(SendGate):
-    """The configuration in force, asked right before a send."""
+    """Checks the configuration in force right before a send."""
 
     def __init__(self, *, state: EntryState) -> None:
         self._state = state
 
     def is_open(self, endpoint: Endpoint) -> bool:
-        """Return whether this very endpoint is still configured and active at its URL."""
+        """Return whether the endpoint is still configured and active at the same URL."""
         present = self._state.find_active_endpoint(endpoint.name)
         return present is not None and present.url == endpoint.url
 
 
 class BudgetRetryPolicy(RetryPolicy):
-    """Retries from the entry's budget."""
+    """Retry policy limited by the entry's retry budget."""
 
     def __init__(self, *, budget: RetryBudget, random: random.Random) -> None:
         self._budget = budget
         self._random = random
 
     def record_success(self, call: ServiceCall) -> None:
-        """Pay into the budget."""
+        """Credit the retry budget."""
         self._budget.record_success(call.class_name)
 
     def plan(self, call: ServiceCall, *, attempt: int, now: float) -> float | None:
--- a/tests/test_service_calls.py
+++ b/tests/test_service_calls.py
@@ -1,4 +1,4 @@
-"""Tests of one call over real connections, with the stand-ins of platform and service."""
+"""Tests of a call over real connections, with stand-ins of the platform and the service."""
 
 from __future__ import annotations
 
@@ -34,8 +34,8 @@
 from tests.operation_world import World
 
 
-class ListedSlots(SlotSource):
-    """Grants the listed endpoints in order, without a bound."""
+class StaticSlotSource(SlotSource):
+    """Grants slots of the listed endpoints in order, without a limit."""
 
     def __init__(self, urls: list[str]) -> None:
         self.urls = urls
@@ -44,14 +44,14 @@
     async def acquire(self, call: ServiceCall, *, excluded: frozenset[str]) -> SlotGrant:
         for url in self.urls:
             if url not in excluded:
-                return ListedGrant(self, url)
+                return StaticSlotGrant(self, url)
         raise SlotUnavailable(ErrorCode.NO_ENDPOINT, call.rule.service, status=503)
 
 
-class ListedGrant(SlotGrant):
-    """A slot of a listed endpoint."""
+class StaticSlotGrant(SlotGrant):
+    """A slot of one of the listed endpoints."""
 
-    def __init__(self, slots: ListedSlots, url: str) -> None:
+    def __init__(self, slots: StaticSlotSource, url: str) -> None:
         self.slots = slots
         self._endpoint = Endpoint(
             name=url, kind=EndpointKind.SERVICE, url=url, failure_domain="d", slots=1
@@ -76,7 +76,7 @@
 
 
 class CountingMetrics(NoMetrics):
-    """Keeps the counts and the last gauge."""
+    """Records counts and the last value of each gauge."""
 
     def __init__(self) -> None:
         self.counts: Counter[str] = Counter()
@@ -90,7 +90,7 @@
 
 
 class ServiceCallsTest(unittest.IsolatedAsyncioTestCase):
-    """The whole path of one call, without the daemons."""
+    """The complete path of one call, without the daemons."""
 
     async def asyncSetUp(self) -> None:
         self.platform = PlatformStandin()
@@ -99,11 +99,11 @@
             standin.start()
             self.addCleanup(standin.stop)
         self.metrics = CountingMetrics()
-        self.slots = ListedSlots([service.url for service in self.services])
-        self.calls = self.make_calls()
+        self.slots = StaticSlotSource([service.url for service in self.services])
+        self.calls = self.build_calls()
 
-    def make_calls(self) -> ServiceCalls:
-        """Return another instance's calls on the same platform."""
+    def build_calls(self) -> ServiceCalls:
+        """Return the service calls of another instance on the same platform."""
         clock = SystemClock()
         url = self.platform.url
         client = HttpPlatformClient(tables_url=url, objects_url=url, timeout_s=2.0)
@@ -144,7 +144,9 @@
         )
         return json.loads((await (calls or self.calls).run(call)).body)
 
-    async def expect_refusal(self, code: ErrorCode, outcome: Outcome, **options: object) -> Refusal:
+    async def expect_rejection(
+        self, code: ErrorCode, outcome: Outcome, **options: object
+    ) -> Refusal:
         with self.assertRaises(Refusal) as caught:
             await self.run_call(**options)
         self.assertEqual((caught.exception.code, caught.exception.outcome), (code, outcome))
@@ -155,14 +157,14 @@
             first = await self.run_call(key=key, body=body)
             self.assertEqual(await self.run_call(key=key, body=body), first)
             self.assertEqual(
-                await self.run_call(key=key, body=body, calls=self.make_calls()), first
+                await self.run_call(key=key, body=body, calls=self.build_calls()), first
             )
-            view = await self.calls.show("acme", key)
+            view = await self.calls.get_operation("acme", key)
             self.assertEqual(view.state, OperationState.DONE)
-            self.assertEqual(json.loads(view.answer.body), first)
+            self.assertEqual(json.loads(view.response.body), first)
             self.assertEqual(self.services[0].log.runs[key], 1)
         self.assertEqual(len(self.platform.objects), 1)
-        reused = await self.expect_refusal(
+        reused = await self.expect_rejection(
             ErrorCode.IDEMPOTENCY_KEY_REUSED, Outcome.NOT_RUN, key="small", body=b"{}"
         )
         self.assertEqual(reused.status, 422)
@@ -171,7 +173,7 @@
         await self.run_call(body=b'{"a": "%s"}' % (b"x" * 500))
         name = next(iter(self.platform.objects))
         self.platform.objects[name] = self.platform.objects[name][:-1]
-        await self.expect_refusal(
+        await self.expect_rejection(
             ErrorCode.ANSWER_INVALID,
             Outcome.OUTCOME_UNKNOWN,
             body=b'{"a": "%s"}' % (b"x" * 500),
@@ -182,27 +184,29 @@
         first = asyncio.ensure_future(self.run_call())
         while not self.services[0].log.runs:
             await asyncio.sleep(0.01)
-        again = await self.expect_refusal(
-            ErrorCode.IN_PROGRESS, Outcome.OUTCOME_UNKNOWN, calls=self.make_calls()
+        again = await self.expect_rejection(
+            ErrorCode.IN_PROGRESS, Outcome.OUTCOME_UNKNOWN, calls=self.build_calls()
         )
         self.assertEqual((again.status, again.retry_after_s), (409, 1.0))
-        self.assertEqual((await self.calls.show("acme", "k")).state, OperationState.STARTED)
+        self.assertEqual(
+            (await self.calls.get_operation("acme", "k")).state, OperationState.STARTED
+        )
         await first
 
     async def test_answer_that_outlasts_the_deadline_is_recorded(self) -> None:
-        # The caller's deadline passes while the service runs. It is told that the outcome is
-        # unknown; the entry waits on, and whoever asks again gets the only run's answer.
+        # The caller's deadline passes while the service runs, and it gets an unknown outcome. The
+        # entry keeps waiting, so that a later request gets the response of the only run.
         self.services[0].fault = Fault(kind="slow", delay_s=0.5)
-        refusal = await self.expect_refusal(
+        rejection = await self.expect_rejection(
             ErrorCode.DEADLINE_EXCEEDED, Outcome.OUTCOME_UNKNOWN, timeout_s=0.3
         )
-        self.assertEqual(refusal.status, 504)
+        self.assertEqual(rejection.status, 504)
         await self.calls.drain()
-        self.assertEqual((await self.run_call(calls=self.make_calls()))["run"], 1)
+        self.assertEqual((await self.run_call(calls=self.build_calls()))["run"], 1)
 
     async def test_lost_answers_of_the_platform_cost_neither_run_nor_answer(self) -> None:
-        # Every write takes effect and the connection closes before its answer; reads are answered.
-        # Each write must be settled by reading, with one run and the answer recorded.
+        # Every write takes effect but the connection closes before its response; reads succeed.
+        # Each write must be verified by a read, with one run and its response recorded.
         original = self.platform.is_faulty
 
         def lose_writes(kind: str) -> bool:
@@ -216,18 +220,18 @@
         self.assertEqual((await self.run_call())["run"], 1)
 
     async def test_platform_outage(self) -> None:
-        # Non-idempotent calls are refused at once and nothing is sent; idempotent ones go on.
+        # Non-idempotent calls are rejected at once and nothing is sent; idempotent ones still run.
         self.platform.fault = Fault(kind="down")
-        refusal = await self.expect_refusal(ErrorCode.PLATFORM_UNAVAILABLE, Outcome.NOT_RUN)
-        self.assertEqual((refusal.status, refusal.retry_after_s), (503, 5.0))
+        rejection = await self.expect_rejection(ErrorCode.PLATFORM_UNAVAILABLE, Outcome.NOT_RUN)
+        self.assertEqual((rejection.status, rejection.retry_after_s), (503, 5.0))
         self.assertEqual((await self.run_call(idempotent=True))["run"], 1)
         self.assertEqual(self.services[0].log.total, 1)
 
     async def test_no_new_call_while_too_many_rows_wait(self) -> None:
-        # An outage that comes and goes lets calls run whose rows can't be finished; each waits in
-        # memory. Without a bound the entry grows until it is killed, and all of them are lost.
+        # An intermittent outage lets calls run whose rows can't be finished; each is kept in
+        # memory. Without a limit the entry grows until it is killed, and all of them are lost.
         with patch("guavamast.repairs.REPAIR_LIMIT", 0):
-            await self.expect_refusal(ErrorCode.PLATFORM_UNAVAILABLE, Outcome.NOT_RUN)
+            await self.expect_rejection(ErrorCode.PLATFORM_UNAVAILABLE, Outcome.NOT_RUN)
         self.assertEqual(self.services[0].log.total, 0)
 
     async def test_outage_after_the_run_delays_the_record_and_not_the_answer(self) -> None:
@@ -236,35 +240,37 @@
         while not self.services[0].log.runs:
             await asyncio.sleep(0.01)
         self.platform.fault = Fault(kind="down")
-        answer = await first
+        response = await first
         self.assertEqual(self.metrics.gauges, {"operations.unwritten": 1})
-        await self.expect_refusal(ErrorCode.PLATFORM_UNAVAILABLE, Outcome.OUTCOME_UNKNOWN)
+        await self.expect_rejection(ErrorCode.PLATFORM_UNAVAILABLE, Outcome.OUTCOME_UNKNOWN)
         self.platform.fault = Fault()
         await self.calls.drain()
         self.assertEqual(self.metrics.gauges, {"operations.unwritten": 0})
-        self.assertEqual(await self.run_call(calls=self.make_calls()), answer)
+        self.assertEqual(await self.run_call(calls=self.build_calls()), response)
 
     async def test_dead_endpoint_is_passed_over_before_a_byte_was_sent(self) -> None:
         self.services[0].stop()
         self.assertEqual((await self.run_call())["run"], 1)
         self.services[1].stop()
-        await self.expect_refusal(ErrorCode.NO_ENDPOINT, Outcome.NOT_RUN, key="other")
-        view = await self.calls.show("acme", "other")
+        await self.expect_rejection(ErrorCode.NO_ENDPOINT, Outcome.NOT_RUN, key="other")
+        view = await self.calls.get_operation("acme", "other")
         self.assertEqual(view.state, OperationState.NOT_RUN)
 
     async def test_only_idempotent_calls_are_sent_again(self) -> None:
         self.services[0].fault = Fault(kind="crash", ran=True)
-        await self.expect_refusal(ErrorCode.ENDPOINT_FAILED, Outcome.OUTCOME_UNKNOWN)
+        await self.expect_rejection(ErrorCode.ENDPOINT_FAILED, Outcome.OUTCOME_UNKNOWN)
         self.assertEqual([s.log.total for s in self.services], [1, 0])
         self.assertEqual(self.metrics.counts, {"operations.claimed": 1, "operations.unknown": 1})
-        await self.expect_refusal(ErrorCode.IN_PROGRESS, Outcome.OUTCOME_UNKNOWN)
+        await self.expect_rejection(ErrorCode.IN_PROGRESS, Outcome.OUTCOME_UNKNOWN)
         self.assertEqual((await self.run_call(idempotent=True))["run"], 1)
         self.assertEqual([s.log.total for s in self.services], [2, 1])
 
     async def test_old_rows_are_deleted_but_never_started_ones(self) -> None:
         await self.run_call(key="done")
         self.services[0].fault = Fault(kind="crash")
-        await self.expect_refusal(ErrorCode.ENDPOINT_FAILED, Outcome.OUTCOME_UNKNOWN, key="crashed")
+        await self.expect_rejection(
+            ErrorCode.ENDPOINT_FAILED, Outcome.OUTCOME_UNKNOWN, key="crashed"
+        )
         for row in self.platform.tables.scan("operations", ""):
             await self.store.delete_expired(row.key[:4], retention_s=0.0)
         left = [row.value["key"] for row in self.platform.tables.scan("operations", "")]
