--- a/src/guavamast/hosted_endpoints.py
+++ b/src/guavamast/hosted_endpoints.py
@@ -1,4 +1,4 @@
-"""A dispatcher's endpoints, as the loop that gives orders uses them."""
+"""The endpoints that a dispatcher keeps, as the order loop uses them."""
 
 from __future__ import annotations
 
@@ -20,12 +20,12 @@
 
     Args:
         instance: Name of the dispatcher's instance.
-        host: Holds its keepers.
-        get_configuration: Gives the configuration in force.
-        get_view: Gives the members as they are known now.
+        host: Runs its keepers.
+        get_configuration: Returns the configuration in force.
+        get_view: Returns the current membership view.
     """
 
-    __slots__ = ("_get_configuration", "_get_view", "_host", "_instance", "_kept", "_kept_for")
+    __slots__ = ("_get_configuration", "_get_view", "_host", "_instance", "_kept", "_kept_key")
 
     def __init__(
         self,
@@ -40,34 +40,34 @@
         self._get_configuration = get_configuration
         self._get_view = get_view
         self._kept: list[Endpoint] = []
-        self._kept_for: tuple[int, tuple[str, ...]] | None = None
+        self._kept_key: tuple[int, tuple[str, ...]] | None = None
 
     def read_configuration(self) -> Configuration:
         """Return the configuration in force at this instance."""
         return self._get_configuration()
 
     def list_kept(self) -> list[Endpoint]:
-        """Return the endpoints that this instance keeps by its view of the members.
+        """Return the endpoints that this instance keeps according to its membership view.
 
-        Ranking all members for all endpoints is done again only when one of them changed.
+        The ranking of all members for all endpoints is cached until either of them changes.
         """
         view = self._get_view()
         configuration = self._get_configuration()
         names = tuple(member.instance.name for member in view.list_serving())
-        if self._kept_for != (configuration.version, names):
-            self._kept_for = (configuration.version, names)
+        if self._kept_key != (configuration.version, names):
+            self._kept_key = (configuration.version, names)
             endpoints = configuration.endpoints.values()
-            self._kept = [item for item in endpoints if self._keeps(item, view)]
+            self._kept = [item for item in endpoints if self._is_kept(item, view)]
         return self._kept
 
     def count_running(self, endpoint: str) -> int:
-        """Return the requests that hold a slot of an endpoint."""
+        """Return the number of requests that hold a slot of an endpoint."""
         return self._host.count_running(endpoint)
 
-    def hold(self, endpoint: str, *, out: bool) -> None:
-        """Stop granting slots of an endpoint, or go on."""
+    def set_out_of_use(self, endpoint: str, *, out: bool) -> None:
+        """Stop or resume granting slots of an endpoint."""
         self._host.hold(endpoint, out=out)
 
-    def _keeps(self, endpoint: Endpoint, view: MembershipView) -> bool:
+    def _is_kept(self, endpoint: Endpoint, view: MembershipView) -> bool:
         keeper = find_keeper(endpoint, view)
         return keeper is not None and keeper.instance.name == self._instance
--- a/src/guavamast/order_giver.py
+++ b/src/guavamast/order_giver.py
@@ -1,4 +1,4 @@
-"""Gives the orders of the endpoints that one instance keeps, one step at a time."""
+"""Issues orders to the endpoints that one instance keeps, one step at a time."""
 
 from __future__ import annotations
 
@@ -17,23 +17,23 @@
     from guavamast.world import Configuration, Endpoint
 
 ROLLOUT_TABLE: Final = "rollouts"
-OUT_KEY: Final = "out"
-"""Row that lists the endpoints of the fleet that are out of use for orders."""
+OUT_OF_USE_KEY: Final = "out"
+"""Key of the row that lists the fleet's endpoints that are out of use for orders."""
 
 
 class OrderGiver:
     """Brings endpoints to the model versions of the configuration.
 
     Args:
-        platform: Keeps the list of endpoints that are out of use.
-        leases: Takes the lease that an order needs.
-        sender: Reaches the endpoints.
+        platform: Stores the list of endpoints that are out of use.
+        leases: Acquires the lease that an order needs.
+        sender: Sends orders and reads the endpoints' reports.
         clock: Monotonic time.
-        terms: The times of leases and orders.
-        limits: How fast a rollout may go.
+        terms: Durations of leases and orders.
+        limits: How many endpoints may be out of use at the same time.
     """
 
-    __slots__ = ("_clock", "_leases", "_limits", "_platform", "_progress", "_sender", "_terms")
+    __slots__ = ("_clock", "_leases", "_limits", "_platform", "_progress", "_sender", "_parameters")
 
     def __init__(
         self,
@@ -49,28 +49,28 @@
         self._leases = leases
         self._sender = sender
         self._clock = clock
-        self._terms = terms
+        self._parameters = terms
         self._limits = limits
         self._progress: dict[str, OrderProgress] = {}
 
-    def is_out(self, endpoint: str) -> bool:
+    def is_out_of_use(self, endpoint: str) -> bool:
         """Return whether the endpoint gets no new work because of its orders."""
         progress = self._progress.get(endpoint)
-        return progress is not None and progress.out
+        return progress is not None and progress.out_of_use
 
     def forget(self, endpoint: str) -> None:
-        """Stop giving orders to an endpoint that another instance keeps now."""
+        """Stop issuing orders to an endpoint that another instance keeps now."""
         self._progress.pop(endpoint, None)
         self._leases.forget(endpoint)
 
     async def take_step(
         self, endpoint: Endpoint, configuration: Configuration, *, running: int
     ) -> OrderStep:
-        """Read what an endpoint runs and do the next thing, if any.
+        """Read what an endpoint runs and take the next step, if any.
 
-        Call this every few seconds for each engine that this instance keeps, and never twice at
-        the same time for one endpoint. A late order of an earlier holder shows in the report and
-        is repaired by the next steps.
+        Call this every few seconds for each engine that this instance keeps, and never
+        concurrently for one endpoint. The effect of a late order from an earlier lease holder
+        shows in the report, and the next steps repair it.
 
         Args:
             endpoint: The engine.
@@ -78,7 +78,7 @@
             running: Requests that run there.
 
         Returns:
-            What was decided.
+            The step that was decided on.
 
         Raises:
             PlatformError: The platform is down; nothing was sent.
@@ -91,7 +91,7 @@
         now = self._clock.read_monotonic()
         step = progress.decide(reported=report.models, missing=missing, running=running, now=now)
         if step is OrderStep.TAKE_OUT:
-            progress.out = await self._take_out(endpoint, configuration)
+            progress.out_of_use = await self._take_out(endpoint, configuration)
         elif step is OrderStep.SEND:
             await self._send(endpoint, progress, missing)
         elif step is OrderStep.FINISH:
@@ -101,44 +101,46 @@
     async def _send(
         self, endpoint: Endpoint, progress: OrderProgress, missing: dict[str, str]
     ) -> None:
-        lease = await self._leases.take(endpoint.name, endpoint.fencing)
-        # Taking a lease may have lasted long; find_held reads the clock again.
-        if lease is None or self._leases.find_held(endpoint.name) is None:
+        lease = await self._leases.acquire(endpoint.name, endpoint.fencing)
+        # Acquiring the lease may have taken long; get_valid reads the clock again.
+        if lease is None or self._leases.get_valid(endpoint.name) is None:
             return
         model, version = min(missing.items())
         order = Order(endpoint=endpoint.name, fencing=lease.fencing, model=model, version=version)
         outcome = await self._sender.send(endpoint, order)
         now = self._clock.read_monotonic()
-        progress.record(order, outcome, now=now, order_time_s=self._terms.order_time_s)
+        progress.record(order, outcome, now=now, order_time_s=self._parameters.order_time_s)
         if outcome is OrderOutcome.OLD_FENCING:
             self._leases.forget(endpoint.name)
 
     async def _finish(self, endpoint: Endpoint, progress: OrderProgress) -> None:
         """Put an endpoint back into use, also while the platform is down."""
-        progress.out = False
+        progress.out_of_use = False
         await self._leases.release(endpoint.name)
-        row = await self._platform.read(ROLLOUT_TABLE, OUT_KEY)
-        out = read_out_row(row)
-        if endpoint.name in out:
-            await self._write_out(row, out - {endpoint.name})
+        row = await self._platform.read(ROLLOUT_TABLE, OUT_OF_USE_KEY)
+        out_of_use = decode_out_of_use(row)
+        if endpoint.name in out_of_use:
+            await self._write_out_of_use(row, out_of_use - {endpoint.name})
         else:
-            progress.listed = False
+            progress.maybe_listed = False
 
     async def _take_out(self, endpoint: Endpoint, configuration: Configuration) -> bool:
-        """Return whether the platform's list now names the endpoint, so that it may be out."""
-        row = await self._platform.read(ROLLOUT_TABLE, OUT_KEY)
-        out = read_out_row(row)
-        if endpoint.name in out:
+        """List the endpoint as out of use if the limits allow it; return whether it is listed."""
+        row = await self._platform.read(ROLLOUT_TABLE, OUT_OF_USE_KEY)
+        out_of_use = decode_out_of_use(row)
+        if endpoint.name in out_of_use:
             return True
-        if not may_take_out(configuration, endpoint, out=out, limits=self._limits):
+        if not may_take_out(configuration, endpoint, out=out_of_use, limits=self._limits):
             return False
-        self._progress[endpoint.name].listed = True
-        return await self._write_out(row, out | {endpoint.name})
-
-    async def _write_out(self, row: Row, out: frozenset[str]) -> bool:
-        """Return whether the list was written; the next step reads it again if it wasn't."""
-        check = Check(table=ROLLOUT_TABLE, key=OUT_KEY, version=row.version)
-        write = Write(table=ROLLOUT_TABLE, key=OUT_KEY, value={"endpoints": sorted(out)})
+        self._progress[endpoint.name].maybe_listed = True
+        return await self._write_out_of_use(row, out_of_use | {endpoint.name})
+
+    async def _write_out_of_use(self, row: Row, out_of_use: frozenset[str]) -> bool:
+        """Return whether the list was written; if not, the next step reads it again."""
+        check = Check(table=ROLLOUT_TABLE, key=OUT_OF_USE_KEY, version=row.version)
+        write = Write(
+            table=ROLLOUT_TABLE, key=OUT_OF_USE_KEY, value={"endpoints": sorted(out_of_use)}
+        )
         try:
             await self._platform.transact([check], [write])
         except (PlatformError, PlatformAnswerLost):
@@ -146,6 +148,6 @@
         return True
 
 
-def read_out_row(row: Row) -> frozenset[str]:
+def decode_out_of_use(row: Row) -> frozenset[str]:
     """Return the endpoints that the platform's list names."""
     return frozenset((row.value or {}).get("endpoints", []))
--- a/src/guavamast/order_loop.py
+++ b/src/guavamast/order_loop.py
@@ -1,4 +1,4 @@
-"""The loop that gives the orders of the endpoints that an instance keeps."""
+"""The loop that issues orders to the endpoints that an instance keeps."""
 
 from __future__ import annotations
 
@@ -17,13 +17,13 @@
     from guavamast.world import Configuration, Endpoint
 
 ORDER_INTERVAL_S: Final = 5.0
-"""Time between two looks at each kept engine's report while all run what they should."""
+"""Interval between reads of each kept engine's report while all run the wanted versions."""
 BUSY_INTERVAL_S: Final = 1.0
-"""The same while an engine is out of use: each second of it costs capacity."""
+"""The interval while an engine is out of use, as each second of that costs capacity."""
 
 
 class KeptEndpoints(ABC):
-    """The endpoints of one dispatcher, as the order loop uses them."""
+    """The endpoints that one dispatcher keeps, as the order loop uses them."""
 
     @abstractmethod
     def read_configuration(self) -> Configuration:
@@ -31,71 +31,71 @@
 
     @abstractmethod
     def list_kept(self) -> list[Endpoint]:
-        """Return the endpoints that this instance keeps by its view of the members."""
+        """Return the endpoints that this instance keeps according to its membership view."""
 
     @abstractmethod
     def count_running(self, endpoint: str) -> int:
-        """Return the requests that hold a slot of an endpoint."""
+        """Return the number of requests that hold a slot of an endpoint."""
 
     @abstractmethod
-    def hold(self, endpoint: str, *, out: bool) -> None:
-        """Stop granting slots of an endpoint, or go on; the same again is harmless."""
+    def set_out_of_use(self, endpoint: str, *, out: bool) -> None:
+        """Stop or resume granting slots of an endpoint; idempotent."""
 
 
 class OrderLoop:
-    """Takes one step for each kept engine at a time, for ever.
+    """Periodically takes one step for each kept engine.
 
     Args:
-        giver: Decides and sends.
-        kept: The dispatcher's endpoints.
+        giver: Decides on steps and sends orders.
+        kept: The endpoints that the dispatcher keeps.
         clock: Waits between rounds.
     """
 
-    __slots__ = ("_clock", "_giver", "_kept", "_known")
+    __slots__ = ("_clock", "_giver", "_kept", "_previous")
 
     def __init__(self, *, giver: OrderGiver, kept: KeptEndpoints, clock: Clock) -> None:
         self._giver = giver
         self._kept = kept
         self._clock = clock
-        self._known: set[str] = set()
+        self._previous: set[str] = set()
 
     async def run(self) -> None:
-        """Go round until cancelled."""
+        """Run rounds until cancelled."""
         while True:
-            busy = await self.go_round()
+            busy = await self.run_round()
             await self._clock.sleep(BUSY_INTERVAL_S if busy else ORDER_INTERVAL_S)
 
-    async def go_round(self) -> bool:
-        """Take one step for each kept engine, all at the same time.
+    async def run_round(self) -> bool:
+        """Take one step for each kept engine, all of them concurrently.
 
-        Failure: engines that don't answer, 5 s each, hold up the loading of all others when they
-        are asked one after the other. The limits hold all the same, as each engine is taken out by
-        compare-and-set on one row.
+        One after another, each engine that doesn't respond would delay the loading of all others
+        by 5 s. The limits still hold, as each engine is taken out of use by compare-and-set on one
+        row.
 
         Returns:
             Whether an engine is out of use for its orders.
         """
         configuration = self._kept.read_configuration()
         engines = [item for item in self._kept.list_kept() if item.kind is EndpointKind.ENGINE]
-        self._let_go(self._known - {engine.name for engine in engines})
-        self._known.update(engine.name for engine in engines)
+        self._release(self._previous - {engine.name for engine in engines})
+        self._previous.update(engine.name for engine in engines)
         await asyncio.gather(*(self._take_step(engine, configuration) for engine in engines))
-        return any(self._giver.is_out(engine.name) for engine in engines)
+        return any(self._giver.is_out_of_use(engine.name) for engine in engines)
 
     async def _take_step(self, engine: Endpoint, configuration: Configuration) -> None:
         running = self._kept.count_running(engine.name)
         try:
             step = await self._giver.take_step(engine, configuration, running=running)
         except GuavamastError as error:
-            get_logger().info("orders of %s wait: %s", engine.name, error)
+            get_logger().info("orders to %s are delayed: %s", engine.name, error)
         else:
             if step not in (OrderStep.NOTHING, OrderStep.WAIT):
-                get_logger().info("orders of %s: %s", engine.name, step)
-        # Also after an error: a loaded endpoint goes back into use while the platform is down.
-        self._kept.hold(engine.name, out=self._giver.is_out(engine.name))
+                get_logger().info("orders to %s: next step %s", engine.name, step)
+        # Also after an error, so that a loaded endpoint is used again while the platform is down.
+        self._kept.set_out_of_use(engine.name, out=self._giver.is_out_of_use(engine.name))
 
-    def _let_go(self, names: set[str]) -> None:
+    def _release(self, names: set[str]) -> None:
         for name in names:
             self._giver.forget(name)
-            self._kept.hold(name, out=False)
-            self._known.discard(name)
+            self._kept.set_out_of_use(name, out=False)
+            self._previous.discard(name)
--- a/src/guavamast/orders.py
+++ b/src/guavamast/orders.py
@@ -1,4 +1,4 @@
-"""Orders to endpoints: typed messages and the decision what to do next for one endpoint."""
+"""Orders to endpoints: their messages, and the decision on one endpoint's next step."""
 
 from __future__ import annotations
 
@@ -13,23 +13,23 @@
     from guavamast.world import Endpoint
 
 _FIRST_RETRY_S: Final = 5.0
-"""Wait after a first refusal; it doubles with each further one."""
+"""Delay after the first rejection; it doubles with each further one."""
 _LONGEST_RETRY_S: Final = 300.0
 
 
 class OrderOutcome(StrEnum):
-    """What is known after an order was sent."""
+    """What is known of an order after it was sent."""
 
     TAKEN = "taken"
-    """The endpoint began it; its report shows when it is done."""
+    """The endpoint started it; its report shows when it is done."""
     OLD_FENCING = "old_fencing"
-    """The endpoint has seen a greater number: another instance took over."""
+    """The endpoint has seen a greater fencing number: another instance took over."""
     LIMITED = "limited"
-    """The endpoint or the weight store refused for now; nothing changes."""
+    """The endpoint or the weight store rejected it for now; nothing changes."""
     UNKNOWN = "unknown"
-    """It may take effect within the longest order time."""
+    """It may still take effect within the longest order time."""
     NOT_SENT = "not_sent"
-    """No byte of it left."""
+    """No byte of it was sent."""
 
 
 @dataclass(frozen=True, slots=True, kw_only=True)
@@ -44,14 +44,14 @@
 
 @dataclass(frozen=True, slots=True, kw_only=True)
 class EndpointReport:
-    """What an endpoint says that it runs."""
+    """The models that an endpoint reports to run."""
 
     models: Mapping[str, str]
     """Version by model."""
 
 
 class OrderSender(ABC):
-    """Reaches endpoints."""
+    """Sends orders to endpoints and reads their reports."""
 
     @abstractmethod
     async def send(self, endpoint: Endpoint, order: Order) -> OrderOutcome:
@@ -66,31 +66,31 @@
     """What to do next for an endpoint."""
 
     NOTHING = "nothing"
-    """It runs what it should, and nothing is left behind."""
+    """It runs the wanted versions, and nothing is left to clean up."""
     FINISH = "finish"
-    """It runs what it should: put it back into use and take it off the list."""
+    """It runs the wanted versions: put it back into use and remove it from the list."""
     TAKE_OUT = "take_out"
-    """It needs an order: see that it gets no new work, as the limits allow."""
+    """It needs an order: stop new work for it as soon as the limits allow."""
     WAIT = "wait"
-    """An order may still take effect, or it refused for now."""
+    """An order may still take effect, requests still run there, or a retry isn't due yet."""
     SEND = "send"
-    """Take the lease if needed and send the next order."""
+    """Acquire the lease if needed and send the next order."""
 
 
 @dataclass(slots=True, kw_only=True)
 class OrderProgress:
-    """One endpoint's orders as this instance knows them."""
+    """State of one endpoint's orders, as this instance knows it."""
 
-    out: bool = False
+    out_of_use: bool = False
     """Whether the endpoint is kept out of use for its orders."""
-    listed: bool = True
-    """Whether the platform's list may name it as out; an earlier keeper may have left it there."""
-    sent: Order | None = None
-    """The last order that may still take effect."""
+    maybe_listed: bool = True
+    """Whether the platform's list may name it; an earlier keeper may have left it there."""
+    pending: Order | None = None
+    """The last order, while it may still take effect."""
     wait_until: float = 0.0
     """Monotonic time before which no order is sent."""
-    refusals: int = 0
-    """Refusals in a row."""
+    rejections: int = 0
+    """Consecutive orders that were rejected or not sent."""
 
     def decide(
         self,
@@ -102,9 +102,10 @@
     ) -> OrderStep:
         """Return the next step.
 
-        Failure: an order whose answer was lost takes effect after the next one, and the endpoint
-        ends with the older version. One order at a time: the next one waits until the report
-        shows the last one's effect, or until it can't take effect any more.
+        Only one order is pending at a time: the next one waits until the report shows the last
+        one's effect, or until that can't take effect any more. Without this, an order whose
+        response was lost may take effect after the next one, and the endpoint ends with the older
+        version.
 
         Args:
             reported: Version by model that the endpoint runs.
@@ -112,38 +113,38 @@
             running: Requests that run there.
             now: Monotonic time.
         """
-        if self.sent is not None:
-            done = reported.get(self.sent.model) == self.sent.version
+        if self.pending is not None:
+            done = reported.get(self.pending.model) == self.pending.version
             if not done and now < self.wait_until:
                 return OrderStep.WAIT
-            self.sent = None
+            self.pending = None
             self.wait_until = 0.0
         if not missing:
-            return OrderStep.FINISH if self.out or self.listed else OrderStep.NOTHING
-        if not self.out:
+            return OrderStep.FINISH if self.out_of_use or self.maybe_listed else OrderStep.NOTHING
+        if not self.out_of_use:
             return OrderStep.TAKE_OUT
         return OrderStep.WAIT if running or now < self.wait_until else OrderStep.SEND
 
     def record(
         self, order: Order, outcome: OrderOutcome, *, now: float, order_time_s: float
     ) -> None:
-        """Take in what became of an order.
+        """Record the outcome of an order.
 
         Args:
-            order: The order.
+            order: The order that was sent.
             outcome: What is known of it.
-            now: Monotonic time after the answer.
-            order_time_s: Longest time in which it can take effect.
+            now: Monotonic time after the response.
+            order_time_s: Longest time in seconds in which it can take effect.
         """
         if outcome in (OrderOutcome.TAKEN, OrderOutcome.UNKNOWN):
-            self.sent = order
+            self.pending = order
             self.wait_until = now + order_time_s
-            self.refusals = 0
+            self.rejections = 0
             return
-        self.refusals += 1
-        self.wait_until = now + compute_retry_wait(self.refusals)
+        self.rejections += 1
+        self.wait_until = now + compute_retry_delay(self.rejections)
 
 
-def compute_retry_wait(refusals: int) -> float:
-    """Return the wait after so many refusals in a row."""
-    return min(_LONGEST_RETRY_S, _FIRST_RETRY_S * 2.0 ** min(refusals - 1, 10))
+def compute_retry_delay(rejections: int) -> float:
+    """Return the seconds to wait after this many consecutive rejections."""
+    return min(_LONGEST_RETRY_S, _FIRST_RETRY_S * 2.0 ** min(rejections - 1, 10))
--- a/tests/order_world.py
+++ b/tests/order_world.py
@@ -1,4 +1,4 @@
-"""A small world in which holders give orders while time passes at every message."""
+"""Simulation of lease holders that send orders while time passes at every message."""
 
 from __future__ import annotations
 
@@ -22,7 +22,7 @@
     from guavamast.platform_client import Check, Row, Write
     from guavamast.world import Configuration, Endpoint
 
-TERMS = LeaseTerms()
+PARAMETERS = LeaseTerms()
 FLEET = """\
 [class chat]
 tier = 1
@@ -48,10 +48,10 @@
 """
 
 
-def make_fleet(
+def build_fleet(
     *, engines: int = 1, fencing: Fencing = Fencing.CHECKED, version: str = "2"
 ) -> Configuration:
-    """Return a fleet whose engines are to run one model."""
+    """Return a fleet whose engines have to run one model."""
     parts = [FLEET.format(key="a" * 64, version=version)]
     for number in range(engines):
         parts.append(ENGINE.format(number=number, port=9000 + number, fencing=fencing))
@@ -60,15 +60,15 @@
 
 @dataclass(frozen=True, slots=True, kw_only=True)
 class Arrival:
-    """An order on its way."""
+    """An order in transit."""
 
     at: float
     sent_at: float
     order: Order
 
 
-class World:
-    """True time, the engines and the orders on their way."""
+class OrderSimulation:
+    """Simulated time, the engines and the orders in transit."""
 
     def __init__(self, *, fencing: Fencing, delays: Iterable[float] = ()) -> None:
         self.now = 1000.0
@@ -81,21 +81,21 @@
         self.effects: list[Arrival] = []
 
     async def pass_time(self) -> None:
-        """Let the next drawn time pass and others run."""
+        """Advance by the next delay and let other tasks run."""
         if self.delays:
             self.advance(self.delays.popleft())
         await asyncio.sleep(0)
 
     def advance(self, seconds: float) -> None:
-        """Let time pass and the orders that are due take effect."""
+        """Advance time and apply the orders that are due."""
         self.now += seconds
         due = sorted((a for a in self.arrivals if a.at <= self.now), key=lambda a: a.at)
         self.arrivals = [arrival for arrival in self.arrivals if arrival.at > self.now]
         for arrival in due:
-            self.take_effect(arrival)
+            self.apply_order(arrival)
 
-    def take_effect(self, arrival: Arrival) -> bool:
-        """Apply an order, unless the engine refuses its number."""
+    def apply_order(self, arrival: Arrival) -> bool:
+        """Apply an order, unless the engine rejects its fencing number."""
         order = arrival.order
         last = self.seen_fencing.get(order.endpoint, 0)
         if self.fencing is Fencing.CHECKED and order.fencing < last:
@@ -107,107 +107,109 @@
 
 
 class SlowPlatform(FakePlatform):
-    """The fake platform, with time passing before and after each effect."""
+    """The fake platform, with delays before and after each operation."""
 
-    def __init__(self, world: World) -> None:
+    def __init__(self, simulation: OrderSimulation) -> None:
         super().__init__()
-        self.world = world
+        self.simulation = simulation
 
     async def transact(self, checks: list[Check], writes: list[Write]) -> list[int]:
-        await self.world.pass_time()
+        await self.simulation.pass_time()
         try:
             return await super().transact(checks, writes)
         finally:
-            await self.world.pass_time()
+            await self.simulation.pass_time()
 
     async def read(self, table: str, key: str) -> Row:
-        await self.world.pass_time()
+        await self.simulation.pass_time()
         row = await super().read(table, key)
-        await self.world.pass_time()
+        await self.simulation.pass_time()
         return row
 
 
 class HolderClock(Clock):
-    """One holder's clock, at its own rate and offset."""
+    """One holder's clock, with its own rate and offset."""
 
-    def __init__(self, world: World, *, rate: float, offset: float) -> None:
-        self.world = world
+    def __init__(self, simulation: OrderSimulation, *, rate: float, offset: float) -> None:
+        self.simulation = simulation
         self.rate = rate
         self.offset = offset
 
     def read_monotonic(self) -> float:
-        return self.world.now * self.rate + self.offset
+        return self.simulation.now * self.rate + self.offset
 
     def read_wall(self) -> float:
-        return self.world.now
+        return self.simulation.now
 
     async def sleep(self, seconds: float) -> None:
-        self.world.advance(seconds)
+        self.simulation.advance(seconds)
 
 
 class FakeSender(OrderSender):
-    """Sends into the world; each order takes the next fate of ``fates``.
+    """Sends orders into the simulation; each order takes the next fault of ``faults``.
 
-    Fates: ``ok``; ``lost`` (effect, no answer); ``limited``; or a number of seconds after which
-    the order takes effect, its answer being lost.
+    Faults: ``ok``; ``lost`` (effect, no response); ``limited``; or a number of seconds after which
+    the order takes effect, with its response lost.
     """
 
-    def __init__(self, world: World) -> None:
-        self.world = world
-        self.fates: deque[str | float] = deque()
+    def __init__(self, simulation: OrderSimulation) -> None:
+        self.simulation = simulation
+        self.faults: deque[str | float] = deque()
         self.sent: list[Order] = []
 
     async def send(self, endpoint: Endpoint, order: Order) -> OrderOutcome:
-        # No await before this line: the sending begins in the moment of the holder's last check.
+        # No await before this line, so that no time passes between the holder's check and the send.
         assert endpoint.name == order.endpoint
-        arrival = Arrival(at=self.world.now, sent_at=self.world.now, order=order)
-        fate = self.fates.popleft() if self.fates else "ok"
-        if fate == "limited":
+        arrival = Arrival(at=self.simulation.now, sent_at=self.simulation.now, order=order)
+        fault = self.faults.popleft() if self.faults else "ok"
+        if fault == "limited":
             return OrderOutcome.LIMITED
         self.sent.append(order)
-        if isinstance(fate, float):
-            self.world.arrivals.append(replace(arrival, at=arrival.at + fate))
-            await self.world.pass_time()
+        if isinstance(fault, float):
+            self.simulation.arrivals.append(replace(arrival, at=arrival.at + fault))
+            await self.simulation.pass_time()
             return OrderOutcome.UNKNOWN
-        taken = self.world.take_effect(arrival)
-        await self.world.pass_time()
-        if fate == "lost":
+        accepted = self.simulation.apply_order(arrival)
+        await self.simulation.pass_time()
+        if fault == "lost":
             return OrderOutcome.UNKNOWN
-        return OrderOutcome.TAKEN if taken else OrderOutcome.OLD_FENCING
+        return OrderOutcome.TAKEN if accepted else OrderOutcome.OLD_FENCING
 
     async def read_report(self, endpoint: Endpoint) -> EndpointReport | None:
-        await self.world.pass_time()
-        return EndpointReport(models=dict(self.world.reported.get(endpoint.name, {})))
+        await self.simulation.pass_time()
+        return EndpointReport(models=dict(self.simulation.reported.get(endpoint.name, {})))
 
 
 class Holder:
-    """One instance that gives orders."""
+    """One instance that sends orders."""
 
-    def __init__(self, world: World, name: str, *, rate: float = 1.0, offset: float = 0.0) -> None:
-        self.world = world
-        self.clock = HolderClock(world, rate=rate, offset=offset)
-        self.sender = FakeSender(world)
+    def __init__(
+        self, simulation: OrderSimulation, name: str, *, rate: float = 1.0, offset: float = 0.0
+    ) -> None:
+        self.simulation = simulation
+        self.clock = HolderClock(simulation, rate=rate, offset=offset)
+        self.sender = FakeSender(simulation)
         numbers = itertools.count(1)
         self.leases = LeaseHolder(
-            platform=world.platform,
+            platform=simulation.platform,
             clock=self.clock,
             holder=name,
             make_nonce=lambda: f"{name}-{next(numbers)}",
-            terms=TERMS,
+            terms=PARAMETERS,
         )
         self.giver = OrderGiver(
-            platform=world.platform,
+            platform=simulation.platform,
             leases=self.leases,
             sender=self.sender,
             clock=self.clock,
-            terms=TERMS,
+            terms=PARAMETERS,
         )
 
     async def run(
         self, fleet: Configuration, *, steps: int = 1, pause_s: float = 5.0, running: int = 0
     ) -> None:
-        """Take steps for every engine with time between them."""
+        """Take steps for every engine, with a pause after each round."""
         for _ in range(steps):
             for endpoint in fleet.endpoints.values():
                 await self.giver.take_step(endpoint, fleet, running=running)
-            self.world.advance(pause_s)
+            self.simulation.advance(pause_s)
--- a/tests/test_hosted_endpoints.py
+++ b/tests/test_hosted_endpoints.py
@@ -1,4 +1,4 @@
-"""Tests of orders to the endpoints of a real keeper host, at a stand-in engine."""
+"""Tests of orders to a stand-in engine whose endpoint a real keeper host serves."""
 
 from __future__ import annotations
 
@@ -25,8 +25,8 @@
 NOW = 100.0
 
 
-def make_view(*names: str) -> MembershipView:
-    """Return live members."""
+def build_view(*names: str) -> MembershipView:
+    """Return a view of live members."""
     domain = FailureDomain(name="d", region="r")
     members = [
         Member(
@@ -55,17 +55,17 @@
         self.host = KeeperHost(clock=lambda: NOW, metrics=NoMetrics())
         self.host.configure(self.fleet)
         self.stream = self.host.connect("entry")
-        self.view = make_view("a")
+        self.view = build_view("a")
         self.kept = HostedEndpoints(
             instance="a",
             host=self.host,
             get_configuration=lambda: self.fleet,
             get_view=lambda: self.view,
         )
-        self.loop = self.make_loop()
+        self.loop = self.build_loop()
 
-    def make_loop(self) -> OrderLoop:
-        """Return the loop over a platform in memory."""
+    def build_loop(self) -> OrderLoop:
+        """Return the order loop on an in-memory platform."""
         platform, clock, terms = FakePlatform(), SystemClock(), LeaseTerms()
         leases = LeaseHolder(
             platform=platform, clock=clock, holder="a", make_nonce=lambda: "n", terms=terms
@@ -76,7 +76,7 @@
         return OrderLoop(giver=giver, kept=self.kept, clock=clock)
 
     def ask(self, ask_id: str) -> str:
-        """Ask for a slot and return the kind of the last answer."""
+        """Request a slot and return the kind of the last response."""
         ask = Ask(
             ask_id=ask_id,
             entry="entry",
@@ -91,7 +91,7 @@
             deadline=NOW + 30.0,
         )
         self.host.take(peer_pb2.EntryMessage(ask=encode_ask(ask, now=NOW)), entry="entry")
-        # A keeper that is new to its endpoint grants nothing until it has a report of its load.
+        # A new keeper grants nothing until it has a load report of its endpoint.
         self.host.record_load(LoadReport(endpoint="e0", as_of=NOW, running=0, kv_free=1.0))
         kinds = []
         while not self.stream.outbox.empty():
@@ -100,26 +100,26 @@
 
     async def test_running_work_ends_before_the_order(self) -> None:
         self.assertEqual(self.ask("r1"), "grant")
-        await self.loop.go_round()
+        await self.loop.run_round()
         self.assertEqual(self.ask("r2"), "refuse")
         self.host.configure(self.fleet)
         self.assertEqual(self.ask("r3"), "refuse", "a hold outlasts a new configuration")
-        await self.loop.go_round()
+        await self.loop.run_round()
         self.assertEqual(self.engine.state.orders, [])
         self.host.take(
             encode_release(Release(ask_id="r1", endpoint="e0", used=True)), entry="entry"
         )
-        await self.loop.go_round()
+        await self.loop.run_round()
         self.assertEqual(self.engine.state.models, {"m": "2"})
-        await self.loop.go_round()
+        await self.loop.run_round()
         self.assertEqual(self.ask("r4"), "grant")
         self.assertEqual(len(self.engine.state.orders), 1)
 
     async def test_keeps_what_the_view_says(self) -> None:
         self.assertEqual([item.name for item in self.kept.list_kept()], ["e0"])
-        self.view = make_view("b")
+        self.view = build_view("b")
         self.assertEqual(self.kept.list_kept(), [])
-        self.view = make_view("a", "b", "c", "d")
+        self.view = build_view("a", "b", "c", "d")
         kept = {
             name: HostedEndpoints(
                 instance=name,
--- a/tests/test_order_http.py
+++ b/tests/test_order_http.py
@@ -10,13 +10,13 @@
 from guavamast.world import Endpoint, EndpointKind
 
 
-def make_order(fencing: int, version: str) -> Order:
+def build_order(fencing: int, version: str) -> Order:
     """Return an order."""
     return Order(endpoint="e", fencing=fencing, model="m", version=version)
 
 
 class OrderHttpTest(unittest.IsolatedAsyncioTestCase):
-    """Each answer of an engine, and none, has its outcome."""
+    """Each response of an engine, and a missing one, maps to its outcome."""
 
     async def test_outcomes(self) -> None:
         sender = HttpOrderSender()
@@ -29,10 +29,12 @@
             endpoint = Endpoint(
                 name="e", kind=EndpointKind.ENGINE, url=engine.url, failure_domain="d", slots=1
             )
-            self.assertEqual(await sender.send(endpoint, make_order(5, "2")), OrderOutcome.TAKEN)
-            self.assertEqual(await sender.send(endpoint, make_order(4, "1")), outcome)
+            self.assertEqual(await sender.send(endpoint, build_order(5, "2")), OrderOutcome.TAKEN)
+            self.assertEqual(await sender.send(endpoint, build_order(4, "1")), outcome)
             report = await sender.read_report(endpoint)
             self.assertEqual(report, EndpointReport(models={"m": version}))
             engine.stop()
-            self.assertEqual(await sender.send(endpoint, make_order(6, "3")), OrderOutcome.NOT_SENT)
+            self.assertEqual(
+                await sender.send(endpoint, build_order(6, "3")), OrderOutcome.NOT_SENT
+            )
             self.assertIsNone(await sender.read_report(endpoint))
--- a/tests/test_order_loop.py
+++ b/tests/test_order_loop.py
@@ -1,4 +1,4 @@
-"""Tests of the loop that gives a dispatcher's orders."""
+"""Tests of the loop that issues a dispatcher's orders."""
 
 from __future__ import annotations
 
@@ -9,22 +9,22 @@
 
 from guavamast.order_loop import KeptEndpoints, OrderLoop
 from guavamast.world import Fencing
-from tests.order_world import Holder, World, make_fleet
+from tests.order_world import Holder, OrderSimulation, build_fleet
 
 if TYPE_CHECKING:
     from guavamast.orders import EndpointReport
     from guavamast.world import Configuration, Endpoint
 
 
-class FakeKept(KeptEndpoints):
-    """A dispatcher's endpoints."""
+class FakeKeptEndpoints(KeptEndpoints):
+    """The endpoints that a dispatcher keeps."""
 
     def __init__(self, fleet: Configuration) -> None:
         self.fleet = fleet
         self.kept = set(fleet.endpoints)
         self.out: set[str] = set()
         self.running = 0
-        self.most_out = 0
+        self.max_out = 0
 
     def read_configuration(self) -> Configuration:
         return self.fleet
@@ -36,35 +36,35 @@
         assert endpoint in self.kept
         return self.running
 
-    def hold(self, endpoint: str, *, out: bool) -> None:
+    def set_out_of_use(self, endpoint: str, *, out: bool) -> None:
         self.out = self.out | {endpoint} if out else self.out - {endpoint}
-        self.most_out = max(self.most_out, len(self.out))
+        self.max_out = max(self.max_out, len(self.out))
 
 
 class OrderLoopTest(unittest.IsolatedAsyncioTestCase):
-    """Rounds bring every kept engine to its versions and end with all of them in use."""
+    """Rounds load the wanted versions on every kept engine and end with all of them in use."""
 
     def setUp(self) -> None:
-        self.world = World(fencing=Fencing.CHECKED)
-        self.holder = Holder(self.world, "a")
-        self.kept = FakeKept(make_fleet(engines=4))
+        self.simulation = OrderSimulation(fencing=Fencing.CHECKED)
+        self.holder = Holder(self.simulation, "a")
+        self.kept = FakeKeptEndpoints(build_fleet(engines=4))
         self.loop = OrderLoop(giver=self.holder.giver, kept=self.kept, clock=self.holder.clock)
 
-    async def go_rounds(self, count: int) -> None:
-        """Go rounds with time between them."""
+    async def run_rounds(self, count: int) -> None:
+        """Run rounds with a pause after each."""
         for _ in range(count):
-            busy = await self.loop.go_round()
+            busy = await self.loop.run_round()
             self.assertEqual(busy, bool(self.kept.out))
-            self.world.advance(5.0)
+            self.simulation.advance(5.0)
 
     async def test_all_engines_load_a_few_at_a_time(self) -> None:
-        await self.go_rounds(20)
-        self.assertEqual(len(self.world.reported), 4)
-        self.assertEqual((self.kept.out, self.kept.most_out), (set(), 1))
+        await self.run_rounds(20)
+        self.assertEqual(len(self.simulation.reported), 4)
+        self.assertEqual((self.kept.out, self.kept.max_out), (set(), 1))
 
     async def test_silent_engines_are_waited_for_together(self) -> None:
-        # Each engine that doesn't answer costs a timeout. One after the other, they would hold up
-        # the others' loading for the sum of them.
+        # Each engine that doesn't respond costs a timeout. Polled one after another, such engines
+        # would delay the loading of the others by the sum of the timeouts.
         sender, waiting, most = self.holder.sender, 0, 0
         read_report = sender.read_report
 
@@ -77,25 +77,25 @@
             return await read_report(endpoint)
 
         with mock.patch.object(sender, "read_report", wait_and_read):
-            await self.loop.go_round()
+            await self.loop.run_round()
         self.assertEqual(most, 4)
 
     async def test_an_outage_holds_up_nothing_for_good(self) -> None:
-        # The platform is down for a while in the middle of a rollout. The loop must live on, and
-        # an endpoint that has loaded gets work again although its entry can't be taken off.
-        await self.go_rounds(2)
+        # The platform fails for a while during a rollout. The loop must continue, and an endpoint
+        # that has loaded gets work again although its list entry can't be removed.
+        await self.run_rounds(2)
         self.assertEqual(len(self.kept.out), 1)
-        self.world.platform.down_calls = 1000
-        await self.go_rounds(5)
+        self.simulation.platform.down_calls = 1000
+        await self.run_rounds(5)
         self.assertEqual(self.kept.out, set())
-        self.world.platform.down_calls = 0
-        await self.go_rounds(20)
-        self.assertEqual(len(self.world.reported), 4)
+        self.simulation.platform.down_calls = 0
+        await self.run_rounds(20)
+        self.assertEqual(len(self.simulation.reported), 4)
 
     async def test_an_endpoint_that_another_keeps_is_let_go(self) -> None:
         self.kept.running = 1
-        await self.go_rounds(3)
+        await self.run_rounds(3)
         self.assertEqual(self.kept.out, {"e0"})
         self.kept.kept.discard("e0")
-        await self.go_rounds(1)
+        await self.run_rounds(1)
         self.assertNotIn("e0", self.kept.out)
--- a/tests/test_orders.py
+++ b/tests/test_orders.py
@@ -1,177 +1,182 @@
-"""Tests of orders under leases: pauses, two holders, lost answers, a rate-limited store."""
+"""Tests of orders under leases: pauses, two holders, lost responses, a rate-limited store."""
 
 from __future__ import annotations
 
 import unittest
 
-from guavamast.order_giver import OUT_KEY, ROLLOUT_TABLE, read_out_row
+from guavamast.order_giver import OUT_OF_USE_KEY, ROLLOUT_TABLE, decode_out_of_use
 from guavamast.platform_client import PlatformUnavailable
 from guavamast.rollouts import RolloutLimits, may_take_out
 from guavamast.world import Fencing
-from tests.order_world import TERMS, Holder, World, make_fleet
+from tests.order_world import PARAMETERS, Holder, OrderSimulation, build_fleet
 
-WHOLE_WAIT_S = (TERMS.duration_s + TERMS.order_time_s) * (1.0 + TERMS.clock_drift)
+FULL_WAIT_S = (PARAMETERS.duration_s + PARAMETERS.order_time_s) * (1.0 + PARAMETERS.clock_drift)
 
 
 class OrdersTest(unittest.IsolatedAsyncioTestCase):
-    """Endpoints end with the versions of the configuration, whoever gave the orders."""
+    """Endpoints end with the versions of the configuration, whoever sent the orders."""
 
-    def list_out(self, world: World) -> frozenset[str]:
-        """Return the endpoints that the platform names as out of use."""
-        return read_out_row(world.platform.find_row(ROLLOUT_TABLE, OUT_KEY))
+    def list_out(self, simulation: OrderSimulation) -> frozenset[str]:
+        """Return the endpoints that the platform lists as out of use."""
+        return decode_out_of_use(simulation.platform.find_row(ROLLOUT_TABLE, OUT_OF_USE_KEY))
 
     async def test_loads_and_gives_everything_back(self) -> None:
-        world = World(fencing=Fencing.CHECKED)
-        holder, fleet = Holder(world, "a"), make_fleet()
+        simulation = OrderSimulation(fencing=Fencing.CHECKED)
+        holder, fleet = Holder(simulation, "a"), build_fleet()
         await holder.run(fleet)
-        self.assertTrue(holder.giver.is_out("e0"))
-        self.assertEqual(self.list_out(world), {"e0"})
+        self.assertTrue(holder.giver.is_out_of_use("e0"))
+        self.assertEqual(self.list_out(simulation), {"e0"})
         await holder.run(fleet, steps=4)
-        self.assertEqual(world.reported["e0"], {"m": "2"})
-        self.assertFalse(holder.giver.is_out("e0"))
-        self.assertEqual(self.list_out(world), frozenset())
+        self.assertEqual(simulation.reported["e0"], {"m": "2"})
+        self.assertFalse(holder.giver.is_out_of_use("e0"))
+        self.assertEqual(self.list_out(simulation), frozenset())
         self.assertEqual(len(holder.sender.sent), 1)
-        writes = len(world.platform.applied)
+        writes = len(simulation.platform.applied)
         await holder.run(fleet, steps=3)
-        self.assertEqual(len(world.platform.applied), writes, "a quiet fleet writes nothing")
+        self.assertEqual(
+            len(simulation.platform.applied), writes, "a fleet without changes writes nothing"
+        )
 
     async def test_waits_for_running_work(self) -> None:
-        world = World(fencing=Fencing.CHECKED)
-        holder, fleet = Holder(world, "a"), make_fleet()
+        simulation = OrderSimulation(fencing=Fencing.CHECKED)
+        holder, fleet = Holder(simulation, "a"), build_fleet()
         await holder.run(fleet, steps=5, running=3)
-        self.assertEqual((holder.giver.is_out("e0"), holder.sender.sent), (True, []))
+        self.assertEqual((holder.giver.is_out_of_use("e0"), holder.sender.sent), (True, []))
         await holder.run(fleet, steps=3)
-        self.assertEqual(world.reported["e0"], {"m": "2"})
+        self.assertEqual(simulation.reported["e0"], {"m": "2"})
 
     async def test_lapsed_lease_during_a_pause(self) -> None:
-        # Holder a takes the lease and is paused past its end before it learns so. Another may
-        # have ordered a newer version by then, which a's order would overwrite at an endpoint
-        # that ignores numbers. Its check right before sending keeps that order back.
-        world = World(fencing=Fencing.IGNORED)
-        holder, fleet = Holder(world, "a"), make_fleet(fencing=Fencing.IGNORED)
+        # Holder a acquires the lease and is paused past its end before it gets the response.
+        # Another may have ordered a newer version by then, which a's order would overwrite at an
+        # endpoint that ignores fencing numbers. The check right before the send prevents it.
+        simulation = OrderSimulation(fencing=Fencing.IGNORED)
+        holder, fleet = Holder(simulation, "a"), build_fleet(fencing=Fencing.IGNORED)
         await holder.run(fleet)
-        for pause_s, orders in ((TERMS.duration_s - TERMS.margin_s, 0), (1.0, 1)):
-            # Time passes once in the report, twice in reading the lease and twice in taking it.
-            world.delays.extend([0.0, 0.0, 0.0, 0.0, pause_s])
+        for pause_s, orders in ((PARAMETERS.duration_s - PARAMETERS.margin_s, 0), (1.0, 1)):
+            # Delays apply once to the report, twice to reading the lease and twice to acquiring it.
+            simulation.delays.extend([0.0, 0.0, 0.0, 0.0, pause_s])
             await holder.run(fleet, pause_s=0.0)
             self.assertEqual(len(holder.sender.sent), orders, pause_s)
 
     async def test_new_holder_waits_out_an_endpoint_that_ignores_the_number(self) -> None:
-        # Holder a sends an order, dies, and the order arrives at the last moment at which it can.
-        # The endpoint would take it after b's newer order. So b orders only after the old lease
-        # and the longest order time; where numbers are checked it only waits for the lease.
+        # Holder a sends an order and dies, and the order arrives at the end of the longest order
+        # time. The endpoint would apply it after b's newer order. So b sends only after the old
+        # lease and the longest order time; where fencing numbers are checked it only waits for
+        # the lease.
         for fencing, wait_s in (
-            (Fencing.IGNORED, WHOLE_WAIT_S),
-            (Fencing.CHECKED, TERMS.duration_s * (1.0 + TERMS.clock_drift)),
+            (Fencing.IGNORED, FULL_WAIT_S),
+            (Fencing.CHECKED, PARAMETERS.duration_s * (1.0 + PARAMETERS.clock_drift)),
         ):
-            world = World(fencing=fencing)
-            first, second = Holder(world, "a"), Holder(world, "b")
-            first.sender.fates.append(TERMS.order_time_s)
-            await first.run(make_fleet(fencing=fencing, version="1"), steps=2, pause_s=0.0)
+            simulation = OrderSimulation(fencing=fencing)
+            first, second = Holder(simulation, "a"), Holder(simulation, "b")
+            first.sender.faults.append(PARAMETERS.order_time_s)
+            await first.run(build_fleet(fencing=fencing, version="1"), steps=2, pause_s=0.0)
             self.assertEqual(len(first.sender.sent), 1)
-            began = world.now
-            fleet = make_fleet(fencing=fencing, version="2")
+            started_at = simulation.now
+            fleet = build_fleet(fencing=fencing, version="2")
             while not second.sender.sent:
                 await second.run(fleet, pause_s=1.0)
-            self.assertAlmostEqual(world.now - began, wait_s, delta=3.0)
-            world.advance(TERMS.order_time_s)
-            self.assertEqual(world.reported["e0"], {"m": "2"}, fencing)
+            self.assertAlmostEqual(simulation.now - started_at, wait_s, delta=3.0)
+            simulation.advance(PARAMETERS.order_time_s)
+            self.assertEqual(simulation.reported["e0"], {"m": "2"}, fencing)
 
     async def test_late_order_of_a_paused_holder_is_repaired(self) -> None:
-        # Holder a is paused between its check and its sending for longer than any wait, so its
-        # order overwrites b's at an endpoint that ignores numbers. The caller could get the old
-        # version; b sees it in the endpoint's report, takes it out and loads again.
-        world = World(fencing=Fencing.IGNORED)
-        first, second = Holder(world, "a"), Holder(world, "b")
-        first.sender.fates.append(1000.0)
-        await first.run(make_fleet(fencing=Fencing.IGNORED, version="1"), steps=2, pause_s=0.0)
-        fleet = make_fleet(fencing=Fencing.IGNORED, version="2")
+        # Holder a is paused between its check and its send for longer than any wait, so its order
+        # overwrites b's at an endpoint that ignores fencing numbers. Callers could get the old
+        # version; b sees it in the report, takes the endpoint out of use and loads again.
+        simulation = OrderSimulation(fencing=Fencing.IGNORED)
+        first, second = Holder(simulation, "a"), Holder(simulation, "b")
+        first.sender.faults.append(1000.0)
+        await first.run(build_fleet(fencing=Fencing.IGNORED, version="1"), steps=2, pause_s=0.0)
+        fleet = build_fleet(fencing=Fencing.IGNORED, version="2")
         await second.run(fleet, steps=60)
-        self.assertEqual(world.reported["e0"], {"m": "2"})
-        world.advance(1000.0)
-        self.assertEqual(world.reported["e0"], {"m": "1"})
+        self.assertEqual(simulation.reported["e0"], {"m": "2"})
+        simulation.advance(1000.0)
+        self.assertEqual(simulation.reported["e0"], {"m": "1"})
         await second.run(fleet, steps=6)
-        self.assertEqual(world.reported["e0"], {"m": "2"})
-        self.assertFalse(second.giver.is_out("e0"))
+        self.assertEqual(simulation.reported["e0"], {"m": "2"})
+        self.assertFalse(second.giver.is_out_of_use("e0"))
 
     async def test_lost_answer_is_not_ordered_twice(self) -> None:
-        # The engine takes the order and its answer is lost. Sent again, a load of many minutes
-        # would begin a second time; the report shows the effect, so nothing is sent again.
-        world = World(fencing=Fencing.CHECKED)
-        holder, fleet = Holder(world, "a"), make_fleet()
-        holder.sender.fates.append("lost")
+        # The engine accepts the order and its response is lost. A retry would start a load of many
+        # minutes a second time; the report shows the effect, so nothing is sent again.
+        simulation = OrderSimulation(fencing=Fencing.CHECKED)
+        holder, fleet = Holder(simulation, "a"), build_fleet()
+        holder.sender.faults.append("lost")
         await holder.run(fleet, steps=10)
         self.assertEqual(len(holder.sender.sent), 1)
-        self.assertFalse(holder.giver.is_out("e0"))
+        self.assertFalse(holder.giver.is_out_of_use("e0"))
 
     async def test_one_order_at_a_time(self) -> None:
-        # An order's answer is lost and it takes effect a minute later. A new plan meanwhile asks
+        # An order's response is lost and it takes effect a minute later. Meanwhile a new plan asks
         # for another version. Ordered at once, that version would be overwritten by the late
-        # one, so the holder waits until the report shows the late one's effect.
-        world = World(fencing=Fencing.IGNORED)
-        holder = Holder(world, "a")
-        holder.sender.fates.append(60.0)
-        await holder.run(make_fleet(fencing=Fencing.IGNORED, version="1"), steps=2)
-        await holder.run(make_fleet(fencing=Fencing.IGNORED, version="2"), steps=10)
+        # order, so the holder waits until the report shows the late order's effect.
+        simulation = OrderSimulation(fencing=Fencing.IGNORED)
+        holder = Holder(simulation, "a")
+        holder.sender.faults.append(60.0)
+        await holder.run(build_fleet(fencing=Fencing.IGNORED, version="1"), steps=2)
+        await holder.run(build_fleet(fencing=Fencing.IGNORED, version="2"), steps=10)
         self.assertEqual([order.version for order in holder.sender.sent], ["1"])
-        await holder.run(make_fleet(fencing=Fencing.IGNORED, version="2"), steps=5)
+        await holder.run(build_fleet(fencing=Fencing.IGNORED, version="2"), steps=5)
         self.assertEqual([order.version for order in holder.sender.sent], ["1", "2"])
-        self.assertEqual(world.reported["e0"], {"m": "2"})
+        self.assertEqual(simulation.reported["e0"], {"m": "2"})
 
     async def test_rate_limited_store_is_asked_less_and_less(self) -> None:
-        world = World(fencing=Fencing.CHECKED)
-        holder, fleet = Holder(world, "a"), make_fleet()
-        holder.sender.fates.extend(["limited"] * 5)
-        began = world.now
-        while "e0" not in world.reported:
+        simulation = OrderSimulation(fencing=Fencing.CHECKED)
+        holder, fleet = Holder(simulation, "a"), build_fleet()
+        holder.sender.faults.extend(["limited"] * 5)
+        started_at = simulation.now
+        while "e0" not in simulation.reported:
             await holder.run(fleet, pause_s=1.0)
-        self.assertEqual(len(holder.sender.fates), 0)
-        self.assertGreater(world.now - began, 5 + 10 + 20 + 40 + 80)
+        self.assertEqual(len(holder.sender.faults), 0)
+        self.assertGreater(simulation.now - started_at, 5 + 10 + 20 + 40 + 80)
 
     async def test_next_keeper_cleans_up_after_one_that_died(self) -> None:
-        world = World(fencing=Fencing.CHECKED)
-        first, second, fleet = Holder(world, "a"), Holder(world, "b"), make_fleet()
+        simulation = OrderSimulation(fencing=Fencing.CHECKED)
+        first, second, fleet = Holder(simulation, "a"), Holder(simulation, "b"), build_fleet()
         await first.run(fleet, steps=2)
-        self.assertEqual((world.reported["e0"], self.list_out(world)), ({"m": "2"}, {"e0"}))
+        self.assertEqual(
+            (simulation.reported["e0"], self.list_out(simulation)), ({"m": "2"}, {"e0"})
+        )
         await second.run(fleet)
-        self.assertEqual(self.list_out(world), frozenset())
+        self.assertEqual(self.list_out(simulation), frozenset())
 
     async def test_platform_outage_puts_a_loaded_endpoint_back_into_use(self) -> None:
-        world = World(fencing=Fencing.CHECKED)
-        holder, fleet = Holder(world, "a"), make_fleet()
+        simulation = OrderSimulation(fencing=Fencing.CHECKED)
+        holder, fleet = Holder(simulation, "a"), build_fleet()
         await holder.run(fleet, steps=2)
-        world.platform.down_calls = 2
+        simulation.platform.down_calls = 2
         with self.assertRaises(PlatformUnavailable):
             await holder.run(fleet)
-        self.assertFalse(holder.giver.is_out("e0"))
+        self.assertFalse(holder.giver.is_out_of_use("e0"))
         await holder.run(fleet, steps=2)
-        self.assertEqual(self.list_out(world), frozenset())
+        self.assertEqual(self.list_out(simulation), frozenset())
 
     async def test_rollout_is_bounded_and_stops_for_a_new_plan(self) -> None:
-        # Version 2 turns out bad while two of nine engines load it. The operators confirm
-        # version 1 again: no further engine is taken out, and the two load version 1.
-        world = World(fencing=Fencing.CHECKED)
-        holder = Holder(world, "a")
-        old, new = make_fleet(engines=9, version="1"), make_fleet(engines=9, version="2")
+        # Version 2 proves faulty while two of nine engines load it. The operators confirm version 1
+        # again: no further engine is taken out of use, and the two load version 1.
+        simulation = OrderSimulation(fencing=Fencing.CHECKED)
+        holder = Holder(simulation, "a")
+        old, new = build_fleet(engines=9, version="1"), build_fleet(engines=9, version="2")
         for name in old.endpoints:
-            world.reported[name] = {"m": "1"}
+            simulation.reported[name] = {"m": "1"}
         most = 0
         for _ in range(2):
             await holder.run(new)
-            most = max(most, len(self.list_out(world)))
+            most = max(most, len(self.list_out(simulation)))
         self.assertEqual((most, len(holder.sender.sent)), (2, 2))
         await holder.run(old, steps=6)
-        self.assertEqual(set(map(str, world.reported.values())), {"{'m': '1'}"})
-        self.assertEqual(self.list_out(world), frozenset())
+        self.assertEqual(set(map(str, simulation.reported.values())), {"{'m': '1'}"})
+        self.assertEqual(self.list_out(simulation), frozenset())
         await holder.run(new, steps=60)
-        self.assertEqual(set(map(str, world.reported.values())), {"{'m': '2'}"})
+        self.assertEqual(set(map(str, simulation.reported.values())), {"{'m': '2'}"})
 
 
 class RolloutsTest(unittest.TestCase):
     """Limits of what may be out of use at once."""
 
     def test_floor_and_number(self) -> None:
-        fleet = make_fleet(engines=4)
+        fleet = build_fleet(engines=4)
         limits = RolloutLimits(loading=3, floor=0.5)
         endpoint = fleet.endpoints["e0"]
         allowed = [
@@ -183,5 +188,5 @@
         self.assertFalse(may_take_out(fleet, endpoint, out=["e1"], limits=few))
 
     def test_a_group_of_one_can_load(self) -> None:
-        fleet = make_fleet(engines=1)
+        fleet = build_fleet(engines=1)
         self.assertTrue(may_take_out(fleet, fleet.endpoints["e0"], out=[]))
