--- a/src/guavamast/order_loop.py
+++ b/src/guavamast/order_loop.py
@@ -90,7 +90,7 @@
             get_logger().info("orders to %s are delayed: %s", engine.name, error)
         else:
             if step not in (OrderStep.NOTHING, OrderStep.WAIT):
-                get_logger().info("orders to %s: next step %s", engine.name, step)
+                get_logger().info("orders to %s: decided on step %s", engine.name, step)
         # Also after an error, so that a loaded endpoint is used again while the platform is down.
         self._kept.set_out_of_use(engine.name, out=self._giver.is_out_of_use(engine.name))
 
