--- a/src/guavamast/allotments.py
+++ b/src/guavamast/allotments.py
@@ -23,18 +23,18 @@
 """Seconds of an entry's demand that it gets ahead; more when the home is busy."""
 PREFETCH_SHARE: Final = 0.25
 """Greatest share of the tokens and of the free concurrency that one answer gives ahead."""
-HOLD_S: Final = 0.1
+MIN_HOLD_S: Final = 0.1
 """Least time after a short answer until an entry asks again."""
 ASKS_PER_S: Final = 20.0
 """Asks a second that a home takes of an organisation above its limit; holds follow from it."""
-RENEWAL_S: Final = 4.0
+RENEWAL_INTERVAL_S: Final = 4.0
 """Interval in which running requests are told anew."""
 VALIDITY_S: Final = 12.0
 """Time for which a part may be used; two lost renewals do no harm."""
-LONGEST_HOLD_S: Final = 10.0
-CAUTION_S: Final = VALIDITY_S
+MAX_HOLD_S: Final = 10.0
+HANDOVER_S: Final = VALIDITY_S
 """Time after a change of home for which the last home's parts may still be in use."""
-CAUTION_SHARE: Final = 0.25
+HANDOVER_SHARE: Final = 0.25
 """Share of what seems free that one answer may hand out during that time."""
 TIGHT_SHARE: Final = 0.7
 """Share of the concurrency in use from which parts not needed are to be given back at once."""
@@ -78,55 +78,55 @@
 
 
 @dataclass(slots=True, kw_only=True)
-class _Holder:
+class _Reservation:
     sequence: int = -1
     concurrent: int = 0
     """Most that the entry may use until its next ask or its expiry."""
     expires_at: float = float("-inf")
 
 
-class _Book:
+class _OrganisationState:
     """The tokens and the parts of one organisation, with their running sum."""
 
-    __slots__ = ("asks", "concurrent", "expiries", "holders", "tokens", "updated")
+    __slots__ = ("ask_rate", "concurrent", "expiries", "reservations", "tokens", "updated_at")
 
     def __init__(self, *, tokens: float, now: float) -> None:
-        self.holders: dict[str, _Holder] = {}
+        self.reservations: dict[str, _Reservation] = {}
         self.expiries: list[tuple[float, str]] = []
         self.tokens = tokens
         self.concurrent = 0
-        self.asks = 0.0
+        self.ask_rate = 0.0
         """Asks of late, each fading over a second."""
-        self.updated = now
+        self.updated_at = now
 
     def advance(self, rate: float, now: float) -> None:
         """Fill the bucket and drop the holders whose parts have run out."""
-        elapsed = max(0.0, now - self.updated)
-        self.updated = max(self.updated, now)
+        elapsed = max(0.0, now - self.updated_at)
+        self.updated_at = max(self.updated_at, now)
         self.tokens = min(max(1.0, rate * BURST_S), self.tokens + elapsed * rate)
-        self.asks = self.asks * math.exp(-elapsed) + 1.0
+        self.ask_rate = self.ask_rate * math.exp(-elapsed) + 1.0
         while self.expiries and self.expiries[0][0] <= now:
             _, entry = heapq.heappop(self.expiries)
-            holder = self.holders.get(entry)
-            if holder is not None and holder.expires_at <= now:
-                self.take_out(entry)
+            reservation = self.reservations.get(entry)
+            if reservation is not None and reservation.expires_at <= now:
+                self.remove_reservation(entry)
 
-    def take_out(self, entry: str) -> _Holder:
+    def remove_reservation(self, entry: str) -> _Reservation:
         """Remove a holder from the sum and return it; a new one when it is unknown."""
-        holder = self.holders.pop(entry, None)
-        if holder is None:
-            return _Holder()
-        self.concurrent -= holder.concurrent
-        return holder
+        reservation = self.reservations.pop(entry, None)
+        if reservation is None:
+            return _Reservation()
+        self.concurrent -= reservation.concurrent
+        return reservation
 
-    def put_in(self, entry: str, holder: _Holder) -> None:
+    def add_reservation(self, entry: str, reservation: _Reservation) -> None:
         """Add a holder to the sum."""
-        self.holders[entry] = holder
-        self.concurrent += holder.concurrent
-        heapq.heappush(self.expiries, (holder.expires_at, entry))
+        self.reservations[entry] = reservation
+        self.concurrent += reservation.concurrent
+        heapq.heappush(self.expiries, (reservation.expires_at, entry))
 
 
-def find_home(organisation: str, view: MembershipView) -> Member | None:
+def select_home(organisation: str, view: MembershipView) -> Member | None:
     """Return the member whose dispatcher is an organisation's home in this view."""
     return max(
         view.list_serving(),
@@ -144,10 +144,10 @@
     An answer costs the same whatever the number of entries: no answer looks at other holders.
     """
 
-    __slots__ = ("_books", "_changed_at")
+    __slots__ = ("_states", "_changed_at")
 
     def __init__(self) -> None:
-        self._books: dict[str, _Book] = {}
+        self._states: dict[str, _OrganisationState] = {}
         self._changed_at: float | None = None
 
     def record_view_change(self, *, now: float) -> None:
@@ -168,59 +168,61 @@
             now: The present time.
         """
         contract = organisation.contract
-        book = self._find(ask.organisation, contract.requests_per_second, now)
-        book.advance(contract.requests_per_second, now)
-        known = book.holders.get(ask.entry)
+        state = self._get_state(ask.organisation, contract.requests_per_second, now)
+        state.advance(contract.requests_per_second, now)
+        known = state.reservations.get(ask.entry)
         if known is not None and ask.sequence <= known.sequence:
             return None
-        previous = book.take_out(ask.entry)
-        allotment = self._allot(ask, book, contract.concurrent, now)
-        book.tokens -= allotment.tokens
+        previous = state.remove_reservation(ask.entry)
+        allotment = self._allot(ask, state, contract.concurrent, now)
+        state.tokens -= allotment.tokens
         # Failure: the entry never gets this answer and uses its last part to the end, while its cut
         # is handed to others. The greater of both stays booked until the entry's next ask.
-        holder = _Holder(
+        reservation = _Reservation(
             sequence=ask.sequence,
             concurrent=max(allotment.concurrent, ask.held_concurrent),
             expires_at=max(now + allotment.valid_for_s, previous.expires_at),
         )
-        book.put_in(ask.entry, holder)
+        state.add_reservation(ask.entry, reservation)
         return allotment
 
     def forget_idle(self, *, now: float) -> None:
         """Drop the books that nobody has asked for since all of their parts ran out."""
-        for name, book in list(self._books.items()):
-            if now - book.updated > VALIDITY_S:
-                del self._books[name]
-
-    def _find(self, name: str, rate: float, now: float) -> _Book:
-        book = self._books.get(name)
-        if book is None:
-            share = CAUTION_SHARE if self._is_cautious(now) else 1.0
-            book = _Book(tokens=max(1.0, rate * BURST_S * share), now=now)
-            self._books[name] = book
-        return book
-
-    def _is_cautious(self, now: float) -> bool:
-        return self._changed_at is not None and now - self._changed_at < CAUTION_S
-
-    def _allot(self, ask: AllotmentAsk, book: _Book, limit: int, now: float) -> Allotment:
-        left = max(0, limit - book.concurrent)
-        held = min(ask.held_concurrent, left)
-        free = left - held
-        if self._is_cautious(now):
-            free = math.ceil(free * CAUTION_SHARE)
-        tokens = min(ask.tokens_wanted, int(book.tokens))
+        for name, state in list(self._states.items()):
+            if now - state.updated_at > VALIDITY_S:
+                del self._states[name]
+
+    def _get_state(self, name: str, rate: float, now: float) -> _OrganisationState:
+        state = self._states.get(name)
+        if state is None:
+            share = HANDOVER_SHARE if self._in_handover(now) else 1.0
+            state = _OrganisationState(tokens=max(1.0, rate * BURST_S * share), now=now)
+            self._states[name] = state
+        return state
+
+    def _in_handover(self, now: float) -> bool:
+        return self._changed_at is not None and now - self._changed_at < HANDOVER_S
+
+    def _allot(
+        self, ask: AllotmentAsk, state: _OrganisationState, limit: int, now: float
+    ) -> Allotment:
+        available = max(0, limit - state.concurrent)
+        held = min(ask.held_concurrent, available)
+        free = available - held
+        if self._in_handover(now):
+            free = math.ceil(free * HANDOVER_SHARE)
+        tokens = min(ask.tokens_wanted, int(state.tokens))
         concurrent = min(ask.concurrent_wanted, held + free)
-        busy = max(1.0, book.asks / ASKS_PER_S)
-        hold_s = min(LONGEST_HOLD_S, HOLD_S * busy * busy)
-        ahead_s = max(PREFETCH_S, hold_s)
-        tight = book.concurrent + ask.concurrent_wanted > TIGHT_SHARE * limit
+        overload = max(1.0, state.ask_rate / ASKS_PER_S)
+        hold_s = min(MAX_HOLD_S, MIN_HOLD_S * overload * overload)
+        prefetch_s = max(PREFETCH_S, hold_s)
+        tight = state.concurrent + ask.concurrent_wanted > TIGHT_SHARE * limit
         if tokens == ask.tokens_wanted:
-            ahead = (book.tokens - tokens) * PREFETCH_SHARE
-            tokens += int(min(ask.rate_wanted * ahead_s, ahead))
+            ahead = (state.tokens - tokens) * PREFETCH_SHARE
+            tokens += int(min(ask.rate_wanted * prefetch_s, ahead))
         if not tight:
             ahead = (held + free - concurrent) * PREFETCH_SHARE
-            concurrent += int(min(ask.rate_wanted * ahead_s, ahead))
+            concurrent += int(min(ask.rate_wanted * prefetch_s, ahead))
         return Allotment(
             organisation=ask.organisation,
             sequence=ask.sequence,
--- a/src/guavamast/group_commit.py
+++ b/src/guavamast/group_commit.py
@@ -89,7 +89,7 @@
         "_arrivals",
         "_client",
         "_clock",
-        "_gathering",
+        "_flush_scheduled",
         "_in_flight",
         "_pending",
         "_tasks",
@@ -102,7 +102,7 @@
         self._window_s = window_s
         self._pending: deque[_Submission] = deque()
         self._arrivals = ArrivalRate()
-        self._gathering = False
+        self._flush_scheduled = False
         self._in_flight = 0
         self._tasks: set[asyncio.Task[None]] = set()
 
@@ -111,7 +111,7 @@
         submission = _Submission(checks, writes)
         self._pending.append(submission)
         self._arrivals.record(now=self._clock.read_monotonic())
-        self._gather()
+        self._schedule_flush()
         return await submission.result
 
     async def read(self, table: str, key: str) -> Row:
@@ -134,10 +134,10 @@
         """Return the platform's list of instances."""
         return await self._client.list_instances()
 
-    def _gather(self) -> None:
-        if self._gathering or not self._pending or self._in_flight >= IN_FLIGHT_LIMIT:
+    def _schedule_flush(self) -> None:
+        if self._flush_scheduled or not self._pending or self._in_flight >= IN_FLIGHT_LIMIT:
             return
-        self._gathering = True
+        self._flush_scheduled = True
         self._start(self._flush_after_window())
 
     def _start(self, work: Coroutine[Any, Any, None]) -> None:
@@ -148,13 +148,13 @@
     async def _flush_after_window(self) -> None:
         if self._arrivals.is_busy:
             await self._clock.sleep(self._window_s)
-        self._gathering = False
-        group = take_group(self._pending)
+        self._flush_scheduled = False
+        group = pop_group(self._pending)
         self._in_flight += 1
-        self._gather()
+        self._schedule_flush()
         await self._commit(group)
         self._in_flight -= 1
-        self._gather()
+        self._schedule_flush()
 
     async def _commit(self, group: list[_Submission]) -> None:
         try:
@@ -180,7 +180,7 @@
         await asyncio.gather(self._commit(group[:middle]), self._commit(group[middle:]))
 
 
-def take_group(pending: deque[_Submission]) -> list[_Submission]:
+def pop_group(pending: deque[_Submission]) -> list[_Submission]:
     """Take the next group off the front: transactions that share no row.
 
     Failure: two callers insert the same key at the same moment. In one transaction both checks
--- a/src/guavamast/limit_gate.py
+++ b/src/guavamast/limit_gate.py
@@ -6,7 +6,7 @@
 from typing import TYPE_CHECKING, Final
 
 from guavamast._allotment_wire import decode_allotment, encode_allotment_ask
-from guavamast.allotments import find_home
+from guavamast.allotments import select_home
 from guavamast.errors import Refusal, SendLatch
 from guavamast.limits import AdmissionState
 
@@ -57,11 +57,11 @@
         """
         admission = self._limiter.admit(organisation, now=self._clock())
         while admission.state is AdmissionState.PENDING:
-            await self._wait_answer(organisation.name, admission.retry_after_s)
+            await self._wait_for_allotment(organisation.name, admission.retry_after_s)
             admission = self._limiter.admit(organisation, now=self._clock())
         self._send_asks()
         if admission.state is AdmissionState.REFUSED:
-            raise self._refuse(organisation, admission.code, admission.retry_after_s)
+            raise self._create_rejection(organisation, admission.code, admission.retry_after_s)
 
     def release(self, organisation: Organisation) -> None:
         """End an admitted request."""
@@ -81,11 +81,11 @@
             await asyncio.sleep(RENEW_INTERVAL_S)
             self._send_asks()
 
-    async def _wait_answer(self, organisation: str, at_most_s: float) -> None:
+    async def _wait_for_allotment(self, organisation: str, timeout_s: float) -> None:
         answered = self._answered.setdefault(organisation, asyncio.Event())
         self._send_asks()
         try:
-            async with asyncio.timeout(at_most_s):
+            async with asyncio.timeout(timeout_s):
                 await answered.wait()
         except TimeoutError:
             # The home does not answer; the next admission falls back to the even part.
@@ -98,10 +98,12 @@
                 self._links.send(address, encode_allotment_ask(ask))
 
     def _find_home_address(self, ask: AllotmentAsk) -> str:
-        home = find_home(ask.organisation, self._state.view)
+        home = select_home(ask.organisation, self._state.view)
         return home.instance.peer_address if home else ""
 
-    def _refuse(self, organisation: Organisation, code: str, retry_after_s: float) -> Refusal:
+    def _create_rejection(
+        self, organisation: Organisation, code: str, retry_after_s: float
+    ) -> Refusal:
         return SendLatch().refuse(
             code,
             f"{organisation.name} has reached a limit of its contract",
--- a/src/guavamast/limits.py
+++ b/src/guavamast/limits.py
@@ -13,7 +13,7 @@
 from math import exp
 from typing import TYPE_CHECKING, Final
 
-from guavamast.allotments import BURST_S, PREFETCH_S, RENEWAL_S, AllotmentAsk
+from guavamast.allotments import BURST_S, PREFETCH_S, RENEWAL_INTERVAL_S, AllotmentAsk
 from guavamast.errors import ErrorCode
 from guavamast.rendezvous import rank
 
@@ -24,17 +24,17 @@
 
 ASK_TIMEOUT_S: Final = 0.5
 """Time without an answer after which an entry falls back to its even part."""
-DEMAND_S: Final = 5.0
+DEMAND_WINDOW_S: Final = 5.0
 """Time over which an entry's demand is averaged."""
-REPEAT_S: Final = 5.0
+ASK_RETRY_INTERVAL_S: Final = 5.0
 """Interval of asks to a home that does not answer."""
 LOW_TOKENS_S: Final = 0.5
 """Seconds of an entry's demand that its tokens last when it asks for more ahead of need."""
-RETURN_INTERVAL_S: Final = 0.25
+MIN_RETURN_DELAY_S: Final = 0.25
 """Least time for which an entry keeps concurrency that it does not need."""
-RETURN_LATEST_S: Final = 2.0
+MAX_RETURN_DELAY_S: Final = 2.0
 """Longest time for which concurrency that is not needed is kept when the limit is near."""
-IDLE_S: Final = 30.0
+IDLE_TIMEOUT_S: Final = 30.0
 """Time without a request after which an organisation is forgotten."""
 
 
@@ -76,9 +76,9 @@
     concurrent: int = 0
     valid_until: float = float("-inf")
     renew_at: float = float("-inf")
-    refuse_until: float = float("-inf")
+    reject_until: float = float("-inf")
     """Until then the home had no more to give, so that asking again is useless."""
-    ahead_at: float = float("-inf")
+    prefetch_at: float = float("-inf")
     """From then on tokens may be asked for ahead of need."""
     return_at: float = float("-inf")
     """From then on concurrency that is not needed may be given back."""
@@ -88,14 +88,14 @@
     asked_at: float | None = None
     """Time of the ask that has no answer yet."""
     last_ask: AllotmentAsk | None = None
-    level: float = 0.0
+    demand: float = 0.0
     """Arrivals, each fading over `DEMAND_S`."""
-    level_at: float = 0.0
+    demand_at: float = 0.0
     pending: int = 0
     """Requests that wait for the first answer; part of the next wish."""
     in_use: int = 0
     last_seen: float = 0.0
-    static_rate: float = 0.0
+    fallback_rate: float = 0.0
     """Requests a second of the even part, when that is in use; else 0."""
 
 
@@ -108,19 +108,19 @@
             milliseconds of the wall clock; homes drop asks with an older sequence.
     """
 
-    __slots__ = ("_dirty", "_entry", "_names", "_sequence", "_usages")
+    __slots__ = ("_pending_asks", "_entry", "_instance_names", "_sequence", "_usages")
 
     def __init__(self, *, entry: str, first_sequence: int) -> None:
         self._sequence = first_sequence
         self._entry = entry
-        self._names: tuple[str, ...] = (entry,)
+        self._instance_names: tuple[str, ...] = (entry,)
         self._usages: dict[str, _Usage] = {}
-        self._dirty: dict[str, None] = {}
+        self._pending_asks: dict[str, None] = {}
 
     def configure(self, view: MembershipView) -> None:
         """Take the members among which a limit is split while its home can't be heard."""
         names = {member.instance.name for member in view.list_serving()} | {self._entry}
-        self._names = tuple(sorted(names))
+        self._instance_names = tuple(sorted(names))
 
     def admit(self, organisation: Organisation, *, now: float) -> Admission:
         """Decide on one request; one that is granted must be released.
@@ -129,26 +129,26 @@
             organisation: The caller's organisation as configured.
             now: The present time.
         """
-        usage = self._find(organisation, now)
+        usage = self._get_usage(organisation, now)
         usage.last_seen = now
-        usage.level = self._fade(usage, now) + 1.0
-        usage.level_at = now
+        usage.demand = self._decay_demand(usage, now) + 1.0
+        usage.demand_at = now
         if now >= usage.valid_until and not self._fall_back(usage, now):
             return self._wait_for_home(usage)
         self._refill(usage, now)
-        code = self._find_limit(usage)
-        if code is not None and not usage.static_rate and self._fall_back(usage, now):
+        code = self._find_exceeded_limit(usage)
+        if code is not None and not usage.fallback_rate and self._fall_back(usage, now):
             # Failure: a home dies, the tokens of its last answer run out, and an organisation far
             # below its limit is refused until that answer's validity ends.
-            code = self._find_limit(usage)
+            code = self._find_exceeded_limit(usage)
         if code is not None:
-            return self._refuse_or_ask(usage, code, now)
+            return self._reject_or_ask(usage, code, now)
         usage.tokens -= 1.0
         usage.in_use += 1
-        rate = usage.level / DEMAND_S
+        rate = usage.demand / DEMAND_WINDOW_S
         is_low = rate * PREFETCH_S >= 1.0 and usage.tokens < rate * LOW_TOKENS_S
-        if is_low and now >= usage.ahead_at:
-            self._want_ask(usage)
+        if is_low and now >= usage.prefetch_at:
+            self._schedule_ask(usage)
         return _GRANTED
 
     def release(self, organisation_name: str, *, now: float) -> None:  # noqa: ARG002
@@ -165,16 +165,16 @@
         """
         for usage in list(self._usages.values()):
             if self._needs_renewal(usage, now):
-                self._want_ask(usage)
-            elif usage.in_use == 0 and now - usage.last_seen > IDLE_S:
+                self._schedule_ask(usage)
+            elif usage.in_use == 0 and now - usage.last_seen > IDLE_TIMEOUT_S:
                 del self._usages[usage.organisation.name]
-                self._dirty.pop(usage.organisation.name, None)
+                self._pending_asks.pop(usage.organisation.name, None)
         asks = []
-        for name in list(self._dirty):
+        for name in list(self._pending_asks):
             usage = self._usages[name]
-            if usage.asked_at is None or now - usage.asked_at >= REPEAT_S:
-                del self._dirty[name]
-                asks.append(self._make_ask(usage, now))
+            if usage.asked_at is None or now - usage.asked_at >= ASK_RETRY_INTERVAL_S:
+                del self._pending_asks[name]
+                asks.append(self._build_ask(usage, now))
         return asks
 
     def record_allotment(self, allotment: Allotment, *, now: float) -> None:
@@ -182,18 +182,18 @@
         usage = self._usages.get(allotment.organisation)
         if usage is None or allotment.sequence != usage.sequence or usage.asked_at is None:
             return
-        if now >= usage.valid_until or usage.static_rate:
+        if now >= usage.valid_until or usage.fallback_rate:
             usage.tokens = 0.0
-        usage.static_rate = 0.0
+        usage.fallback_rate = 0.0
         usage.tokens += allotment.tokens
         usage.concurrent = allotment.concurrent
         usage.valid_until = usage.asked_at + allotment.valid_for_s
-        usage.renew_at = usage.asked_at + RENEWAL_S
-        usage.ahead_at = now + allotment.hold_s
-        usage.return_at = now + min(RETURN_LATEST_S, max(RETURN_INTERVAL_S, allotment.hold_s))
+        usage.renew_at = usage.asked_at + RENEWAL_INTERVAL_S
+        usage.prefetch_at = now + allotment.hold_s
+        usage.return_at = now + min(MAX_RETURN_DELAY_S, max(MIN_RETURN_DELAY_S, allotment.hold_s))
         usage.tight = allotment.tight
-        if self._is_short(allotment, usage.last_ask):
-            usage.refuse_until = now + allotment.hold_s
+        if self._is_partial(allotment, usage.last_ask):
+            usage.reject_until = now + allotment.hold_s
         usage.asked_at = None
         usage.pending = 0
 
@@ -206,10 +206,10 @@
         may_return = now >= usage.return_at
         return usage.tight and may_return and usage.concurrent > usage.in_use
 
-    def _find(self, organisation: Organisation, now: float) -> _Usage:
+    def _get_usage(self, organisation: Organisation, now: float) -> _Usage:
         usage = self._usages.get(organisation.name)
         if usage is None:
-            usage = _Usage(organisation=organisation, refilled_at=now, level_at=now)
+            usage = _Usage(organisation=organisation, refilled_at=now, demand_at=now)
             self._usages[organisation.name] = usage
         usage.organisation = organisation
         return usage
@@ -219,73 +219,78 @@
         if usage.asked_at is None or now - usage.asked_at < ASK_TIMEOUT_S:
             return False
         contract = usage.organisation.contract
-        parts = len(self._names)
-        owned = contract.concurrent // parts
-        rest = contract.concurrent % parts
-        if rest and self._entry in rank(usage.organisation.name, self._names)[:rest]:
-            owned += 1
-        if not usage.static_rate:
+        entry_count = len(self._instance_names)
+        concurrent_share = contract.concurrent // entry_count
+        remainder = contract.concurrent % entry_count
+        if (
+            remainder
+            and self._entry in rank(usage.organisation.name, self._instance_names)[:remainder]
+        ):
+            concurrent_share += 1
+        if not usage.fallback_rate:
             # One burst of the even part: over all entries no more than the limit's own burst.
-            burst = max(1.0, contract.requests_per_second / parts * BURST_S)
+            burst = max(1.0, contract.requests_per_second / entry_count * BURST_S)
             usage.tokens = max(usage.tokens, burst)
-        usage.static_rate = contract.requests_per_second / parts
-        usage.concurrent = owned
-        usage.valid_until = now + REPEAT_S
+        usage.fallback_rate = contract.requests_per_second / entry_count
+        usage.concurrent = concurrent_share
+        usage.valid_until = now + ASK_RETRY_INTERVAL_S
         usage.renew_at = now
         usage.pending = 0
         return True
 
-    def _fade(self, usage: _Usage, now: float) -> float:
-        return usage.level * exp(-max(0.0, now - usage.level_at) / DEMAND_S)
+    def _decay_demand(self, usage: _Usage, now: float) -> float:
+        return usage.demand * exp(-max(0.0, now - usage.demand_at) / DEMAND_WINDOW_S)
 
     def _refill(self, usage: _Usage, now: float) -> None:
         elapsed = max(0.0, now - usage.refilled_at)
         usage.refilled_at = max(now, usage.refilled_at)
-        if usage.static_rate:
-            burst = max(1.0, usage.static_rate * BURST_S)
-            usage.tokens = min(burst, usage.tokens + elapsed * usage.static_rate)
+        if usage.fallback_rate:
+            burst = max(1.0, usage.fallback_rate * BURST_S)
+            usage.tokens = min(burst, usage.tokens + elapsed * usage.fallback_rate)
 
-    def _find_limit(self, usage: _Usage) -> ErrorCode | None:
+    def _find_exceeded_limit(self, usage: _Usage) -> ErrorCode | None:
         if usage.in_use >= usage.concurrent:
             return ErrorCode.CONCURRENCY_LIMITED
         if usage.tokens < 1.0:
             return ErrorCode.RATE_LIMITED
         return None
 
-    def _refuse_or_ask(self, usage: _Usage, code: ErrorCode, now: float) -> Admission:
+    def _reject_or_ask(self, usage: _Usage, code: ErrorCode, now: float) -> Admission:
         """Refuse while the home is known to have no more to give, else ask it."""
-        waits = usage.asked_at is not None and now - usage.asked_at >= ASK_TIMEOUT_S
-        if now >= usage.refuse_until and not usage.static_rate and not waits:
+        timed_out = usage.asked_at is not None and now - usage.asked_at >= ASK_TIMEOUT_S
+        if now >= usage.reject_until and not usage.fallback_rate and not timed_out:
             return self._wait_for_home(usage)
-        retry_after_s = max(0.0, usage.refuse_until - now)
-        if code is ErrorCode.RATE_LIMITED and usage.static_rate:
-            retry_after_s = (1.0 - usage.tokens) / usage.static_rate
+        retry_after_s = max(0.0, usage.reject_until - now)
+        if code is ErrorCode.RATE_LIMITED and usage.fallback_rate:
+            retry_after_s = (1.0 - usage.tokens) / usage.fallback_rate
         return Admission(
             state=AdmissionState.REFUSED, code=code, retry_after_s=max(0.05, retry_after_s)
         )
 
     def _wait_for_home(self, usage: _Usage) -> Admission:
         usage.pending += 1
-        self._want_ask(usage)
+        self._schedule_ask(usage)
         return Admission(state=AdmissionState.PENDING, retry_after_s=ASK_TIMEOUT_S)
 
-    def _is_short(self, allotment: Allotment, ask: AllotmentAsk) -> bool:
+    def _is_partial(self, allotment: Allotment, ask: AllotmentAsk) -> bool:
         return allotment.tokens < ask.tokens_wanted or allotment.concurrent < ask.concurrent_wanted
 
-    def _want_ask(self, usage: _Usage) -> None:
-        self._dirty[usage.organisation.name] = None
+    def _schedule_ask(self, usage: _Usage) -> None:
+        self._pending_asks[usage.organisation.name] = None
 
-    def _make_ask(self, usage: _Usage, now: float) -> AllotmentAsk:
+    def _build_ask(self, usage: _Usage, now: float) -> AllotmentAsk:
         contract = usage.organisation.contract
-        live = now < usage.valid_until and not usage.static_rate
+        is_valid = now < usage.valid_until and not usage.fallback_rate
         wanted = usage.in_use + usage.pending
-        if live and (usage.tight or not usage.pending):
+        if is_valid and (usage.tight or not usage.pending):
             # What is not needed is given up before the ask, not by its answer, so that the home
             # may hand it out at once.
-            usage.concurrent = min(usage.concurrent, max(wanted, self._count_kept(usage, now)))
-        held = max(usage.in_use, usage.concurrent if live else 0)
-        tokens = usage.tokens if live else 0.0
-        rate = min(contract.requests_per_second, self._fade(usage, now) / DEMAND_S)
+            usage.concurrent = min(
+                usage.concurrent, max(wanted, self._compute_kept_concurrency(usage, now))
+            )
+        held = max(usage.in_use, usage.concurrent if is_valid else 0)
+        tokens = usage.tokens if is_valid else 0.0
+        rate = min(contract.requests_per_second, self._decay_demand(usage, now) / DEMAND_WINDOW_S)
         self._sequence += 1
         usage.sequence = self._sequence
         usage.asked_at = now
@@ -302,6 +307,10 @@
         )
         return usage.last_ask
 
-    def _count_kept(self, usage: _Usage, now: float) -> int:
+    def _compute_kept_concurrency(self, usage: _Usage, now: float) -> int:
         """Return the concurrency that an entry keeps for its next requests."""
-        return 0 if usage.tight else usage.in_use + int(self._fade(usage, now) / DEMAND_S)
+        return (
+            0
+            if usage.tight
+            else usage.in_use + int(self._decay_demand(usage, now) / DEMAND_WINDOW_S)
+        )
--- a/src/guavamast/operation_store.py
+++ b/src/guavamast/operation_store.py
@@ -19,10 +19,10 @@
     decode_operation,
     encode_operation,
     finish,
-    give_up,
     is_expired,
     is_started_by,
-    needs_giving_up,
+    mark_not_run,
+    needs_not_run_mark,
 )
 from guavamast.platform_client import (
     Check,
@@ -36,7 +36,7 @@
 if TYPE_CHECKING:
     from guavamast.clocks import Clock
     from guavamast.errors import SendLatch
-    from guavamast.operations import ClaimDecision, KeyReused, LeftBehind, Recorded, Running
+    from guavamast.operations import Abandoned, ClaimDecision, KeyReused, Recorded, Running
     from guavamast.platform_client import PlatformClient
 
 INLINE_LIMIT_BYTES: Final = 4096
@@ -94,7 +94,7 @@
         """
         return _decode(await self._client.read(OPERATIONS_TABLE, key.row_key))
 
-    async def claim(self, wanted: Operation) -> Claim | Recorded | Running | LeftBehind | KeyReused:
+    async def claim(self, wanted: Operation) -> Claim | Recorded | Running | Abandoned | KeyReused:
         """Insert an attempt's row if the key is free.
 
         Failure: the platform writes the row and its answer is lost. Taken for a failure, the key
@@ -155,10 +155,10 @@
         if latch.sent:
             raise ValueError("a call that may have been sent can't be marked as not run")
         row = await self._client.read(OPERATIONS_TABLE, wanted.key.row_key)
-        if not needs_giving_up(_decode(row), wanted.nonce):
+        if not needs_not_run_mark(_decode(row), wanted.nonce):
             return
         try:
-            await self._write(give_up(wanted, now=self._clock.read_wall()), row.version)
+            await self._write(mark_not_run(wanted, now=self._clock.read_wall()), row.version)
         except TransactionConflict as error:
             raise PlatformUnavailable("the row has just changed") from error
 
--- a/src/guavamast/operations.py
+++ b/src/guavamast/operations.py
@@ -24,7 +24,7 @@
 PREFIX_DIGITS: Final = 4
 """Hex digits before each row's key, so that a scan for old rows takes a 65,536th of the table."""
 
-SHORTEST_SWEEP_S: Final = 1.0
+MIN_SWEEP_INTERVAL_S: Final = 1.0
 """Least time between two scans of the fleet; a short retention scans larger parts."""
 
 DUE_MARGIN_S: Final = 5.0
@@ -133,7 +133,7 @@
 
 
 @dataclass(frozen=True, slots=True, kw_only=True)
-class LeftBehind:
+class Abandoned:
     """Another attempt holds the key and should have finished; it may have run."""
 
 
@@ -142,7 +142,7 @@
     """The key stands for another request."""
 
 
-ClaimDecision = Insert | Held | Recorded | Running | LeftBehind | KeyReused
+ClaimDecision = Insert | Held | Recorded | Running | Abandoned | KeyReused
 
 
 def decide_claim(
@@ -172,7 +172,7 @@
         return Held(version=version)
     if now < found.due_at:
         return Running(retry_after_s=min(1.0, found.due_at - now))
-    return LeftBehind()
+    return Abandoned()
 
 
 def finish(operation: Operation, answer: RecordedAnswer, *, now: float) -> Operation:
@@ -180,7 +180,7 @@
     return replace(operation, state=OperationState.DONE, ended_at=now, answer=answer)
 
 
-def give_up(operation: Operation, *, now: float) -> Operation:
+def mark_not_run(operation: Operation, *, now: float) -> Operation:
     """Return the row of a call of which no byte was or will be sent."""
     return replace(operation, state=OperationState.NOT_RUN, ended_at=now)
 
@@ -190,7 +190,7 @@
     return operation.state is OperationState.STARTED and operation.nonce == nonce
 
 
-def needs_giving_up(found: Operation | None, nonce: str) -> bool:
+def needs_not_run_mark(found: Operation | None, nonce: str) -> bool:
     """Return whether a refused attempt could still block the key.
 
     Args:
@@ -245,7 +245,7 @@
 
 def _count_sweep_digits(retention_s: float) -> int:
     digits = PREFIX_DIGITS
-    while digits and retention_s / 16**digits < SHORTEST_SWEEP_S:
+    while digits and retention_s / 16**digits < MIN_SWEEP_INTERVAL_S:
         digits -= 1
     return digits
 
--- a/src/guavamast/repairs.py
+++ b/src/guavamast/repairs.py
@@ -14,10 +14,10 @@
     from guavamast.clocks import Clock
     from guavamast.metrics import Metrics
 
-FIRST_WAIT_S: Final = 0.2
+BACKOFF_FIRST_S: Final = 0.2
 """Wait before the first repetition."""
 
-LONGEST_WAIT_S: Final = 10.0
+BACKOFF_LONGEST_S: Final = 10.0
 """Longest wait between two repetitions, so that an outage of an hour costs 360 tries a row."""
 
 REPAIR_LIMIT: Final = 1000
@@ -53,9 +53,9 @@
         Args:
             write: Makes the write; a second time must do no harm.
         """
-        task = asyncio.ensure_future(self._repeat(write))
+        task = asyncio.ensure_future(self._retry(write))
         self._tasks.add(task)
-        task.add_done_callback(self._forget)
+        task.add_done_callback(self._discard)
         self._metrics.gauge("operations.unwritten", len(self._tasks))
 
     async def drain(self) -> None:
@@ -63,15 +63,15 @@
         while self._tasks:
             await asyncio.wait(self._tasks)
 
-    def _forget(self, task: asyncio.Task[None]) -> None:
+    def _discard(self, task: asyncio.Task[None]) -> None:
         self._tasks.discard(task)
         self._metrics.gauge("operations.unwritten", len(self._tasks))
 
-    async def _repeat(self, write: Callable[[], Awaitable[None]]) -> None:
-        wait_s = FIRST_WAIT_S
+    async def _retry(self, write: Callable[[], Awaitable[None]]) -> None:
+        wait_s = BACKOFF_FIRST_S
         while True:
             await self._clock.sleep(wait_s)
-            wait_s = min(LONGEST_WAIT_S, 2.0 * wait_s)
+            wait_s = min(BACKOFF_LONGEST_S, 2.0 * wait_s)
             try:
                 await write()
                 return
--- a/src/guavamast/retries.py
+++ b/src/guavamast/retries.py
@@ -62,12 +62,12 @@
 
     def record_success(self, class_name: str) -> None:
         """Pay a share of a retry into the class's balance."""
-        balance = self._find(class_name)
+        balance = self._get_balance(class_name)
         balance.tokens = min(BALANCE_LIMIT, balance.tokens + RETRY_SHARE)
 
     def try_spend(self, class_name: str, *, now: float) -> bool:
         """Take one retry from the class's balance; False when there is none."""
-        balance = self._find(class_name)
+        balance = self._get_balance(class_name)
         if balance.updated is not None and balance.tokens < FLOOR_LIMIT:
             elapsed = max(0.0, now - balance.updated)
             balance.tokens = min(FLOOR_LIMIT, balance.tokens + elapsed * FLOOR_PER_S)
@@ -107,7 +107,7 @@
             return None
         return Retry(delay_s=delay) if self.try_spend(class_name, now=now) else None
 
-    def _find(self, class_name: str) -> _Balance:
+    def _get_balance(self, class_name: str) -> _Balance:
         balance = self._balances.get(class_name)
         if balance is None:
             balance = _Balance(FLOOR_LIMIT)
--- a/src/guavamast/send_gates.py
+++ b/src/guavamast/send_gates.py
@@ -10,7 +10,7 @@
 if TYPE_CHECKING:
     from guavamast.world import Endpoint
 
-PAUSE_LIMIT_S: Final = 1.5
+PAUSE_THRESHOLD_S: Final = 1.5
 """Time between two beats from which the process counts as paused; beats come every 0.1 s."""
 
 SETTLE_S: Final = 1.0
@@ -39,21 +39,21 @@
     changes.
     """
 
-    __slots__ = ("_last", "_settled_at")
+    __slots__ = ("_last_tick", "_settled_at")
 
     def __init__(self, *, now: float) -> None:
-        self._last = now
+        self._last_tick = now
         self._settled_at = now
 
     def beat(self, *, now: float) -> None:
         """Note that the loop runs; call every ``BEAT_INTERVAL_S``."""
-        if now - self._last > PAUSE_LIMIT_S:
+        if now - self._last_tick > PAUSE_THRESHOLD_S:
             self._settled_at = now + SETTLE_S
-        self._last = now
+        self._last_tick = now
 
     def is_settled(self, *, now: float) -> bool:
         """Return whether the process has run without a pause for long enough to send."""
-        return now - self._last <= PAUSE_LIMIT_S and now >= self._settled_at
+        return now - self._last_tick <= PAUSE_THRESHOLD_S and now >= self._settled_at
 
 
 def find_obstacle(
--- a/src/guavamast/single_runs.py
+++ b/src/guavamast/single_runs.py
@@ -47,7 +47,7 @@
 RECORD_ATTEMPTS: Final = 2
 """Tries to record an answer before the caller gets it and recording goes on behind."""
 
-REMEMBERED_KEYS: Final = 10_000
+MAX_SENT_KEYS: Final = 10_000
 """Keys of the latest sends that a process remembers for the time of an outage."""
 
 
@@ -60,14 +60,14 @@
         remaining_s: Time until the caller's deadline.
     """
 
-    __slots__ = ("call", "latch", "stop", "wanted")
+    __slots__ = ("call", "latch", "stop", "operation")
 
     def __init__(self, *, call: ServiceCall, now: float, remaining_s: float) -> None:
         self.call = call
         self.latch = SendLatch()
         self.stop = Stop()
         rule = call.rule
-        self.wanted = Operation(
+        self.operation = Operation(
             key=OperationKey(organisation=call.organisation, key=call.idempotency_key),
             nonce=secrets.token_hex(16),
             request_digest=compute_request_digest(rule.service, rule.call, call.body),
@@ -144,7 +144,7 @@
             Refusal: There is no answer; the outcome says what is known.
         """
         if self._repairs.is_full:
-            raise self._refuse_for_platform(run, "too many rows wait for the platform")
+            raise self._create_platform_rejection(run, "too many rows wait for the platform")
         earlier = await self._look_up(run)
         if earlier is not None:
             return earlier
@@ -162,12 +162,16 @@
     async def _look_up(self, run: SingleRun) -> Answer | None:
         """Return the key's recorded answer, or None when the key is free."""
         try:
-            found = await self._store.find(run.wanted.key)
+            found = await self._store.find(run.operation.key)
         except PlatformUnavailable as error:
-            raise self._refuse_for_platform(run, error.message) from None
+            raise self._create_platform_rejection(run, error.message) from None
         now = self._clock.read_wall()
-        decision = decide_claim(run.wanted, found, version=0, now=now)
-        return None if isinstance(decision, Insert) else await self._answer_earlier(run, decision)
+        decision = decide_claim(run.operation, found, version=0, now=now)
+        return (
+            None
+            if isinstance(decision, Insert)
+            else await self._answer_from_decision(run, decision)
+        )
 
     async def _run_with_slot(self, run: SingleRun, grant: SlotGrant) -> Answer:
         try:
@@ -175,13 +179,13 @@
             claim = await self._claim(run)
         except Obstructed as error:
             grant.release(used=False, failed=False, duration_s=0.0)
-            raise _refuse_unsent(run, error) from None
+            raise _create_unsent_rejection(run, error) from None
         except BaseException:
             grant.release(used=False, failed=False, duration_s=0.0)
             raise
         if not isinstance(claim, Claim):
             grant.release(used=False, failed=False, duration_s=0.0)
-            return await self._answer_earlier(run, claim)
+            return await self._answer_from_decision(run, claim)
         self._metrics.count("operations.claimed")
         answer = await self._send(run, grant)
         await self._record(claim, answer)
@@ -189,12 +193,12 @@
 
     async def _claim(self, run: SingleRun) -> Claim | ClaimDecision:
         try:
-            return await self._store.claim(run.wanted)
+            return await self._store.claim(run.operation)
         except ClaimUnsettled as error:
-            self._repairs.add(lambda: self._store.mark_not_run(run.wanted, run.latch))
-            raise self._refuse_for_platform(run, error.message) from None
+            self._repairs.add(lambda: self._store.mark_not_run(run.operation, run.latch))
+            raise self._create_platform_rejection(run, error.message) from None
         except PlatformUnavailable as error:
-            raise self._refuse_for_platform(run, error.message) from None
+            raise self._create_platform_rejection(run, error.message) from None
 
     async def _send(self, run: SingleRun, grant: SlotGrant) -> Answer:
         """Send the call, to another endpoint while it is proved that no byte was sent."""
@@ -210,7 +214,7 @@
             await self._settle_failure(run, error)
         finally:
             if run.latch.sent:
-                self._remember(run.wanted.key)
+                self._record_sent_key(run.operation.key)
 
     async def _send_to(self, run: SingleRun, grant: SlotGrant) -> Answer:
         timeout_s = run.call.rule.timeout_s
@@ -220,8 +224,8 @@
         self, run: SingleRun, failed: frozenset[str], error: NotSent | Obstructed
     ) -> SlotGrant:
         """Return a slot elsewhere, or raise the error that the last endpoint ended with."""
-        late = isinstance(error, Obstructed) and error.code is ErrorCode.DEADLINE_EXCEEDED
-        if run.latch.sent or late or len(failed) >= SEND_ATTEMPTS:
+        expired = isinstance(error, Obstructed) and error.code is ErrorCode.DEADLINE_EXCEEDED
+        if run.latch.sent or expired or len(failed) >= SEND_ATTEMPTS:
             raise error
         try:
             return await self._slots.acquire(run.call, excluded=failed)
@@ -239,10 +243,10 @@
             message = "the endpoint's answer was lost; the call may have run"
             raise run.latch.refuse(ErrorCode.ENDPOINT_FAILED, message, status=503) from error
         try:
-            await self._store.mark_not_run(run.wanted, run.latch)
+            await self._store.mark_not_run(run.operation, run.latch)
         except (PlatformUnavailable, PlatformAnswerLost):
-            self._repairs.add(lambda: self._store.mark_not_run(run.wanted, run.latch))
-        raise _refuse_unsent(run, error) from error
+            self._repairs.add(lambda: self._store.mark_not_run(run.operation, run.latch))
+        raise _create_unsent_rejection(run, error) from error
 
     async def _record(self, claim: Claim, answer: Answer) -> None:
         """Record an answer, later if need be.
@@ -259,7 +263,7 @@
                 continue
         self._repairs.add(lambda: self._store.record(claim, answer))
 
-    async def _answer_earlier(self, run: SingleRun, decision: ClaimDecision) -> Answer:
+    async def _answer_from_decision(self, run: SingleRun, decision: ClaimDecision) -> Answer:
         """Answer from what stands in the way of the run.
 
         None of these refusals comes from the latch: this request did not run, but its key may
@@ -309,14 +313,14 @@
         It speaks of this request. A key that this process has sent before may have run, so it
         gets ``outcome_unknown``; of a key that another process has sent, nothing is known here.
         """
-        if run.latch.sent or run.wanted.key in self._sent_keys:
+        if run.latch.sent or run.operation.key in self._sent_keys:
             unknown = Outcome.OUTCOME_UNKNOWN
             return Refusal(
                 code, message, status=status, outcome=unknown, retry_after_s=retry_after_s
             )
         return run.latch.refuse(code, message, status=status, retry_after_s=retry_after_s)
 
-    def _refuse_for_platform(self, run: SingleRun, message: str) -> Refusal:
+    def _create_platform_rejection(self, run: SingleRun, message: str) -> Refusal:
         return self.refuse_unread(
             run,
             ErrorCode.PLATFORM_UNAVAILABLE,
@@ -325,14 +329,14 @@
             retry_after_s=PLATFORM_RETRY_AFTER_S,
         )
 
-    def _remember(self, key: OperationKey) -> None:
+    def _record_sent_key(self, key: OperationKey) -> None:
         self._sent_keys[key] = None
         self._sent_keys.move_to_end(key)
-        while len(self._sent_keys) > REMEMBERED_KEYS:
+        while len(self._sent_keys) > MAX_SENT_KEYS:
             self._sent_keys.popitem(last=False)
 
 
-def _refuse_unsent(run: SingleRun, error: Exception) -> Refusal:
+def _create_unsent_rejection(run: SingleRun, error: Exception) -> Refusal:
     """Make the refusal after a send that did not begin; the latch proves it."""
     if isinstance(error, Obstructed) and error.code is ErrorCode.DEADLINE_EXCEEDED:
         return run.latch.refuse(error.code, "the deadline has passed", status=504)
--- a/tests/operation_fakes.py
+++ b/tests/operation_fakes.py
@@ -22,7 +22,7 @@
 from guavamast.service_calls import ServiceCalls
 from guavamast.single_fetch import AnswerLost, NotSent
 from guavamast.world import Endpoint, EndpointKind
-from tests.operation_world import Fault, Late, Run, World
+from tests.operation_world import Fault, LateEffect, Run, World
 
 if TYPE_CHECKING:
     from collections.abc import Callable
@@ -37,61 +37,63 @@
 )
 
 
-class WorldClock(Clock):
+class SimulatedClock(Clock):
     """The world's time; sleeping parks."""
 
-    def __init__(self, world: World, instance: str) -> None:
-        self.world = world
+    def __init__(self, simulation: World, instance: str) -> None:
+        self.simulation = simulation
         self.instance = instance
 
     def read_monotonic(self) -> float:
         """Return the world's time."""
-        return self.world.now
+        return self.simulation.now
 
     def read_wall(self) -> float:
         """Return the world's time."""
-        return self.world.now
+        return self.simulation.now
 
     async def sleep(self, seconds: float) -> None:
         """Park until the time has come."""
-        await self.world.park(self.instance, "timer", due=self.world.now + seconds)
+        await self.simulation.park(self.instance, "timer", due=self.simulation.now + seconds)
 
 
-class WorldPlatform(PlatformClient):
+class SimulatedPlatform(PlatformClient):
     """One instance's access to the world's tables."""
 
-    def __init__(self, world: World, instance: str) -> None:
-        self.world = world
+    def __init__(self, simulation: World, instance: str) -> None:
+        self.simulation = simulation
         self.instance = instance
         self.objects: dict[str, bytes] = {}
 
     async def transact(self, checks: list[Check], writes: list[Write]) -> list[int]:
         """Park, write under the step's fault, park, answer."""
-        tables = self.world.tables
-        fault = await self.world.park(self.instance, "write")
+        tables = self.simulation.tables
+        fault = await self.simulation.park(self.instance, "write")
         if fault is Fault.BEFORE:
             raise PlatformUnavailable("down")
         if fault is Fault.LATE:
-            self.world.late.append(Late(apply=lambda: _try_transact(tables, checks, writes)))
+            self.simulation.late_effects.append(
+                LateEffect(apply=lambda: _try_transact(tables, checks, writes))
+            )
         if fault in (Fault.LATE, Fault.LOST_BEFORE):
             raise PlatformAnswerLost("lost")
         versions = tables.transact(checks, writes)
         if fault is Fault.LOST_AFTER:
             raise PlatformAnswerLost("lost")
-        await self.world.park(self.instance, "written")
+        await self.simulation.park(self.instance, "written")
         return versions
 
     async def read(self, table: str, key: str) -> Row:
         """Park, then read unless the step fails."""
-        if await self.world.park(self.instance, "read") is not Fault.NONE:
+        if await self.simulation.park(self.instance, "read") is not Fault.NONE:
             raise PlatformUnavailable("down")
-        row = self.world.tables.read(table, key)
-        await self.world.park(self.instance, "was read")
+        row = self.simulation.tables.read(table, key)
+        await self.simulation.park(self.instance, "was read")
         return row
 
     async def scan(self, table: str, prefix: str) -> list[Row]:
         """Return the rows at once."""
-        return self.world.tables.scan(table, prefix)
+        return self.simulation.tables.scan(table, prefix)
 
     async def put_object(self, name: str, body: bytes) -> None:
         """Store at once."""
@@ -111,51 +113,60 @@
         tables.transact(checks, writes)
 
 
-class WorldSender(EndpointSender):
+class SimulatedSender(EndpointSender):
     """Sends to endpoints that run whatever arrives."""
 
-    def __init__(self, world: World, instance: str) -> None:
-        self.world = world
+    def __init__(self, simulation: World, instance: str) -> None:
+        self.simulation = simulation
         self.instance = instance
 
     async def send(self, call: EndpointCall, *, before_write: Callable[[], None]) -> Answer:
         """Park at the connect, in mid-send and before the answer."""
-        world = self.world
-        if await world.park(self.instance, "connect") is Fault.BEFORE:
+        simulation = self.simulation
+        if await simulation.park(self.instance, "connect") is Fault.BEFORE:
             raise NotSent("refused")
         before_write()
-        self._note_send(call)
-        fault = await world.park(self.instance, "sent")
+        self._record_send(call)
+        fault = await simulation.park(self.instance, "sent")
         if fault is Fault.LATE:
-            world.late.append(Late(apply=lambda: self._run(call)))
+            simulation.late_effects.append(LateEffect(apply=lambda: self._run(call)))
         if fault in (Fault.BEFORE, Fault.LOST_BEFORE, Fault.LATE):
             raise AnswerLost("cut")
         answer = self._run(call)
-        if fault is Fault.LOST_AFTER or await world.park(self.instance, "ran") is not Fault.NONE:
+        if (
+            fault is Fault.LOST_AFTER
+            or await simulation.park(self.instance, "ran") is not Fault.NONE
+        ):
             raise AnswerLost("cut")
         return answer
 
-    def _note_send(self, call: EndpointCall) -> None:
-        world = self.world
-        world.sent_requests.add(int(call.request_id))
-        for row in world.tables.scan(OPERATIONS_TABLE, ""):
+    def _record_send(self, call: EndpointCall) -> None:
+        simulation = self.simulation
+        simulation.sent_requests.add(int(call.request_id))
+        for row in simulation.tables.scan(OPERATIONS_TABLE, ""):
             operation = decode_operation(row.value)
             if operation.key.key == call.idempotency_key:
-                world.sent_nonces.add(operation.nonce)
-        if world.now >= world.asked[int(call.request_id)].deadline:
-            world.wrong_sends.append(f"request {call.request_id} was sent after its deadline")
-        if call.url in world.drained:
-            world.wrong_sends.append(f"request {call.request_id} was sent to a drained endpoint")
-        if not world.nodes[self.instance].pauses.is_settled(now=world.now):
-            world.wrong_sends.append(f"request {call.request_id} was sent right after a pause")
+                simulation.sent_nonces.add(operation.nonce)
+        if simulation.now >= simulation.requests[int(call.request_id)].deadline:
+            simulation.forbidden_sends.append(
+                f"request {call.request_id} was sent after its deadline"
+            )
+        if call.url in simulation.drained:
+            simulation.forbidden_sends.append(
+                f"request {call.request_id} was sent to a drained endpoint"
+            )
+        if not simulation.nodes[self.instance].pauses.is_settled(now=simulation.now):
+            simulation.forbidden_sends.append(
+                f"request {call.request_id} was sent right after a pause"
+            )
 
     def _run(self, call: EndpointCall) -> Answer:
-        self.world.runs.append(Run(request=int(call.request_id), key=call.idempotency_key))
-        body = f"run {len(self.world.runs)} of {call.body.decode()}".encode()
+        self.simulation.runs.append(Run(request=int(call.request_id), key=call.idempotency_key))
+        body = f"run {len(self.simulation.runs)} of {call.body.decode()}".encode()
         return Answer(status=200, content_type="text/plain", body=body)
 
 
-class WorldGrant(SlotGrant):
+class SimulatedGrant(SlotGrant):
     """A slot of one endpoint."""
 
     def __init__(self, endpoint: Endpoint) -> None:
@@ -173,33 +184,33 @@
         assert self.released == 1, "a slot was released twice"
 
 
-class WorldSlots(SlotSource):
+class SimulatedSlots(SlotSource):
     """Grants the first endpoint that is not excluded."""
 
-    def __init__(self, world: World, instance: str) -> None:
-        self.world = world
+    def __init__(self, simulation: World, instance: str) -> None:
+        self.simulation = simulation
         self.instance = instance
-        self.grants: list[WorldGrant] = []
+        self.grants: list[SimulatedGrant] = []
 
     async def acquire(self, call: ServiceCall, *, excluded: frozenset[str]) -> SlotGrant:
         """Park, then grant or refuse."""
-        fault = await self.world.park(self.instance, "slot")
+        fault = await self.simulation.park(self.instance, "slot")
         left = [endpoint for endpoint in ENDPOINTS if endpoint.name not in excluded]
-        if fault is Fault.BEFORE or self.world.slots_refused or not left:
+        if fault is Fault.BEFORE or self.simulation.slots_refused or not left:
             raise SlotUnavailable(ErrorCode.SHED, call.rule.service, status=503, retry_after_s=1)
-        self.grants.append(WorldGrant(left[0]))
+        self.grants.append(SimulatedGrant(left[0]))
         return self.grants[-1]
 
 
 class WorldGate(SendGate):
     """The configuration in force: which endpoints are drained."""
 
-    def __init__(self, world: World) -> None:
-        self.world = world
+    def __init__(self, simulation: World) -> None:
+        self.simulation = simulation
 
     def is_open(self, endpoint: Endpoint) -> bool:
         """Return whether the endpoint isn't drained."""
-        return endpoint.name not in self.world.drained
+        return endpoint.name not in self.simulation.drained
 
 
 class NoRetries(RetryPolicy):
@@ -216,25 +227,25 @@
 class Node:
     """One instance's entry, made of the code that runs in the daemon."""
 
-    def __init__(self, world: World, name: str) -> None:
-        clock = WorldClock(world, name)
-        client = GroupCommit(client=WorldPlatform(world, name), clock=clock)
-        self.pauses = PauseWatch(now=world.now)
-        self.slots = WorldSlots(world, name)
+    def __init__(self, simulation: World, name: str) -> None:
+        clock = SimulatedClock(simulation, name)
+        client = GroupCommit(client=SimulatedPlatform(simulation, name), clock=clock)
+        self.pauses = PauseWatch(now=simulation.now)
+        self.slots = SimulatedSlots(simulation, name)
         self.calls = ServiceCalls(
             store=OperationStore(client=client, clock=clock),
             slots=self.slots,
-            sender=WorldSender(world, name),
-            gate=WorldGate(world),
+            sender=SimulatedSender(simulation, name),
+            gate=WorldGate(simulation),
             pauses=self.pauses,
             retries=NoRetries(),
             clock=clock,
         )
 
 
-def make_world(*names: str) -> World:
+def create_simulation(*names: str) -> World:
     """Return a world with these instances; call with a running loop."""
-    world = World()
+    simulation = World()
     for name in names:
-        world.nodes[name] = Node(world, name)
-    return world
+        simulation.nodes[name] = Node(simulation, name)
+    return simulation
--- a/tests/operation_world.py
+++ b/tests/operation_world.py
@@ -34,7 +34,7 @@
 
     from tests.operation_fakes import Node
 
-SHORT_S = 0.01
+READY_TIMER_S = 0.01
 """Timers up to this long count as ready, as the window of a group commit."""
 
 SETTLE_ROUNDS = 16
@@ -69,7 +69,7 @@
 
 
 @dataclass(slots=True, kw_only=True, eq=False)
-class Asked:
+class CallerRequest:
     """A caller's request and what it was told."""
 
     number: int
@@ -84,7 +84,7 @@
     refusal: Refusal | None = None
     runs_at_reply: int = 0
     """Runs of the key by other requests when this one was answered."""
-    later_asked: bool = False
+    later_requested: bool = False
     """Whether another request of the key was made before this one was answered."""
 
     @property
@@ -102,7 +102,7 @@
 
 
 @dataclass(slots=True, kw_only=True, eq=False)
-class Late:
+class LateEffect:
     """An effect that is still on its way."""
 
     apply: Callable[[], None]
@@ -115,16 +115,16 @@
     tables: TableState = field(default_factory=TableState)
     now: float = 1000.0
     steps: list[Step] = field(default_factory=list)
-    asked: list[Asked] = field(default_factory=list)
+    requests: list[CallerRequest] = field(default_factory=list)
     runs: list[Run] = field(default_factory=list)
-    late: list[Late] = field(default_factory=list)
+    late_effects: list[LateEffect] = field(default_factory=list)
     dead: set[str] = field(default_factory=set)
     paused: set[str] = field(default_factory=set)
     drained: set[str] = field(default_factory=set)
     slots_refused: bool = False
     sent_nonces: set[str] = field(default_factory=set)
     sent_requests: set[int] = field(default_factory=set)
-    wrong_sends: list[str] = field(default_factory=list)
+    forbidden_sends: list[str] = field(default_factory=list)
     nodes: dict[str, Node] = field(default_factory=dict)
 
     async def park(self, instance: str, label: str, *, due: float = 0.0) -> Fault:
@@ -145,13 +145,13 @@
 
     def list_ready(self) -> list[Step]:
         """Return the steps that may go on now or after a few milliseconds."""
-        return [step for step in self.list_running() if step.due <= self.now + SHORT_S]
+        return [step for step in self.list_running() if step.due <= self.now + READY_TIMER_S]
 
     def list_timers(self) -> list[Step]:
         """Return the timers that take longer."""
-        return [step for step in self.list_running() if step.due > self.now + SHORT_S]
+        return [step for step in self.list_running() if step.due > self.now + READY_TIMER_S]
 
-    def add_given_up_row(self, key: str, body: bytes) -> None:
+    def add_not_run_row(self, key: str, body: bytes) -> None:
         """Write the row of an earlier request that was told ``not_run``."""
         operation = Operation(
             key=OperationKey(organisation="acme", key=key),
@@ -207,22 +207,24 @@
         self.dead.add(instance)
         self.steps = [step for step in self.steps if step.instance != instance]
 
-    def ask(self, instance: str, key: str, body: bytes, *, timeout_s: float = 30.0) -> Asked:
+    def send_request(
+        self, instance: str, key: str, body: bytes, *, timeout_s: float = 30.0
+    ) -> CallerRequest:
         """Make a caller's request."""
-        siblings = [other for other in self.asked if other.key == key]
+        siblings = [other for other in self.requests if other.key == key]
         for other in siblings:
-            other.later_asked = other.later_asked or not other.replied
-        asked = Asked(
-            number=len(self.asked),
+            other.later_requested = other.later_requested or not other.replied
+        request = CallerRequest(
+            number=len(self.requests),
             instance=instance,
             key=key,
             body=body,
             deadline=self.now + timeout_s,
             earlier_unanswered=any(not other.replied for other in siblings),
         )
-        self.asked.append(asked)
+        self.requests.append(request)
         call = ServiceCall(
-            request_id=str(asked.number),
+            request_id=str(request.number),
             organisation="acme",
             rule=CallRule(service="ledger", call="settle", idempotent=False, timeout_s=10.0),
             body=body,
@@ -230,22 +232,22 @@
             idempotency_key=key,
             class_name="counter",
             tier=1,
-            deadline=asked.deadline,
+            deadline=request.deadline,
         )
-        asked.task = asyncio.ensure_future(self._await_reply(asked, call))
-        return asked
+        request.task = asyncio.ensure_future(self._await_reply(request, call))
+        return request
 
-    async def _await_reply(self, asked: Asked, call: ServiceCall) -> None:
+    async def _await_reply(self, request: CallerRequest, call: ServiceCall) -> None:
         try:
-            answer = await self.nodes[asked.instance].calls.run(call)
+            answer = await self.nodes[request.instance].calls.run(call)
         except Refusal as refusal:
             reply, answer = refusal, None
-        if asked.instance in self.dead:
+        if request.instance in self.dead:
             return
-        asked.answer = answer
-        asked.refusal = None if answer is not None else reply
-        asked.runs_at_reply = sum(
-            run.key == asked.key and run.request != asked.number for run in self.runs
+        request.answer = answer
+        request.refusal = None if answer is not None else reply
+        request.runs_at_reply = sum(
+            run.key == request.key and run.request != request.number for run in self.runs
         )
 
     async def finish(self, *, late_last: bool) -> None:
@@ -259,8 +261,8 @@
         self.slots_refused = False
         for _ in range(2000):
             await self.settle()
-            if self.late and not (late_last and self.steps):
-                self.late.pop(0).apply()
+            if self.late_effects and not (late_last and self.steps):
+                self.late_effects.pop(0).apply()
             elif self.steps:
                 step = min(self.steps, key=lambda step: step.due)
                 await self.resume(step, Fault.NONE)
@@ -271,10 +273,10 @@
     def find_violations(self) -> list[str]:
         """Return the promises that were broken; call after `finish`."""
         return [
-            *self.wrong_sends,
+            *self.forbidden_sends,
             *self._find_double_runs(),
             *self._find_false_not_run(),
-            *self._find_two_answers(),
+            *self._find_conflicting_answers(),
             *self._find_unreplied(),
             *self._find_blocked_keys(),
             *self._find_unrecorded(),
@@ -289,36 +291,36 @@
         ran = {run.request for run in self.runs}
         unread = (ErrorCode.PLATFORM_UNAVAILABLE, ErrorCode.DEADLINE_EXCEEDED)
         found = []
-        for asked in self.asked:
-            refusal = asked.refusal
+        for request in self.requests:
+            refusal = request.refusal
             if refusal is None or refusal.outcome is not Outcome.NOT_RUN:
                 continue
-            if asked.number in ran or asked.number in self.sent_requests:
-                found.append(f"request {asked.number} was told not_run and was sent")
-            alone = not asked.earlier_unanswered and not asked.later_asked
+            if request.number in ran or request.number in self.sent_requests:
+                found.append(f"request {request.number} was told not_run and was sent")
+            alone = not request.earlier_unanswered and not request.later_requested
             reused = refusal.code is ErrorCode.IDEMPOTENCY_KEY_REUSED
-            if alone and not reused and refusal.code not in unread and asked.runs_at_reply:
-                found.append(f"request {asked.number} was told not_run though its key ran")
+            if alone and not reused and refusal.code not in unread and request.runs_at_reply:
+                found.append(f"request {request.number} was told not_run though its key ran")
         return found
 
-    def _find_two_answers(self) -> list[str]:
+    def _find_conflicting_answers(self) -> list[str]:
         found = []
         answers: dict[str, Answer] = {}
         bodies: dict[str, bytes] = {}
-        for asked in self.asked:
-            if asked.answer is None:
+        for request in self.requests:
+            if request.answer is None:
                 continue
-            if answers.setdefault(asked.key, asked.answer) != asked.answer:
-                found.append(f"key {asked.key} got two answers")
-            if bodies.setdefault(asked.key, asked.body) != asked.body:
-                found.append(f"key {asked.key} was answered for two bodies")
+            if answers.setdefault(request.key, request.answer) != request.answer:
+                found.append(f"key {request.key} got two answers")
+            if bodies.setdefault(request.key, request.body) != request.body:
+                found.append(f"key {request.key} was answered for two bodies")
         return found
 
     def _find_unreplied(self) -> list[str]:
         return [
-            f"request {asked.number} got no reply"
-            for asked in self.asked
-            if not asked.replied and asked.instance not in self.dead
+            f"request {request.number} got no reply"
+            for request in self.requests
+            if not request.replied and request.instance not in self.dead
         ]
 
     def _find_blocked_keys(self) -> list[str]:
@@ -336,5 +338,5 @@
         rows = self.tables.scan(OPERATIONS_TABLE, "")
         operations = [decode_operation(row.value) for row in rows]
         done = {item.key.key for item in operations if item.state is OperationState.DONE}
-        answered = {asked.key for asked in self.asked if asked.answer is not None}
+        answered = {request.key for request in self.requests if request.answer is not None}
         return [f"key {key} is not recorded" for key in answered - done if not self.dead]
--- a/tests/test_allotments_properties.py
+++ b/tests/test_allotments_properties.py
@@ -8,7 +8,7 @@
 from hypothesis import example, given
 from hypothesis import strategies as st
 
-from guavamast.allotments import BURST_S, CAUTION_S, Allotment, AllotmentAsk, AllotmentDispatcher
+from guavamast.allotments import BURST_S, HANDOVER_S, Allotment, AllotmentAsk, AllotmentDispatcher
 from guavamast.world import Contract, Organisation
 
 RATE = 3.0
@@ -55,7 +55,7 @@
         until, allotment = self.last.get(entry, (float("-inf"), None))
         return allotment.concurrent if now < until else 0
 
-    def add_up(self, now: float) -> int:
+    def sum_concurrent(self, now: float) -> int:
         return sum(self.find(entry, now) for entry in self.last)
 
 
@@ -97,7 +97,7 @@
             tokens += answer.tokens
             if not lost:
                 holdings.last[entry] = (now + answer.valid_for_s, answer)
-            self.assertLessEqual(holdings.add_up(now), factor * CONCURRENT)
+            self.assertLessEqual(holdings.sum_concurrent(now), factor * CONCURRENT)
             self.assertLessEqual(tokens, RATE * now + factor * RATE * BURST_S)
 
     @given(steps=STEPS)
@@ -115,7 +115,7 @@
                     tokens_wanted=9,
                 ),
                 ORGANISATION,
-                now=CAUTION_S + 0.1,
+                now=HANDOVER_S + 0.1,
             )
             for index, (_, rate, concurrent, _, _) in enumerate(steps)
         ]
--- a/tests/test_group_commit.py
+++ b/tests/test_group_commit.py
@@ -7,7 +7,7 @@
 
 from guavamast.group_commit import GroupCommit
 from guavamast.platform_client import Check, PlatformAnswerLost, TransactionConflict, Write
-from tests.operation_fakes import WorldClock, WorldPlatform
+from tests.operation_fakes import SimulatedClock, SimulatedPlatform
 from tests.operation_world import Fault, World
 
 
@@ -15,31 +15,31 @@
     """Callers share a write, not its failures."""
 
     def setUp(self) -> None:
-        self.world = World()
-        client = WorldPlatform(self.world, "a")
-        self.group = GroupCommit(client=client, clock=WorldClock(self.world, "a"))
+        self.simulation = World()
+        client = SimulatedPlatform(self.simulation, "a")
+        self.group = GroupCommit(client=client, clock=SimulatedClock(self.simulation, "a"))
 
     def insert(self, key: str) -> asyncio.Task[list[int]]:
         check, write = Check(table="t", key=key, version=0), Write(table="t", key=key, value={})
         return asyncio.ensure_future(self.group.transact([check], [write]))
 
     async def go_on(self, fault: Fault = Fault.NONE) -> None:
-        for step in list(self.world.steps):
-            await self.world.resume(step, fault)
+        for step in list(self.simulation.steps):
+            await self.simulation.resume(step, fault)
 
     async def run_to_end(self) -> None:
-        while self.world.steps:
+        while self.simulation.steps:
             await self.go_on()
 
     async def test_lone_transaction_goes_at_once(self) -> None:
         self.insert("k")
-        await self.world.settle()
-        self.assertEqual([step.label for step in self.world.steps], ["write"])
+        await self.simulation.settle()
+        self.assertEqual([step.label for step in self.simulation.steps], ["write"])
 
     async def test_one_conflict_fails_only_its_caller(self) -> None:
-        self.world.tables.transact([], [Write(table="t", key="k3", value={})])
+        self.simulation.tables.transact([], [Write(table="t", key="k3", value={})])
         tasks = [self.insert(f"k{number}") for number in range(8)]
-        await self.world.settle()
+        await self.simulation.settle()
         await self.run_to_end()
         results = await asyncio.gather(*tasks, return_exceptions=True)
         self.assertIsInstance(results.pop(3), TransactionConflict)
@@ -49,15 +49,15 @@
         # Two callers insert one key in the same moment. In one transaction both checks for an
         # absent row hold, and both would be told that the row is theirs.
         tasks = [self.insert("k"), self.insert("k"), self.insert("other")]
-        await self.world.settle()
+        await self.simulation.settle()
         await self.run_to_end()
         results = await asyncio.gather(*tasks, return_exceptions=True)
         self.assertEqual([type(result) for result in results], [list, TransactionConflict, list])
 
     async def test_lost_answer_is_lost_for_each(self) -> None:
         tasks = [self.insert("k1"), self.insert("k2")]
-        await self.world.settle()
-        self.assertEqual(len(self.world.steps), 1)
+        await self.simulation.settle()
+        self.assertEqual(len(self.simulation.steps), 1)
         await self.go_on(Fault.LOST_AFTER)
         results = await asyncio.gather(*tasks, return_exceptions=True)
         self.assertEqual([type(result) for result in results], [PlatformAnswerLost] * 2)
--- a/tests/test_limits_properties.py
+++ b/tests/test_limits_properties.py
@@ -12,9 +12,9 @@
 from guavamast.allotments import BURST_S, PREFETCH_S, VALIDITY_S, Allotment, AllotmentDispatcher
 from guavamast.errors import ErrorCode
 from guavamast.limits import (
+    ASK_RETRY_INTERVAL_S,
     ASK_TIMEOUT_S,
     LOW_TOKENS_S,
-    REPEAT_S,
     AdmissionState,
     EntryLimiter,
 )
@@ -53,7 +53,7 @@
 
 
 TICK_S = 0.05
-AHEAD_S = PREFETCH_S + LOW_TOKENS_S
+PREFETCHED_S = PREFETCH_S + LOW_TOKENS_S
 """Seconds of their demand for which entries may hold tokens."""
 PHASES = st.lists(
     st.tuples(
@@ -120,7 +120,7 @@
                 fleet.run(demands, run_ticks)
                 self.assertLessEqual(len(fleet.running), factor * CONCURRENT)
                 for seconds in (1.0, 5.0, 20.0):
-                    bound = factor * RATE * (seconds + BURST_S + AHEAD_S)
+                    bound = factor * RATE * (seconds + BURST_S + PREFETCHED_S)
                     self.assertLessEqual(fleet.count_admitted(seconds), bound)
 
     @example(phases=[([1, 1, 1, 1], 200, 1)], seed=1, delay_ticks=2)
@@ -245,8 +245,8 @@
             self.entry.admit(ORGANISATION, now=0.0)
         (first,) = self.entry.collect_asks(now=0.0)
         late = self.home.ask(first, ORGANISATION, now=0.0)
-        self.entry.admit(ORGANISATION, now=REPEAT_S)
-        self.assertEqual(len(self.entry.collect_asks(now=REPEAT_S)), 1)
-        self.entry.record_allotment(late, now=REPEAT_S)
-        held = [self.entry.admit(ORGANISATION, now=REPEAT_S) for _ in range(CONCURRENT)]
+        self.entry.admit(ORGANISATION, now=ASK_RETRY_INTERVAL_S)
+        self.assertEqual(len(self.entry.collect_asks(now=ASK_RETRY_INTERVAL_S)), 1)
+        self.entry.record_allotment(late, now=ASK_RETRY_INTERVAL_S)
+        held = [self.entry.admit(ORGANISATION, now=ASK_RETRY_INTERVAL_S) for _ in range(CONCURRENT)]
         self.assertLessEqual(sum(each.granted for each in held), 2)
--- a/tests/test_operations_processes.py
+++ b/tests/test_operations_processes.py
@@ -13,13 +13,13 @@
 if TYPE_CHECKING:
     from tornado.httpclient import HTTPResponse
 
-ASK_AGAIN_ROUNDS = 150
+RETRY_ROUNDS = 150
 """Most rounds, 0.1 s apart, in which callers ask again."""
 
 FREEZE_S = 5.0
 """Deadline of the calls in a frozen entry, and time it stays frozen after others were asked."""
 
-ASK_TIMEOUT_S = 20.0
+CALLER_TIMEOUT_S = 20.0
 """A caller's own wait for one answer."""
 
 
@@ -73,7 +73,7 @@
         self.callers = [Caller(url=url) for url in self.fleet.urls]
         self.logs: list[KeyLog] = []
 
-    async def ask(self, log: KeyLog, number: int, *, deadline_s: float = 30.0) -> None:
+    async def send_request(self, log: KeyLog, number: int, *, deadline_s: float = 30.0) -> None:
         """Ask once for a key at one instance."""
         headers = {
             "Idempotency-Key": log.key,
@@ -85,13 +85,13 @@
                     "/v1/services/ledger/approve",
                     body=b"{}",
                     headers=headers,
-                    timeout_s=ASK_TIMEOUT_S,
+                    timeout_s=CALLER_TIMEOUT_S,
                 )
             )
         except Exception:
             log.record(None)
 
-    async def ask_many(
+    async def send_requests(
         self, prefix: str, *, count: int, number: int, deadline_s: float = 30.0
     ) -> None:
         """Ask for new keys at one instance, two milliseconds apart."""
@@ -99,31 +99,31 @@
         self.logs.extend(logs)
         async with asyncio.TaskGroup() as tasks:
             for log in logs:
-                tasks.create_task(self.ask(log, number, deadline_s=deadline_s))
+                tasks.create_task(self.send_request(log, number, deadline_s=deadline_s))
                 await asyncio.sleep(0.002)
 
-    async def ask_again(self, number: int, *, holder_lives: bool) -> None:
+    async def retry_until_settled(self, number: int, *, holder_lives: bool) -> None:
         """Ask at an instance for all keys until each is settled."""
-        for _ in range(ASK_AGAIN_ROUNDS):
+        for _ in range(RETRY_ROUNDS):
             open_logs = [log for log in self.logs if not log.is_settled(holder_lives=holder_lives)]
             if not open_logs:
                 return
-            await asyncio.gather(*(self.ask(log, number) for log in open_logs))
+            await asyncio.gather(*(self.send_request(log, number) for log in open_logs))
             await asyncio.sleep(0.1)
         self.fail(f"not settled: {[(log.key, log.outcomes[-3:]) for log in open_logs]}")
 
-    async def expect_promises(self) -> None:
+    async def assert_guarantees(self) -> None:
         """Check runs against what callers were told."""
         runs = await self.fleet.read_runs()
         for log in self.logs:
             count = runs.get(log.key, 0)
-            told = (log.key, log.outcomes)
-            self.assertLessEqual(count, 1, told)
-            self.assertLessEqual(len(set(log.answers)), 1, told)
+            context = (log.key, log.outcomes)
+            self.assertLessEqual(count, 1, context)
+            self.assertLessEqual(len(set(log.answers)), 1, context)
             if log.answers:
-                self.assertEqual(count, 1, told)
+                self.assertEqual(count, 1, context)
             if log.never_ran:
-                self.assertEqual(count, 0, told)
+                self.assertEqual(count, 0, context)
 
     async def fault_services(self, **fault: object) -> None:
         """Switch the fault of all endpoints."""
@@ -141,12 +141,12 @@
         # connections break, and they ask again at the other instance. Keys whose row was inserted
         # stay unknown, the others run there; none runs twice.
         await self.fault_services(kind="slow", delay_s=0.03)
-        asking = asyncio.ensure_future(self.ask_many("kill", count=60, number=0))
+        asking = asyncio.ensure_future(self.send_requests("kill", count=60, number=0))
         await self.wait_for_runs(15)
         self.fleet.entries[0].kill()
         await asking
-        await self.ask_again(1, holder_lives=False)
-        await self.expect_promises()
+        await self.retry_until_settled(1, holder_lives=False)
+        await self.assert_guarantees()
         outcomes = {log.outcomes[-1] for log in self.logs}
         self.assertIn("answered", outcomes)
 
@@ -156,18 +156,18 @@
         # sent before has run once at most, and what it had not sent is never sent.
         await self.fault_services(kind="slow", delay_s=0.03)
         asking = asyncio.ensure_future(
-            self.ask_many("freeze", count=60, number=0, deadline_s=FREEZE_S)
+            self.send_requests("freeze", count=60, number=0, deadline_s=FREEZE_S)
         )
         await self.wait_for_runs(15)
         self.fleet.entries[0].pause()
         again = [KeyLog(f"freeze-{index}") for index in range(60)]
-        await asyncio.gather(*(self.ask(log, 1) for log in again))
+        await asyncio.gather(*(self.send_request(log, 1) for log in again))
         await asyncio.sleep(FREEZE_S)
         self.fleet.entries[0].resume()
         await asking
         self.logs.extend(again)
-        await self.ask_again(1, holder_lives=True)
-        await self.expect_promises()
+        await self.retry_until_settled(1, holder_lives=True)
+        await self.assert_guarantees()
         for first, second in zip(self.logs[:60], again, strict=True):
             self.assertLessEqual(len({*first.answers, *second.answers}), 1, first.key)
 
@@ -179,7 +179,7 @@
         caller = self.callers[0]
         headers = {"Idempotency-Key": "frozen", "X-Request-Timeout-Ms": "1000"}
         response = await caller.fetch(
-            "/v1/services/ledger/approve", body=b"{}", headers=headers, timeout_s=ASK_TIMEOUT_S
+            "/v1/services/ledger/approve", body=b"{}", headers=headers, timeout_s=CALLER_TIMEOUT_S
         )
         self.assertEqual(response.code, 504)
         self.assertEqual(json.loads(response.body)["error"]["outcome"], "outcome_unknown")
@@ -198,15 +198,15 @@
     async def test_platform_loses_answers_and_goes_down(self) -> None:
         # Approvals run while the platform first closes connections after its writes, then answers
         # 503. Nothing runs twice; refusals as not run are true; after the outage all is settled.
-        asking = asyncio.ensure_future(self.ask_many("outage", count=60, number=0))
+        asking = asyncio.ensure_future(self.send_requests("outage", count=60, number=0))
         await self.wait_for_runs(5)
         await self.fleet.fault(self.fleet.platform_url, kind="lose_answers")
         await asyncio.sleep(0.05)
         await self.fleet.fault(self.fleet.platform_url, kind="down")
         await asking
         await self.fleet.fault(self.fleet.platform_url, kind="none")
-        await self.ask_again(1, holder_lives=True)
-        await self.expect_promises()
+        await self.retry_until_settled(1, holder_lives=True)
+        await self.assert_guarantees()
         told = {log.outcomes[-1] for log in self.logs}
         self.assertEqual(told, {"answered"})
 
@@ -216,17 +216,17 @@
         # send after a lost answer, would run a key twice.
         for prefix, kind in (("both", "none"), ("lost", "lose_answers")):
             await self.fault_services(kind=kind)
-            asking = [self.ask_many(prefix, count=20, number=number) for number in (0, 1)]
+            asking = [self.send_requests(prefix, count=20, number=number) for number in (0, 1)]
             await asyncio.gather(*asking)
         await self.fault_services(kind="none")
-        await self.ask_again(0, holder_lives=False)
-        await self.expect_promises()
+        await self.retry_until_settled(0, holder_lives=False)
+        await self.assert_guarantees()
         lost = [log for log in self.logs if log.key.startswith("lost")]
         self.assertIn("outcome_unknown", {log.outcomes[-1] for log in lost})
 
     async def test_answers_lost_by_both_and_entry_killed(self) -> None:
         # Platform and service both close connections after their work, and the entry is killed.
-        asking = asyncio.ensure_future(self.ask_many("pair", count=40, number=0))
+        asking = asyncio.ensure_future(self.send_requests("pair", count=40, number=0))
         await self.wait_for_runs(5)
         await self.fleet.fault(self.fleet.platform_url, kind="lose_answers")
         await self.fault_services(kind="lose_answers")
@@ -235,5 +235,5 @@
         await asking
         await self.fleet.fault(self.fleet.platform_url, kind="none")
         await self.fault_services(kind="none")
-        await self.ask_again(1, holder_lives=False)
-        await self.expect_promises()
+        await self.retry_until_settled(1, holder_lives=False)
+        await self.assert_guarantees()
