--- a/src/guavamast/attempts.py
+++ b/src/guavamast/attempts.py
@@ -88,9 +88,9 @@
 
         try:
             request = make_endpoint_call(call, grant.endpoint, timeout_s=timeout_s)
-            answer = await self._sender.send(request, before_write=check_and_mark)
+            response = await self._sender.send(request, before_write=check_and_mark)
             answered = True
-            return answer
+            return response
         finally:
             duration_s = self._clock.read_monotonic() - started
             grant.release(used=wrote, failed=not answered, duration_s=duration_s)
--- a/src/guavamast/operation_store.py
+++ b/src/guavamast/operation_store.py
@@ -13,7 +13,7 @@
     Insert,
     Operation,
     OperationKey,
-    RecordedAnswer,
+    RecordedResponse,
     compute_body_digest,
     decide_claim,
     decode_operation,
@@ -162,18 +162,18 @@
         except TransactionConflict as error:
             raise PlatformUnavailable("the row has just changed") from error
 
-    async def record(self, claim: Claim, answer: Answer) -> None:
+    async def record(self, claim: Claim, response: Answer) -> None:
         """Record the answer of a call that ran; a second time does no harm.
 
         Args:
             claim: The claim of the attempt that sent the call.
-            answer: The endpoint's whole answer.
+            response: The endpoint's whole answer.
 
         Raises:
             PlatformUnavailable: Try again later.
             PlatformAnswerLost: Try again.
         """
-        recorded = await self._store_body(claim, answer)
+        recorded = await self._store_body(claim, response)
         done = finish(claim.operation, recorded, now=self._clock.read_wall())
         try:
             await self._write(done, claim.version)
@@ -183,7 +183,7 @@
             if found is not None and is_started_by(found, claim.operation.nonce):
                 raise PlatformUnavailable("the row has another version") from None
 
-    async def load_answer(self, recorded: RecordedAnswer) -> Answer:
+    async def load_answer(self, recorded: RecordedResponse) -> Answer:
         """Return a recorded answer with its body.
 
         Raises:
@@ -236,17 +236,17 @@
         )
         return versions[0]
 
-    async def _store_body(self, claim: Claim, answer: Answer) -> RecordedAnswer:
+    async def _store_body(self, claim: Claim, response: Answer) -> RecordedResponse:
         """Store a large body as an object before the row names it."""
-        inline = len(answer.body) <= self._inline_limit
+        inline = len(response.body) <= self._inline_limit
         name = "" if inline else f"operations-{claim.operation.nonce}"
         if not inline:
-            await self._client.put_object(name, answer.body)
-        return RecordedAnswer(
-            status=answer.status,
-            content_type=answer.content_type,
-            digest=compute_body_digest(answer.body),
-            body=answer.body if inline else None,
+            await self._client.put_object(name, response.body)
+        return RecordedResponse(
+            status=response.status,
+            content_type=response.content_type,
+            digest=compute_body_digest(response.body),
+            body=response.body if inline else None,
             object_name=name,
         )
 
--- a/src/guavamast/operations.py
+++ b/src/guavamast/operations.py
@@ -75,7 +75,7 @@
 
 
 @dataclass(frozen=True, slots=True, kw_only=True)
-class RecordedAnswer:
+class RecordedResponse:
     """An answer as a row holds it: its body in the row, or the name of an object."""
 
     status: int
@@ -101,7 +101,7 @@
     """Wall time after which a holder that works has finished."""
     ended_at: float = 0.0
     """Wall time of ``done`` or ``not_run``."""
-    answer: RecordedAnswer | None = None
+    answer: RecordedResponse | None = None
 
 
 @dataclass(frozen=True, slots=True, kw_only=True)
@@ -122,7 +122,7 @@
 class Recorded:
     """The key ran before; its answer is served again."""
 
-    answer: RecordedAnswer
+    response: RecordedResponse
 
 
 @dataclass(frozen=True, slots=True, kw_only=True)
@@ -165,7 +165,7 @@
     if found.request_digest != wanted.request_digest:
         return KeyReused()
     if found.state is OperationState.DONE and found.answer is not None:
-        return Recorded(answer=found.answer)
+        return Recorded(response=found.answer)
     if found.state is OperationState.NOT_RUN:
         return Insert(version=version)
     if found.nonce == wanted.nonce:
@@ -175,9 +175,9 @@
     return Abandoned()
 
 
-def finish(operation: Operation, answer: RecordedAnswer, *, now: float) -> Operation:
+def finish(operation: Operation, response: RecordedResponse, *, now: float) -> Operation:
     """Return the row of a call that ran, with its answer."""
-    return replace(operation, state=OperationState.DONE, ended_at=now, answer=answer)
+    return replace(operation, state=OperationState.DONE, ended_at=now, answer=response)
 
 
 def mark_not_run(operation: Operation, *, now: float) -> Operation:
@@ -252,7 +252,7 @@
 
 def encode_operation(operation: Operation) -> dict[str, Any]:
     """Return the row's value as the table stores it."""
-    answer = operation.answer
+    response = operation.answer
     return {
         "organisation": operation.key.organisation,
         "key": operation.key.key,
@@ -262,13 +262,13 @@
         "started_at": operation.started_at,
         "due_at": operation.due_at,
         "ended_at": operation.ended_at,
-        "answer": None if answer is None else _encode_answer(answer),
+        "answer": None if response is None else _encode_response(response),
     }
 
 
 def decode_operation(value: dict[str, Any]) -> Operation:
     """Return the row that a value of the table stands for."""
-    answer = value["answer"]
+    response = value["answer"]
     return Operation(
         key=OperationKey(organisation=value["organisation"], key=value["key"]),
         nonce=value["nonce"],
@@ -277,24 +277,24 @@
         started_at=value["started_at"],
         due_at=value["due_at"],
         ended_at=value["ended_at"],
-        answer=None if answer is None else _decode_answer(answer),
+        answer=None if response is None else _decode_response(response),
     )
 
 
-def _encode_answer(answer: RecordedAnswer) -> dict[str, Any]:
-    body = None if answer.body is None else base64.b64encode(answer.body).decode()
+def _encode_response(response: RecordedResponse) -> dict[str, Any]:
+    body = None if response.body is None else base64.b64encode(response.body).decode()
     return {
-        "status": answer.status,
-        "content_type": answer.content_type,
-        "digest": answer.digest,
+        "status": response.status,
+        "content_type": response.content_type,
+        "digest": response.digest,
         "body": body,
-        "object": answer.object_name,
+        "object": response.object_name,
     }
 
 
-def _decode_answer(value: dict[str, Any]) -> RecordedAnswer:
+def _decode_response(value: dict[str, Any]) -> RecordedResponse:
     body = value["body"]
-    return RecordedAnswer(
+    return RecordedResponse(
         status=value["status"],
         content_type=value["content_type"],
         digest=value["digest"],
--- a/src/guavamast/single_fetch.py
+++ b/src/guavamast/single_fetch.py
@@ -21,7 +21,7 @@
 
     from tornado.iostream import IOStream
 
-MAX_ANSWER_BYTES: Final = 16 * 1024 * 1024
+MAX_RESPONSE_BYTES: Final = 16 * 1024 * 1024
 """Longest answer that is taken in; a plain service's answers are a few kilobytes."""
 
 
@@ -105,7 +105,7 @@
         request.decompress_response = False
         self._request = request
         self._client = SimpleAsyncHTTPClient(
-            force_instance=True, resolver=NumericResolver(), max_body_size=MAX_ANSWER_BYTES
+            force_instance=True, resolver=NumericResolver(), max_body_size=MAX_RESPONSE_BYTES
         )
         self._connector = _SingleUseTcpClient(
             resolver=self._client.resolver, before_write=before_write
--- a/src/guavamast/single_runs.py
+++ b/src/guavamast/single_runs.py
@@ -187,9 +187,9 @@
             grant.release(used=False, failed=False, duration_s=0.0)
             return await self._answer_from_decision(run, claim)
         self._metrics.count("operations.claimed")
-        answer = await self._send(run, grant)
-        await self._record(claim, answer)
-        return answer
+        response = await self._send(run, grant)
+        await self._record(claim, response)
+        return response
 
     async def _claim(self, run: SingleRun) -> Claim | ClaimDecision:
         try:
@@ -248,7 +248,7 @@
             self._repairs.add(lambda: self._store.mark_not_run(run.operation, run.latch))
         raise _create_unsent_rejection(run, error) from error
 
-    async def _record(self, claim: Claim, answer: Answer) -> None:
+    async def _record(self, claim: Claim, response: Answer) -> None:
         """Record an answer, later if need be.
 
         The caller gets the answer either way: it is the only one this key can have. Until it is
@@ -256,12 +256,12 @@
         """
         for _ in range(RECORD_ATTEMPTS):
             try:
-                await self._store.record(claim, answer)
+                await self._store.record(claim, response)
                 self._metrics.count("operations.recorded")
                 return
             except (PlatformUnavailable, PlatformAnswerLost):
                 continue
-        self._repairs.add(lambda: self._store.record(claim, answer))
+        self._repairs.add(lambda: self._store.record(claim, response))
 
     async def _answer_from_decision(self, run: SingleRun, decision: ClaimDecision) -> Answer:
         """Answer from what stands in the way of the run.
@@ -289,7 +289,7 @@
 
     async def _serve_recorded(self, decision: Recorded) -> Answer:
         try:
-            return await self._store.load_answer(decision.answer)
+            return await self._store.load_answer(decision.response)
         except (PlatformUnavailable, AnswerMissing) as error:
             raise Refusal(
                 error.code,
--- a/tests/operation_fakes.py
+++ b/tests/operation_fakes.py
@@ -132,13 +132,13 @@
             simulation.late_effects.append(LateEffect(apply=lambda: self._run(call)))
         if fault in (Fault.BEFORE, Fault.LOST_BEFORE, Fault.LATE):
             raise AnswerLost("cut")
-        answer = self._run(call)
+        response = self._run(call)
         if (
             fault is Fault.LOST_AFTER
             or await simulation.park(self.instance, "ran") is not Fault.NONE
         ):
             raise AnswerLost("cut")
-        return answer
+        return response
 
     def _record_send(self, call: EndpointCall) -> None:
         simulation = self.simulation
--- a/tests/operation_world.py
+++ b/tests/operation_world.py
@@ -80,7 +80,7 @@
     earlier_unanswered: bool
     """Whether another request of the key had no reply when this one was made."""
     task: asyncio.Task[None] | None = None
-    answer: Answer | None = None
+    response: Answer | None = None
     refusal: Refusal | None = None
     runs_at_reply: int = 0
     """Runs of the key by other requests when this one was answered."""
@@ -90,7 +90,7 @@
     @property
     def replied(self) -> bool:
         """Whether the caller has its reply."""
-        return self.answer is not None or self.refusal is not None
+        return self.response is not None or self.refusal is not None
 
 
 @dataclass(slots=True, kw_only=True)
@@ -239,13 +239,13 @@
 
     async def _await_reply(self, request: CallerRequest, call: ServiceCall) -> None:
         try:
-            answer = await self.nodes[request.instance].calls.run(call)
+            response = await self.nodes[request.instance].calls.run(call)
         except Refusal as refusal:
-            reply, answer = refusal, None
+            reply, response = refusal, None
         if request.instance in self.dead:
             return
-        request.answer = answer
-        request.refusal = None if answer is not None else reply
+        request.response = response
+        request.refusal = None if response is not None else reply
         request.runs_at_reply = sum(
             run.key == request.key and run.request != request.number for run in self.runs
         )
@@ -276,7 +276,7 @@
             *self.forbidden_sends,
             *self._find_double_runs(),
             *self._find_false_not_run(),
-            *self._find_conflicting_answers(),
+            *self._find_conflicting_responses(),
             *self._find_unreplied(),
             *self._find_blocked_keys(),
             *self._find_unrecorded(),
@@ -303,14 +303,14 @@
                 found.append(f"request {request.number} was told not_run though its key ran")
         return found
 
-    def _find_conflicting_answers(self) -> list[str]:
+    def _find_conflicting_responses(self) -> list[str]:
         found = []
-        answers: dict[str, Answer] = {}
+        responses: dict[str, Answer] = {}
         bodies: dict[str, bytes] = {}
         for request in self.requests:
-            if request.answer is None:
+            if request.response is None:
                 continue
-            if answers.setdefault(request.key, request.answer) != request.answer:
+            if responses.setdefault(request.key, request.response) != request.response:
                 found.append(f"key {request.key} got two answers")
             if bodies.setdefault(request.key, request.body) != request.body:
                 found.append(f"key {request.key} was answered for two bodies")
@@ -338,5 +338,5 @@
         rows = self.tables.scan(OPERATIONS_TABLE, "")
         operations = [decode_operation(row.value) for row in rows]
         done = {item.key.key for item in operations if item.state is OperationState.DONE}
-        answered = {request.key for request in self.requests if request.answer is not None}
-        return [f"key {key} is not recorded" for key in answered - done if not self.dead]
+        answered_keys = {request.key for request in self.requests if request.response is not None}
+        return [f"key {key} is not recorded" for key in answered_keys - done if not self.dead]
--- a/tests/test_operations_processes.py
+++ b/tests/test_operations_processes.py
@@ -28,7 +28,7 @@
 
     def __init__(self, key: str) -> None:
         self.key = key
-        self.answers: list[bytes] = []
+        self.responses: list[bytes] = []
         self.outcomes: list[str] = []
         self.requests = 0
 
@@ -38,7 +38,7 @@
         if response is None or response.code == 599:
             self.outcomes.append("broken")
         elif response.code == 200:
-            self.answers.append(response.body)
+            self.responses.append(response.body)
             self.outcomes.append("answered")
         else:
             error = json.loads(response.body)["error"]
@@ -119,8 +119,8 @@
             count = runs.get(log.key, 0)
             context = (log.key, log.outcomes)
             self.assertLessEqual(count, 1, context)
-            self.assertLessEqual(len(set(log.answers)), 1, context)
-            if log.answers:
+            self.assertLessEqual(len(set(log.responses)), 1, context)
+            if log.responses:
                 self.assertEqual(count, 1, context)
             if log.never_ran:
                 self.assertEqual(count, 0, context)
@@ -169,7 +169,7 @@
         await self.retry_until_settled(1, holder_lives=True)
         await self.assert_guarantees()
         for first, second in zip(self.logs[:60], again, strict=True):
-            self.assertLessEqual(len({*first.answers, *second.answers}), 1, first.key)
+            self.assertLessEqual(len({*first.responses, *second.responses}), 1, first.key)
 
     async def test_service_frozen_past_the_deadline(self) -> None:
         # The service freezes with an approval in it. The caller's deadline passes: outcome unknown.
--- a/tests/test_single_fetch.py
+++ b/tests/test_single_fetch.py
@@ -13,8 +13,8 @@
 class RawServer:
     """Accepts connections, records what arrives and answers fixed bytes."""
 
-    def __init__(self, answer: bytes) -> None:
-        self.answer = answer
+    def __init__(self, response: bytes) -> None:
+        self.response = response
         self.received: list[bytes] = []
         self.url = ""
         self.accepted = asyncio.Event()
@@ -30,15 +30,15 @@
         received = await reader.read(65536)
         if received:
             self.received.append(received)
-            writer.write(self.answer)
+            writer.write(self.response)
         writer.close()
 
 
 class SingleFetchTest(unittest.IsolatedAsyncioTestCase):
     """The HTTP client neither repeats, follows nor guesses."""
 
-    async def start(self, answer: bytes) -> RawServer:
-        server = RawServer(answer)
+    async def start(self, response: bytes) -> RawServer:
+        server = RawServer(response)
         await server.start()
         self.addCleanup(server.server.close)
         return server
@@ -58,7 +58,7 @@
     async def test_redirect_is_returned_and_not_followed(self) -> None:
         # A service answers 307 with its own address: a client that follows sends the call twice.
         server = await self.start(b"")
-        server.answer = (
+        server.response = (
             f"HTTP/1.1 307 See\r\nLocation: {server.url}\r\nContent-Length: 0\r\n\r\n".encode()
         )
         self.assertEqual((await self.fetch(server.url)).code, 307)
@@ -73,15 +73,15 @@
         self.assertEqual(len(server.received), 1)
 
     async def test_cut_answer_is_not_taken_for_a_whole_one(self) -> None:
-        for answer in (
+        for response in (
             b"HTTP/1.1 200 OK\r\nContent-Length: 20\r\n\r\n{}",
             b"HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n2\r\n{}\r\n",
             b"HTTP/1.1 200 OK\r\n\r\n{}",
             b"HTTP/1.1 200",
             b"nonsense\r\n\r\n",
         ):
-            server = await self.start(answer)
-            with self.subTest(answer=answer), self.assertRaises(AnswerLost):
+            server = await self.start(response)
+            with self.subTest(answer=response), self.assertRaises(AnswerLost):
                 await self.fetch(server.url)
 
     async def test_refused_connection_proves_not_sent(self) -> None:
--- a/tests/test_single_runs.py
+++ b/tests/test_single_runs.py
@@ -47,7 +47,7 @@
             self.assertEqual(simulation.find_violations(), [])
             repeat = simulation.send_request("a", "k", b"100")
             await simulation.finish(late_last=True)
-            self.assertIsNotNone(repeat.answer)
+            self.assertIsNotNone(repeat.response)
 
     async def test_timer_that_fires_early(self) -> None:
         # The deadline's timer fires a moment before the deadline by the clock (loops allow for the
@@ -73,7 +73,7 @@
         await simulation.run_to("a", "written")
         repeat = simulation.send_request("b", "k", b"100")
         await simulation.finish(late_last=False)
-        self.assertIsNotNone(repeat.answer)
+        self.assertIsNotNone(repeat.response)
         self.assertEqual(len(simulation.runs), 1)
 
     async def test_pause_between_grant_and_send(self) -> None:
