--- a/src/guavamast/_allotment_wire.py
+++ b/src/guavamast/_allotment_wire.py
@@ -7,7 +7,7 @@
 
 
 def encode_allotment_ask(ask: AllotmentAsk) -> peer_pb2.EntryMessage:
-    """Return the message of an entry's wish."""
+    """Return the message of an entry's ask."""
     return peer_pb2.EntryMessage(
         allotment_ask=peer_pb2.AllotmentAskMessage(
             organisation=ask.organisation,
@@ -21,7 +21,7 @@
 
 
 def decode_allotment_ask(message: peer_pb2.AllotmentAskMessage, *, entry: str) -> AllotmentAsk:
-    """Return the wish of a message."""
+    """Return the ask of a message."""
     return AllotmentAsk(
         organisation=message.organisation,
         entry=entry,
--- a/src/guavamast/allotments.py
+++ b/src/guavamast/allotments.py
@@ -1,7 +1,7 @@
-"""The dispatcher's side of the organisations' limits: what entries may admit for a while.
+"""The dispatcher's side of the organisations' limits: time-limited allotments to entries.
 
-Each organisation has one home dispatcher by rendezvous. It keeps the one token bucket for the rate
-and the one count for the concurrency, and hands parts of both to the entries that have requests.
+Rendezvous hashing gives each organisation one home dispatcher. It keeps the organisation's token
+bucket (rate) and concurrency count, and allots parts of both to the entries that have requests.
 """
 
 from __future__ import annotations
@@ -18,75 +18,75 @@
     from guavamast.world import Organisation
 
 BURST_S: Final = 1.0
-"""Seconds of a rate that may be admitted at once."""
+"""Size of the token bucket, in seconds of the rate."""
 PREFETCH_S: Final = 4.0
-"""Seconds of an entry's demand that it gets ahead; more when the home is busy."""
+"""Seconds of an entry's demand that it is allotted in advance; more when the home is overloaded."""
 PREFETCH_SHARE: Final = 0.25
-"""Greatest share of the tokens and of the free concurrency that one answer gives ahead."""
+"""Largest share of the tokens and the free concurrency that one allotment gives in advance."""
 MIN_HOLD_S: Final = 0.1
-"""Least time after a short answer until an entry asks again."""
+"""Minimum time between a partial allotment and the entry's next ask."""
 ASKS_PER_S: Final = 20.0
-"""Asks a second that a home takes of an organisation above its limit; holds follow from it."""
+"""Target asks per second to a home from an organisation above its limit; sets `hold_s`."""
 RENEWAL_INTERVAL_S: Final = 4.0
-"""Interval in which running requests are told anew."""
+"""Interval at which an entry reports its running requests again."""
 VALIDITY_S: Final = 12.0
-"""Time for which a part may be used; two lost renewals do no harm."""
+"""Time for which an allotment may be used; covers two lost renewals."""
 MAX_HOLD_S: Final = 10.0
 HANDOVER_S: Final = VALIDITY_S
-"""Time after a change of home for which the last home's parts may still be in use."""
+"""Time after a change of home during which the previous home's allotments may still be in use."""
 HANDOVER_SHARE: Final = 0.25
-"""Share of what seems free that one answer may hand out during that time."""
+"""Share of the apparently free limit that one allotment may give out during that time."""
 TIGHT_SHARE: Final = 0.7
-"""Share of the concurrency in use from which parts not needed are to be given back at once."""
+"""Utilisation of the concurrency limit above which entries release unneeded concurrency at once."""
 
 
 @dataclass(frozen=True, slots=True, kw_only=True)
 class AllotmentAsk:
-    """An entry's wish for a part of an organisation's limits."""
+    """An entry's request to its organisation's home for an allotment."""
 
     organisation: str
     entry: str
     sequence: int
-    """Raised by the entry with each ask; older ones are dropped."""
+    """Increases with each ask of the entry; asks with an older number are dropped."""
     rate_wanted: float
-    """Requests a second that the entry has had of late."""
+    """Recent requests per second at the entry."""
     tokens_wanted: int
-    """Requests that wait for this ask."""
+    """Requests waiting for this allotment."""
     concurrent_wanted: int
-    """Requests that run or wait."""
+    """Running and waiting requests."""
     held_concurrent: int = 0
-    """What the entry may use, or uses, until the answer."""
+    """Concurrency that the entry may use, or uses, until it is answered."""
 
 
 @dataclass(frozen=True, slots=True, kw_only=True)
 class Allotment:
-    """A part of an organisation's limits, for a while."""
+    """A part of an organisation's limits that an entry may use for a limited time."""
 
     organisation: str
     sequence: int
-    """That of the ask."""
+    """Sequence number of the ask."""
     tokens: int
-    """Requests that may be admitted, beside those allotted before."""
+    """Requests that may be admitted, in addition to earlier allotments."""
     concurrent: int
-    """Requests that may run at the same time; replaces what was allotted before."""
+    """Requests that may run at the same time; replaces the earlier allotment."""
     tight: bool
-    """Whether the limit is near, so that concurrency not needed is to be given back at once."""
+    """Whether the limit is near, so that unneeded concurrency is to be released at once."""
     hold_s: float
-    """Time until a further ask after a short answer, or to give concurrency back."""
+    """Minimum time until the next ask after a partial allotment, or until a release."""
     valid_for_s: float
-    """Counted by the entry from the time of its ask, which is earlier than the home's."""
+    """Counted by the entry from the time of its ask, so it expires there before the home's copy."""
 
 
 @dataclass(slots=True, kw_only=True)
 class _Reservation:
     sequence: int = -1
     concurrent: int = 0
-    """Most that the entry may use until its next ask or its expiry."""
+    """Upper bound of the entry's use until its next ask or the expiry."""
     expires_at: float = float("-inf")
 
 
 class _OrganisationState:
-    """The tokens and the parts of one organisation, with their running sum."""
+    """Token bucket and reservations of one organisation, with the sum of their concurrency."""
 
     __slots__ = ("ask_rate", "concurrent", "expiries", "reservations", "tokens", "updated_at")
 
@@ -96,11 +96,11 @@
         self.tokens = tokens
         self.concurrent = 0
         self.ask_rate = 0.0
-        """Asks of late, each fading over a second."""
+        """Recent asks, each decaying with a time constant of one second."""
         self.updated_at = now
 
     def advance(self, rate: float, now: float) -> None:
-        """Fill the bucket and drop the holders whose parts have run out."""
+        """Refill the bucket and remove the expired reservations."""
         elapsed = max(0.0, now - self.updated_at)
         self.updated_at = max(self.updated_at, now)
         self.tokens = min(max(1.0, rate * BURST_S), self.tokens + elapsed * rate)
@@ -112,7 +112,7 @@
                 self.remove_reservation(entry)
 
     def remove_reservation(self, entry: str) -> _Reservation:
-        """Remove a holder from the sum and return it; a new one when it is unknown."""
+        """Remove an entry's reservation and return it; return an empty one if there is none."""
         reservation = self.reservations.pop(entry, None)
         if reservation is None:
             return _Reservation()
@@ -120,7 +120,7 @@
         return reservation
 
     def add_reservation(self, entry: str, reservation: _Reservation) -> None:
-        """Add a holder to the sum."""
+        """Add a reservation to the sum."""
         self.reservations[entry] = reservation
         self.concurrent += reservation.concurrent
         heapq.heappush(self.expiries, (reservation.expires_at, entry))
@@ -139,9 +139,10 @@
 
 
 class AllotmentDispatcher:
-    """Hands out the limits of the organisations whose home this dispatcher is.
+    """Allots the limits of the organisations whose home this dispatcher is.
 
-    An answer costs the same whatever the number of entries: no answer looks at other holders.
+    The cost of an answer doesn't grow with the number of entries: only the asking entry's
+    reservation is read.
     """
 
     __slots__ = ("_states", "_changed_at")
@@ -151,19 +152,19 @@
         self._changed_at: float | None = None
 
     def record_view_change(self, *, now: float) -> None:
-        """Note that homes may have moved; call when the set of serving members has changed.
+        """Record that homes may have moved; call when the set of serving members has changed.
 
-        Failure: a new home does not know of its predecessor's parts and hands the limit out a
-        second time. For `CAUTION_S`, after which all of these have run out, one answer gives no
-        more than `CAUTION_SHARE` of what seems free beside what its entry holds already.
+        Failure: a new home does not know its predecessor's allotments and allots the limit a
+        second time. For `HANDOVER_S`, after which all of them have expired, one allotment gives at
+        most `HANDOVER_SHARE` of the apparently free concurrency on top of what its entry holds.
         """
         self._changed_at = now
 
     def ask(self, ask: AllotmentAsk, organisation: Organisation, *, now: float) -> Allotment | None:
-        """Answer one entry's ask; None when a later ask of it has been answered.
+        """Answer one entry's ask; None when a later ask of that entry has been answered.
 
         Args:
-            ask: The wish.
+            ask: The entry's ask.
             organisation: The organisation as configured.
             now: The present time.
         """
@@ -176,8 +177,8 @@
         previous = state.remove_reservation(ask.entry)
         allotment = self._allot(ask, state, contract.concurrent, now)
         state.tokens -= allotment.tokens
-        # Failure: the entry never gets this answer and uses its last part to the end, while its cut
-        # is handed to others. The greater of both stays booked until the entry's next ask.
+        # Failure: the answer is lost, the entry uses its previous allotment until it expires, and
+        # the reduction is allotted to others. The larger of both stays reserved until its next ask.
         reservation = _Reservation(
             sequence=ask.sequence,
             concurrent=max(allotment.concurrent, ask.held_concurrent),
@@ -187,7 +188,7 @@
         return allotment
 
     def forget_idle(self, *, now: float) -> None:
-        """Drop the books that nobody has asked for since all of their parts ran out."""
+        """Drop organisations without an ask since all their allotments expired."""
         for name, state in list(self._states.items()):
             if now - state.updated_at > VALIDITY_S:
                 del self._states[name]
--- a/src/guavamast/attempts.py
+++ b/src/guavamast/attempts.py
@@ -25,18 +25,18 @@
 
 @dataclass(slots=True, kw_only=True)
 class Stop:
-    """Set once the caller was answered; nothing may be sent for it after that."""
+    """Flag set once the caller has its response; nothing may be sent for it after that."""
 
     is_set: bool = False
 
 
 class AttemptRunner:
-    """Sends a call after a last check, and gives the slot back.
+    """Sends a call after a last check and releases the slot.
 
     Args:
         sender: Sends to endpoints.
-        gate: The configuration's word right before a send.
-        pauses: Whether this process was paused.
+        gate: Tells whether the configuration allows the send.
+        pauses: Tells whether this process was paused.
         clock: Source of the present time.
     """
 
@@ -51,7 +51,7 @@
         self._clock = clock
 
     def check(self, call: ServiceCall, endpoint: Endpoint) -> None:
-        """Raise `Obstructed` when the call may not be sent there now."""
+        """Raise `Obstructed` when the call may not be sent to the endpoint now."""
         now = self._clock.read_monotonic()
         obstacle = find_obstacle(
             endpoint, deadline=call.deadline, gate=self._gate, pauses=self._pauses, now=now
@@ -64,15 +64,15 @@
     ) -> Answer:
         """Send a call to the grant's endpoint and release the grant.
 
-        Failure: a process stops between its checks and the send, for longer than any timeout, and
-        sends to an endpoint that has left, or for a caller that was told ``not_run``. The check
-        below runs after the connect, in the same step as the first write. A pause after it can
-        only delay bytes that the latch already counts as sent.
+        Failure: a process is paused between its checks and the send for longer than any timeout,
+        and sends to an endpoint that has left, or for a caller that was told ``not_run``. So the
+        last check runs after the connect, with no await before the first write. A pause after it
+        only delays bytes that the latch already counts as sent.
 
         Raises:
             Obstructed: The last check failed.
             NotSent: No connection was made.
-            AnswerLost: It may have run, and no whole answer came back.
+            AnswerLost: The call may have run, and no whole response arrived.
         """
         started = self._clock.read_monotonic()
         wrote = False
@@ -81,7 +81,7 @@
         def check_and_mark() -> None:
             nonlocal wrote
             if stop.is_set:
-                raise Obstructed(ErrorCode.DEADLINE_EXCEEDED, "the caller was answered before")
+                raise Obstructed(ErrorCode.DEADLINE_EXCEEDED, "the caller already has a response")
             self.check(call, grant.endpoint)
             latch.mark_sent()
             wrote = True
@@ -97,7 +97,7 @@
 
 
 def make_endpoint_call(call: ServiceCall, endpoint: Endpoint, *, timeout_s: float) -> EndpointCall:
-    """Return what is sent to an endpoint for a caller's request."""
+    """Return the call to send to an endpoint for a caller's request."""
     return EndpointCall(
         url=endpoint.url,
         call=call.rule.call,
--- a/src/guavamast/group_commit.py
+++ b/src/guavamast/group_commit.py
@@ -1,4 +1,4 @@
-"""Group commit: several small transactions as one, so that a call costs less than one write."""
+"""Group commit: small transactions are merged, so that a call costs less than one write."""
 
 from __future__ import annotations
 
@@ -15,28 +15,28 @@
     from guavamast.platform_client import Check, ListedInstance, Row, Write
 
 WINDOW_S: Final = 0.005
-"""Time for which the first of a group waits for others on a busy node."""
+"""Time for which the first transaction of a group waits for others on a busy node."""
 
 BUSY_GAP_S: Final = 0.02
-"""Mean time between transactions below which a node is busy: a window finds company often then."""
+"""Mean time between transactions up to which a node is busy: others often arrive in the window."""
 
 LONGEST_GAP_S: Final = 1.0
-"""Longer gaps count as this one, so that a burst after an idle time is noticed within it."""
+"""Cap on a gap in the mean, so that a burst after an idle time is noticed while it lasts."""
 
 GAP_WEIGHT: Final = 0.2
-"""Weight of the latest gap in the mean."""
+"""Weight of the latest gap in the moving average."""
 
 GROUP_LIMIT: Final = 64
-"""Transactions in one group, which bounds the size of a request."""
+"""Maximum transactions in one group, which bounds the size of a request."""
 
 IN_FLIGHT_LIMIT: Final = 4
-"""Groups under way at a time; further ones grow while the platform is slow."""
+"""Maximum groups in flight; later groups grow while the platform is slow."""
 
 
 class ArrivalRate:
-    """Tells whether transactions come fast enough for a window to find company.
+    """Tells whether transactions arrive fast enough for a window to collect several.
 
-    A fixed window would delay each write of a quiet node, and save nothing.
+    A fixed window would delay each write of a quiet node without merging any.
     """
 
     __slots__ = ("_last", "_mean_gap_s")
@@ -46,7 +46,7 @@
         self._mean_gap_s = LONGEST_GAP_S
 
     def record(self, *, now: float) -> None:
-        """Note that a transaction came."""
+        """Record the arrival of a transaction."""
         if self._last is not None:
             gap_s = min(LONGEST_GAP_S, max(0.0, now - self._last))
             self._mean_gap_s += GAP_WEIGHT * (gap_s - self._mean_gap_s)
@@ -54,12 +54,12 @@
 
     @property
     def is_busy(self) -> bool:
-        """Whether to wait for others."""
+        """Whether to wait for further transactions."""
         return self._mean_gap_s <= BUSY_GAP_S
 
 
 class _Submission:
-    """One caller's transaction and where its result goes."""
+    """One caller's transaction and the future of its result."""
 
     __slots__ = ("checks", "keys", "result", "writes")
 
@@ -71,18 +71,18 @@
 
 
 class GroupCommit(PlatformClient):
-    """Passes everything on to a client, with transactions gathered into groups.
+    """Wraps a client and merges transactions into groups.
 
-    On a node with few transactions each goes at once; see `ArrivalRate`.
+    On a node with few transactions each one is sent at once; see `ArrivalRate`.
 
-    A group that conflicts is split in halves until the conflicting transactions stand alone, so
-    one caller's conflict never fails another's. An answer that was lost is lost for each of
-    the group, and each caller settles its own rows by reading.
+    A group that conflicts is split in halves until the conflicting transactions are alone, so one
+    caller's conflict never fails another's transaction. A lost response is lost for the whole
+    group, and each caller determines the state of its own rows by reading them.
 
     Args:
-        client: The client to pass on to.
-        clock: Waits out the window.
-        window_s: Time for which a group gathers.
+        client: The wrapped client.
+        clock: Waits for the window.
+        window_s: Time in seconds during which a group collects transactions.
     """
 
     __slots__ = (
@@ -181,11 +181,11 @@
 
 
 def pop_group(pending: deque[_Submission]) -> list[_Submission]:
-    """Take the next group off the front: transactions that share no row.
+    """Remove and return the next group: leading transactions that share no row.
 
-    Failure: two callers insert the same key at the same moment. In one transaction both checks
-    for an absent row hold, both are told that the row is theirs, and the call runs twice. So a
-    group ends before a transaction that touches a row of the group.
+    Failure: two callers insert the same key at the same moment. In one merged transaction both
+    checks for an absent row hold, both callers succeed, and the call runs twice. So a group ends
+    before a transaction that touches a row of the group.
     """
     group: list[_Submission] = []
     keys: set[tuple[str, str]] = set()
--- a/src/guavamast/limit_gate.py
+++ b/src/guavamast/limit_gate.py
@@ -1,4 +1,4 @@
-"""The entry's gate of organisations' limits: admits, waits for a first allotment, or refuses."""
+"""The entry's enforcement of organisations' limits: admits, waits for an allotment, or rejects."""
 
 from __future__ import annotations
 
@@ -21,16 +21,16 @@
     from guavamast.world import Organisation
 
 RENEW_INTERVAL_S: Final = 0.5
-"""Time between two looks for allotments that are due, while requests run."""
+"""Interval between checks for allotments that are due for renewal."""
 TOO_MANY_REQUESTS: Final = 429
 
 
 class LimitGate:
-    """Admits requests against allotments that the organisations' homes hand out.
+    """Admits requests against the allotments from the organisations' homes.
 
     Args:
-        limiter: Decides.
-        state: The entry's view.
+        limiter: Decides on each request.
+        state: The entry's state, with its view of the members.
         links: The streams to dispatchers.
         clock: Monotonic time.
     """
@@ -50,7 +50,7 @@
         self._answered: dict[str, asyncio.Event] = {}
 
     async def admit(self, organisation: Organisation) -> None:
-        """Return when a request may go on; then `release` must be called at its end.
+        """Wait until a request is admitted; `release` must be called at its end.
 
         Raises:
             Refusal: A limit is reached.
@@ -68,7 +68,7 @@
         self._limiter.release(organisation.name, now=self._clock())
 
     def take_allotment(self, message: peer_pb2.AllotmentMessage) -> None:
-        """Take a home's answer and wake the requests that wait for it."""
+        """Apply a home's answer and wake the requests that wait for it."""
         allotment = decode_allotment(message)
         self._limiter.record_allotment(allotment, now=self._clock())
         answered = self._answered.pop(allotment.organisation, None)
@@ -88,7 +88,7 @@
             async with asyncio.timeout(timeout_s):
                 await answered.wait()
         except TimeoutError:
-            # The home does not answer; the next admission falls back to the even part.
+            # The home does not answer; the next admission falls back to the even share.
             return
 
     def _send_asks(self) -> None:
--- a/src/guavamast/limits.py
+++ b/src/guavamast/limits.py
@@ -1,9 +1,9 @@
-"""Limits of organisations on requests a second and on requests at the same time.
+"""Limits of organisations on requests per second and on concurrent requests.
 
-An entry admits from the parts of the limits that the organisation's home dispatcher handed it
-(`guavamast.allotments`): tokens for the rate and a number for the concurrency. A busy entry gets
-some ahead, so that most of its requests wait for no message. An entry that hears no home falls back
-to its even part of the limits.
+An entry admits requests from the allotments of the organisation's home dispatcher
+(`guavamast.allotments`): tokens for the rate and a number for the concurrency. A busy entry
+prefetches some, so that most requests wait for no message. An entry whose home does not answer
+falls back to an even share of the limits.
 """
 
 from __future__ import annotations
@@ -23,43 +23,43 @@
     from guavamast.world import Organisation
 
 ASK_TIMEOUT_S: Final = 0.5
-"""Time without an answer after which an entry falls back to its even part."""
+"""Time without an answer after which an entry falls back to its even share."""
 DEMAND_WINDOW_S: Final = 5.0
-"""Time over which an entry's demand is averaged."""
+"""Time constant over which an entry's demand is averaged."""
 ASK_RETRY_INTERVAL_S: Final = 5.0
-"""Interval of asks to a home that does not answer."""
+"""Interval between asks to a home that does not answer."""
 LOW_TOKENS_S: Final = 0.5
-"""Seconds of an entry's demand that its tokens last when it asks for more ahead of need."""
+"""An entry prefetches when its tokens last for less than this many seconds of its demand."""
 MIN_RETURN_DELAY_S: Final = 0.25
-"""Least time for which an entry keeps concurrency that it does not need."""
+"""Minimum time for which an entry keeps concurrency that it does not need."""
 MAX_RETURN_DELAY_S: Final = 2.0
-"""Longest time for which concurrency that is not needed is kept when the limit is near."""
+"""Maximum time for which unneeded concurrency is kept when the limit is near."""
 IDLE_TIMEOUT_S: Final = 30.0
-"""Time without a request after which an organisation is forgotten."""
+"""Time without a request after which an organisation's usage is dropped."""
 
 
 class AdmissionState(StrEnum):
-    """What may happen with a request."""
+    """Whether a request is admitted."""
 
     GRANTED = "granted"
-    """Go on, and call `EntryLimiter.release` at its end."""
+    """The request may run; call `EntryLimiter.release` at its end."""
     REFUSED = "refused"
     PENDING = "pending"
-    """The home has been asked; admit again when its allotment came or after `retry_after_s`."""
+    """The home has been asked; admit again when its allotment arrives or after `retry_after_s`."""
 
 
 @dataclass(frozen=True, slots=True, kw_only=True)
 class Admission:
-    """The answer to one request."""
+    """The decision on one request."""
 
     state: AdmissionState
     code: ErrorCode | None = None
-    """RATE_LIMITED or CONCURRENCY_LIMITED when refused."""
+    """RATE_LIMITED or CONCURRENCY_LIMITED for a rejected request."""
     retry_after_s: float = 0.0
 
     @property
     def granted(self) -> bool:
-        """Whether the request may go on."""
+        """Whether the request is admitted."""
         return self.state is AdmissionState.GRANTED
 
 
@@ -77,26 +77,26 @@
     valid_until: float = float("-inf")
     renew_at: float = float("-inf")
     reject_until: float = float("-inf")
-    """Until then the home had no more to give, so that asking again is useless."""
+    """Until then no ask is sent for a reached limit, as the home has no more to allot."""
     prefetch_at: float = float("-inf")
-    """From then on tokens may be asked for ahead of need."""
+    """Earliest time of the next prefetch of tokens."""
     return_at: float = float("-inf")
-    """From then on concurrency that is not needed may be given back."""
+    """Earliest time to release unneeded concurrency."""
     tight: bool = False
-    """Whether the home said that the limit is near."""
+    """Whether the home reported that the limit is near."""
     sequence: int = 0
     asked_at: float | None = None
-    """Time of the ask that has no answer yet."""
+    """Time of the unanswered ask, if any."""
     last_ask: AllotmentAsk | None = None
     demand: float = 0.0
-    """Arrivals, each fading over `DEMAND_S`."""
+    """Arrivals, each decaying with the time constant `DEMAND_WINDOW_S`."""
     demand_at: float = 0.0
     pending: int = 0
-    """Requests that wait for the first answer; part of the next wish."""
+    """Requests that wait for an answer; part of the next ask."""
     in_use: int = 0
     last_seen: float = 0.0
     fallback_rate: float = 0.0
-    """Requests a second of the even part, when that is in use; else 0."""
+    """Requests per second of the even share while it is in use, else 0."""
 
 
 class EntryLimiter:
@@ -104,8 +104,8 @@
 
     Args:
         entry: Name of the entry's instance.
-        first_sequence: Greater than any that an earlier run of this entry used, such as the
-            milliseconds of the wall clock; homes drop asks with an older sequence.
+        first_sequence: Greater than any sequence number of an earlier run of this entry, such as
+            the wall clock in milliseconds; homes drop asks with an older sequence number.
     """
 
     __slots__ = ("_pending_asks", "_entry", "_instance_names", "_sequence", "_usages")
@@ -118,12 +118,12 @@
         self._pending_asks: dict[str, None] = {}
 
     def configure(self, view: MembershipView) -> None:
-        """Take the members among which a limit is split while its home can't be heard."""
+        """Set the members among which a limit is split while its home is unreachable."""
         names = {member.instance.name for member in view.list_serving()} | {self._entry}
         self._instance_names = tuple(sorted(names))
 
     def admit(self, organisation: Organisation, *, now: float) -> Admission:
-        """Decide on one request; one that is granted must be released.
+        """Decide on one request; a granted request must be released.
 
         Args:
             organisation: The caller's organisation as configured.
@@ -138,8 +138,8 @@
         self._refill(usage, now)
         code = self._find_exceeded_limit(usage)
         if code is not None and not usage.fallback_rate and self._fall_back(usage, now):
-            # Failure: a home dies, the tokens of its last answer run out, and an organisation far
-            # below its limit is refused until that answer's validity ends.
+            # Failure: a home dies, the tokens of its last allotment run out, and an organisation
+            # far below its limit is rejected until that allotment expires.
             code = self._find_exceeded_limit(usage)
         if code is not None:
             return self._reject_or_ask(usage, code, now)
@@ -152,7 +152,7 @@
         return _GRANTED
 
     def release(self, organisation_name: str, *, now: float) -> None:  # noqa: ARG002
-        """End one granted request; its part goes back to the home by the next asks."""
+        """End one granted request; the next asks return its concurrency to the home."""
         usage = self._usages.get(organisation_name)
         if usage is not None and usage.in_use > 0:
             usage.in_use -= 1
@@ -160,8 +160,8 @@
     def collect_asks(self, *, now: float) -> list[AllotmentAsk]:
         """Return the asks that are due; send each to its organisation's home.
 
-        Call after each batch of admissions and at least once a second, as running requests keep
-        their part of the limit only by renewals.
+        Call after each batch of admissions and at least once a second, as the allotments of
+        running requests expire unless they are renewed.
         """
         for usage in list(self._usages.values()):
             if self._needs_renewal(usage, now):
@@ -178,7 +178,7 @@
         return asks
 
     def record_allotment(self, allotment: Allotment, *, now: float) -> None:
-        """Take a home's answer; one to an older ask is dropped."""
+        """Apply a home's answer; an answer to an older ask is dropped."""
         usage = self._usages.get(allotment.organisation)
         if usage is None or allotment.sequence != usage.sequence or usage.asked_at is None:
             return
@@ -198,7 +198,7 @@
         usage.pending = 0
 
     def _needs_renewal(self, usage: _Usage, now: float) -> bool:
-        """Return whether running requests are to be told anew, or a part is to be given back."""
+        """Return whether to report running requests again or to release unneeded concurrency."""
         if now >= usage.valid_until:
             return usage.in_use > 0
         if now >= usage.renew_at and (usage.in_use > 0 or usage.concurrent > 0):
@@ -215,7 +215,7 @@
         return usage
 
     def _fall_back(self, usage: _Usage, now: float) -> bool:
-        """Use the even part of the limit when the home has not answered in time."""
+        """Use the even share of the limit when the home has not answered in time."""
         if usage.asked_at is None or now - usage.asked_at < ASK_TIMEOUT_S:
             return False
         contract = usage.organisation.contract
@@ -228,7 +228,7 @@
         ):
             concurrent_share += 1
         if not usage.fallback_rate:
-            # One burst of the even part: over all entries no more than the limit's own burst.
+            # One burst of the even share: summed over all entries, the burst of the whole limit.
             burst = max(1.0, contract.requests_per_second / entry_count * BURST_S)
             usage.tokens = max(usage.tokens, burst)
         usage.fallback_rate = contract.requests_per_second / entry_count
@@ -256,7 +256,7 @@
         return None
 
     def _reject_or_ask(self, usage: _Usage, code: ErrorCode, now: float) -> Admission:
-        """Refuse while the home is known to have no more to give, else ask it."""
+        """Reject while the home is known to have no more to allot, else ask it."""
         timed_out = usage.asked_at is not None and now - usage.asked_at >= ASK_TIMEOUT_S
         if now >= usage.reject_until and not usage.fallback_rate and not timed_out:
             return self._wait_for_home(usage)
@@ -283,8 +283,8 @@
         is_valid = now < usage.valid_until and not usage.fallback_rate
         wanted = usage.in_use + usage.pending
         if is_valid and (usage.tight or not usage.pending):
-            # What is not needed is given up before the ask, not by its answer, so that the home
-            # may hand it out at once.
+            # Unneeded concurrency is released with the ask, before its answer, so that the home
+            # can allot it to others at once.
             usage.concurrent = min(
                 usage.concurrent, max(wanted, self._compute_kept_concurrency(usage, now))
             )
@@ -299,7 +299,7 @@
             entry=self._entry,
             sequence=usage.sequence,
             # Failure: requests wait for concurrency, each ask brings tokens that none can use, and
-            # once slots free up far more start than the rate allows. Tokens held count first.
+            # once slots free up far more start than the rate allows. So held tokens are deducted.
             rate_wanted=rate if tokens <= rate * LOW_TOKENS_S else 0.0,
             tokens_wanted=max(0, usage.pending - int(tokens)),
             concurrent_wanted=wanted,
@@ -308,7 +308,7 @@
         return usage.last_ask
 
     def _compute_kept_concurrency(self, usage: _Usage, now: float) -> int:
-        """Return the concurrency that an entry keeps for its next requests."""
+        """Return the concurrency to keep for the next requests."""
         return (
             0
             if usage.tight
--- a/src/guavamast/operation_store.py
+++ b/src/guavamast/operation_store.py
@@ -1,4 +1,4 @@
-"""The rows of non-idempotent calls on the platform, settled when its answers are lost."""
+"""Rows of non-idempotent calls on the platform, with recovery from lost platform responses."""
 
 from __future__ import annotations
 
@@ -40,29 +40,29 @@
     from guavamast.platform_client import PlatformClient
 
 INLINE_LIMIT_BYTES: Final = 4096
-"""Answers up to this size stand in the row; larger ones are objects."""
+"""Responses up to this size are stored in the row; larger ones are objects."""
 
 CLAIM_ATTEMPTS: Final = 4
-"""Writes of one claim before it is refused; each follows a lost answer or a changed row."""
+"""Writes of one claim before it is rejected; each follows a lost response or a changed row."""
 
 DELETE_BATCH_ROWS: Final = 50
 """Rows deleted in one transaction."""
 
 
 class ClaimUnsettled(PlatformUnavailable):
-    """The row may carry this attempt's nonce, now or later; mark it as not run."""
+    """The row may have this attempt's nonce, now or later; mark it as not run."""
 
 
 class AnswerMissing(GuavamastError):
-    """A recorded answer's object is absent or is not the one that was recorded."""
+    """A recorded response's object is absent or differs from the recorded one."""
 
     def __init__(self) -> None:
-        super().__init__(ErrorCode.ANSWER_INVALID, "the recorded answer can't be read")
+        super().__init__(ErrorCode.ANSWER_INVALID, "the recorded response can't be read")
 
 
 @dataclass(frozen=True, slots=True, kw_only=True)
 class Claim:
-    """The proof that this attempt holds the key: its row and the version it had."""
+    """Proof that this attempt holds the key: its row and the row's version."""
 
     operation: Operation
     version: int
@@ -72,9 +72,9 @@
     """Reads and writes the rows of non-idempotent calls.
 
     Args:
-        client: The platform; a `GroupCommit` saves writes.
-        clock: Source of the wall time that rows carry.
-        inline_limit: Size of the largest answer that is kept in the row.
+        client: The platform; a `GroupCommit` reduces the number of writes.
+        clock: Source of the wall time stored in rows.
+        inline_limit: Size in bytes of the largest response that is stored in the row.
     """
 
     __slots__ = ("_client", "_clock", "_inline_limit")
@@ -97,21 +97,21 @@
     async def claim(self, wanted: Operation) -> Claim | Recorded | Running | Abandoned | KeyReused:
         """Insert an attempt's row if the key is free.
 
-        Failure: the platform writes the row and its answer is lost. Taken for a failure, the key
-        would be blocked though the call can go on; taken for a success, two attempts could both
-        send. So a lost answer is settled by reading: only a row with our nonce is ours. A row that
-        is absent after a lost answer may still be written late, so it is written again with the
-        same nonce, and whichever of the two takes effect is ours.
+        Failure: the platform writes the row and its response is lost. Treated as a failure, it
+        would block the key although the call can run; treated as a success, it would let two
+        attempts send. So the row is read again: only a row with this attempt's nonce is its own. A
+        row that is absent after a lost response may still be written late, so it is written again
+        with the same nonce, and whichever write takes effect is this attempt's.
 
         Args:
-            wanted: The attempt's row, as ``started``, with a nonce that was never used.
+            wanted: The attempt's row, as ``started``, with a new nonce.
 
         Returns:
-            The claim, or what stands in its way.
+            The claim, or why the key can't be claimed.
 
         Raises:
             PlatformUnavailable: Nothing was and nothing will be written.
-            ClaimUnsettled: The row may carry the nonce; `mark_not_run` it.
+            ClaimUnsettled: The row may have the nonce; call `mark_not_run`.
         """
         maybe_written = False
         version = 0
@@ -134,14 +134,14 @@
             if maybe_written:
                 raise ClaimUnsettled(error.message) from error
             raise
-        raise ClaimUnsettled("the row could not be settled")
+        raise ClaimUnsettled("the state of the row could not be determined")
 
     async def mark_not_run(self, wanted: Operation, latch: SendLatch) -> None:
-        """Leave the key of an attempt that is over, and of which no byte was sent, free again.
+        """Free the key of a finished attempt of which no byte was sent.
 
         A row with the attempt's nonce becomes ``not_run``. Where a lost write of the claim may
-        still come (the row is absent, or is the ``not_run`` that the claim would have replaced),
-        ``not_run`` is written over it, so that the late write finds another version.
+        still take effect (the row is absent, or is the ``not_run`` row that the claim would have
+        replaced), ``not_run`` is written as well, so that the late write conflicts by its version.
 
         Args:
             wanted: The attempt's row, claimed or not.
@@ -149,8 +149,8 @@
 
         Raises:
             ValueError: A byte may have been sent.
-            PlatformUnavailable: Try again later.
-            PlatformAnswerLost: Try again; a second time does no harm.
+            PlatformUnavailable: Retry later.
+            PlatformAnswerLost: Retry; the write is idempotent.
         """
         if latch.sent:
             raise ValueError("a call that may have been sent can't be marked as not run")
@@ -160,18 +160,18 @@
         try:
             await self._write(mark_not_run(wanted, now=self._clock.read_wall()), row.version)
         except TransactionConflict as error:
-            raise PlatformUnavailable("the row has just changed") from error
+            raise PlatformUnavailable("the row was changed concurrently") from error
 
     async def record(self, claim: Claim, response: Answer) -> None:
-        """Record the answer of a call that ran; a second time does no harm.
+        """Record the response of a call that ran; idempotent.
 
         Args:
             claim: The claim of the attempt that sent the call.
-            response: The endpoint's whole answer.
+            response: The endpoint's whole response.
 
         Raises:
-            PlatformUnavailable: Try again later.
-            PlatformAnswerLost: Try again.
+            PlatformUnavailable: Retry later.
+            PlatformAnswerLost: Retry.
         """
         recorded = await self._store_body(claim, response)
         done = finish(claim.operation, recorded, now=self._clock.read_wall())
@@ -184,11 +184,11 @@
                 raise PlatformUnavailable("the row has another version") from None
 
     async def load_answer(self, recorded: RecordedResponse) -> Answer:
-        """Return a recorded answer with its body.
+        """Return a recorded response with its body.
 
         Raises:
             PlatformUnavailable: The object can't be read now.
-            AnswerMissing: The object is absent, cut or another.
+            AnswerMissing: The object is absent, truncated or a different one.
         """
         body = recorded.body
         if body is None:
@@ -198,14 +198,14 @@
         return Answer(status=recorded.status, content_type=recorded.content_type, body=body)
 
     async def delete_expired(self, prefix: str, *, retention_s: float) -> int:
-        """Delete the old rows of one prefix.
+        """Delete the expired rows of one prefix.
 
         Args:
-            prefix: The start of their keys, from `operations.find_due_prefix`.
-            retention_s: Age at which a finished row may go.
+            prefix: Prefix of their keys, from `operations.find_due_prefix`.
+            retention_s: Age at which a finished row expires.
 
         Returns:
-            The number of rows that were old.
+            The number of expired rows.
         """
         now = self._clock.read_wall()
         rows = await self._client.scan(OPERATIONS_TABLE, prefix)
@@ -215,7 +215,7 @@
         return len(expired)
 
     async def _delete(self, rows: list[Row]) -> None:
-        """Delete rows; when one of them has just changed, all stay until the next time."""
+        """Delete rows; if one was changed concurrently, all stay until the next sweep."""
         try:
             await self._client.transact(
                 [Check(table=row.table, key=row.key, version=row.version) for row in rows],
--- a/src/guavamast/operations.py
+++ b/src/guavamast/operations.py
@@ -1,7 +1,7 @@
 """Non-idempotent calls as rows of the platform's table, and the decisions on them.
 
-One row stands for one key of one organisation. It is inserted as ``started`` before the call is
-sent, and only the holder of its nonce may change it after that, so a key runs at most once.
+One row represents one key of one organisation. It is inserted as ``started`` before the call is
+sent, and only the attempt with its nonce may change it after that, so a key runs at most once.
 """
 
 from __future__ import annotations
@@ -22,22 +22,22 @@
 """Keys are printable ASCII without spaces, as they travel in a header and a path."""
 
 PREFIX_DIGITS: Final = 4
-"""Hex digits before each row's key, so that a scan for old rows takes a 65,536th of the table."""
+"""Hex digits before each row's key, so that a scan for old rows reads a 65,536th of the table."""
 
 MIN_SWEEP_INTERVAL_S: Final = 1.0
-"""Least time between two scans of the fleet; a short retention scans larger parts."""
+"""Minimum time between two scans of the fleet; a short retention scans larger ranges of keys."""
 
 DUE_MARGIN_S: Final = 5.0
-"""Added to a call's deadline before its row counts as left behind; covers clock differences."""
+"""Added to a call's deadline before its row counts as abandoned; covers clock differences."""
 
 
 class OperationState(StrEnum):
-    """How far a non-idempotent call is known to have come."""
+    """Known progress of a non-idempotent call."""
 
     STARTED = "started"
-    """It may run, may have run, or its holder died; nobody but the holder may go on."""
+    """It may run, may have run, or its holder died; only the holder may go on."""
     DONE = "done"
-    """It ran once and its answer is recorded."""
+    """It ran once and its response is recorded."""
     NOT_RUN = "not_run"
     """Its holder proved that no byte was sent; the key may be used again."""
 
@@ -51,14 +51,14 @@
 
     @property
     def row_key(self) -> str:
-        """Key of the row: a spread prefix, the organisation and the key."""
+        """Key of the row: a hash prefix that distributes rows, the organisation and the key."""
         name = f"{quote(self.organisation, safe='')}/{self.key}"
         prefix = hashlib.sha256(name.encode()).hexdigest()[:PREFIX_DIGITS]
         return f"{prefix}/{name}"
 
 
 def check_key(key: str) -> None:
-    """Raise an error with ``bad_request`` for a key that can't be used."""
+    """Raise an error with ``bad_request`` for an invalid key."""
     if not KEY_PATTERN.fullmatch(key):
         raise GuavamastError(
             ErrorCode.BAD_REQUEST, "Idempotency-Key must be 1 to 200 printable ASCII characters"
@@ -67,7 +67,7 @@
 
 @dataclass(frozen=True, slots=True, kw_only=True)
 class Answer:
-    """A whole answer of an endpoint."""
+    """A whole response of an endpoint."""
 
     status: int
     content_type: str
@@ -76,29 +76,29 @@
 
 @dataclass(frozen=True, slots=True, kw_only=True)
 class RecordedResponse:
-    """An answer as a row holds it: its body in the row, or the name of an object."""
+    """A response as stored in a row: its body in the row, or the name of an object."""
 
     status: int
     content_type: str
     digest: str
-    """SHA-256 of the body, so that a wrong or cut object is never served."""
+    """SHA-256 of the body, so that a wrong or truncated object is never served."""
     body: bytes | None
     object_name: str = ""
 
 
 @dataclass(frozen=True, slots=True, kw_only=True)
 class Operation:
-    """One row."""
+    """One row of the operations table."""
 
     key: OperationKey
     nonce: str
-    """Chosen by the attempt that inserted the row; names its only holder."""
+    """Chosen by the attempt that inserted the row; identifies its only holder."""
     request_digest: str
     state: OperationState
     started_at: float
     """Wall time of the insert."""
     due_at: float
-    """Wall time after which a holder that works has finished."""
+    """Wall time by which a working holder has finished."""
     ended_at: float = 0.0
     """Wall time of ``done`` or ``not_run``."""
     answer: RecordedResponse | None = None
@@ -120,7 +120,7 @@
 
 @dataclass(frozen=True, slots=True, kw_only=True)
 class Recorded:
-    """The key ran before; its answer is served again."""
+    """The key ran before; its recorded response is served."""
 
     response: RecordedResponse
 
@@ -139,7 +139,7 @@
 
 @dataclass(frozen=True, slots=True, kw_only=True)
 class KeyReused:
-    """The key stands for another request."""
+    """The key was used for another request."""
 
 
 ClaimDecision = Insert | Held | Recorded | Running | Abandoned | KeyReused
@@ -152,13 +152,13 @@
 
     Args:
         wanted: The attempt's own row, as ``started``.
-        found: The row as it is, or None when it is absent.
+        found: The stored row, or None when it is absent.
         version: The version of the row that was read; 0 when it is absent.
         now: Wall time.
 
     Returns:
-        What the attempt may do. A ``started`` row of another nonce is never taken over, however
-        old: its holder may only be paused, and would run the call a second time.
+        The decision. A ``started`` row of another nonce is never taken over, whatever its age: its
+        holder may only be paused, and the call would run twice.
     """
     if found is None:
         return Insert(version=0)
@@ -176,7 +176,7 @@
 
 
 def finish(operation: Operation, response: RecordedResponse, *, now: float) -> Operation:
-    """Return the row of a call that ran, with its answer."""
+    """Return the row of a call that ran, with its response."""
     return replace(operation, state=OperationState.DONE, ended_at=now, answer=response)
 
 
@@ -186,15 +186,15 @@
 
 
 def is_started_by(operation: Operation, nonce: str) -> bool:
-    """Return whether a row is still the open one of that nonce."""
+    """Return whether a row is ``started`` and has that nonce."""
     return operation.state is OperationState.STARTED and operation.nonce == nonce
 
 
 def needs_not_run_mark(found: Operation | None, nonce: str) -> bool:
-    """Return whether a refused attempt could still block the key.
+    """Return whether a rejected attempt's write of its row could still block the key.
 
     Args:
-        found: The row as it is, or None when it is absent.
+        found: The stored row, or None when it is absent.
         nonce: The attempt's nonce.
     """
     if found is None or is_started_by(found, nonce):
@@ -205,8 +205,8 @@
 def is_expired(operation: Operation, *, retention_s: float, now: float) -> bool:
     """Return whether a row may be deleted.
 
-    A ``started`` row never expires by itself: deleting it would allow a second run of a call whose
-    first run is unknown. Such rows are as rare as crashes, and operators settle them.
+    A ``started`` row never expires: deleting it would allow a second run of a call whose first
+    outcome is unknown. Such rows are as rare as crashes, and operators resolve them.
     """
     if operation.state is OperationState.STARTED:
         return False
@@ -214,7 +214,7 @@
 
 
 def compute_request_digest(service: str, call: str, body: bytes) -> str:
-    """Return the digest that tells one request from another of the same key."""
+    """Return the digest that distinguishes requests of the same key."""
     digest = hashlib.sha256()
     for part in (service.encode(), call.encode(), body):
         digest.update(len(part).to_bytes(8, "big"))
@@ -223,7 +223,7 @@
 
 
 def compute_body_digest(body: bytes) -> str:
-    """Return the digest of an answer's body."""
+    """Return the digest of a response's body."""
     return hashlib.sha256(body).hexdigest()
 
 
@@ -235,8 +235,8 @@
 def find_due_prefix(*, retention_s: float, now: float) -> str:
     """Return the prefix of the row keys whose old rows are to be deleted now.
 
-    All instances agree on it by their wall clocks; each part of the table comes up once a retention
-    period.
+    All instances derive it from their wall clocks; each prefix of the table is swept once per
+    retention period.
     """
     digits = _count_sweep_digits(retention_s)
     number = int(now / compute_sweep_interval(retention_s)) % 16**digits
@@ -251,7 +251,7 @@
 
 
 def encode_operation(operation: Operation) -> dict[str, Any]:
-    """Return the row's value as the table stores it."""
+    """Return a row's value as stored in the table."""
     response = operation.answer
     return {
         "organisation": operation.key.organisation,
@@ -267,7 +267,7 @@
 
 
 def decode_operation(value: dict[str, Any]) -> Operation:
-    """Return the row that a value of the table stands for."""
+    """Return the row of a value stored in the table."""
     response = value["answer"]
     return Operation(
         key=OperationKey(organisation=value["organisation"], key=value["key"]),
--- a/src/guavamast/repairs.py
+++ b/src/guavamast/repairs.py
@@ -1,4 +1,4 @@
-"""Writes to the platform that are tried again behind the caller's back until they succeed."""
+"""Writes to the platform that are retried in the background until they succeed."""
 
 from __future__ import annotations
 
@@ -15,24 +15,24 @@
     from guavamast.metrics import Metrics
 
 BACKOFF_FIRST_S: Final = 0.2
-"""Wait before the first repetition."""
+"""Delay before the first retry."""
 
 BACKOFF_LONGEST_S: Final = 10.0
-"""Longest wait between two repetitions, so that an outage of an hour costs 360 tries a row."""
+"""Maximum delay between retries, so that an outage of an hour costs 360 attempts per row."""
 
 REPAIR_LIMIT: Final = 1000
-"""Writes that wait at a time; new non-idempotent calls are refused while it is reached."""
+"""Maximum of pending writes; new non-idempotent calls are rejected while it is reached."""
 
 
 class Repairs:
-    """Repeats writes that may be made any number of times.
+    """Retries idempotent writes in the background.
 
-    What waits here is lost with the process; its rows stay ``started``, which is safe: their
-    callers are told that the outcome is unknown.
+    Pending writes are lost with the process. Their rows stay ``started``, which is safe: retries
+    of their keys get ``outcome_unknown``.
 
     Args:
-        clock: Waits between repetitions.
-        metrics: Told how many wait.
+        clock: Waits between retries.
+        metrics: Receives the number of pending writes.
     """
 
     __slots__ = ("_clock", "_metrics", "_tasks")
@@ -44,14 +44,14 @@
 
     @property
     def is_full(self) -> bool:
-        """Whether no more may be added by a new call."""
+        """Whether new calls must be rejected because too many writes are pending."""
         return len(self._tasks) >= REPAIR_LIMIT
 
     def add(self, write: Callable[[], Awaitable[None]]) -> None:
-        """Repeat a write until it succeeds.
+        """Retry a write until it succeeds.
 
         Args:
-            write: Makes the write; a second time must do no harm.
+            write: Performs the write; must be idempotent.
         """
         task = asyncio.ensure_future(self._retry(write))
         self._tasks.add(task)
@@ -59,7 +59,7 @@
         self._metrics.gauge("operations.unwritten", len(self._tasks))
 
     async def drain(self) -> None:
-        """Wait until all have succeeded."""
+        """Wait until all pending writes have succeeded."""
         while self._tasks:
             await asyncio.wait(self._tasks)
 
@@ -76,4 +76,4 @@
                 await write()
                 return
             except (PlatformUnavailable, PlatformAnswerLost) as error:
-                get_logger().info("operation not written yet: %s", error)
+                get_logger().info("write of an operation failed, will retry: %s", error)
--- a/src/guavamast/retries.py
+++ b/src/guavamast/retries.py
@@ -1,4 +1,4 @@
-"""Whether and when a failed attempt may be made again."""
+"""Retry budget and backoff of failed attempts."""
 
 from __future__ import annotations
 
@@ -9,23 +9,23 @@
     from random import Random
 
 RETRY_SHARE: Final = 0.1
-"""Retries that each success pays for."""
+"""Retries that each success adds to the balance."""
 BALANCE_LIMIT: Final = 20.0
-"""Most retries that can be saved up; about the requests that one entry has at one endpoint, all of
-which need a retry when it dies. Bounds the burst when many endpoints die at once."""
+"""Maximum of saved retries: about the requests that one entry has at one endpoint, all of which
+need a retry when it dies. Bounds the burst when many endpoints die at once."""
 FLOOR_PER_S: Final = 0.5
-"""Retries a second for a class with hardly any traffic."""
+"""Retries per second that a class with hardly any traffic gets."""
 FLOOR_LIMIT: Final = 10.0
-"""The floor fills the balance up to here only."""
+"""Balance up to which the floor is added."""
 ATTEMPT_LIMIT: Final = 3
-"""Attempts of one request, the first counted."""
+"""Attempts of one request, including the first."""
 BACKOFF_FIRST_S: Final = 0.05
 BACKOFF_LONGEST_S: Final = 2.0
 
 
 @dataclass(frozen=True, slots=True, kw_only=True)
 class Retry:
-    """The permission to make an attempt again after a delay."""
+    """Permission for another attempt after a delay."""
 
     delay_s: float
 
@@ -37,7 +37,7 @@
 
 
 def compute_backoff(attempt: int, *, random: Random) -> float:
-    """Return the seconds to wait after a failed attempt, drawn evenly up to a doubling bound.
+    """Return the delay in seconds after a failed attempt: exponential backoff with full jitter.
 
     Args:
         attempt: Number of attempts made, 1 or more.
@@ -48,11 +48,11 @@
 
 
 class RetryBudget:
-    """Retries that an entry may make, for each class a share of its successes.
+    """Retry budget of an entry: for each class, a share of its successes.
 
-    Failure: a third of the endpoints die, each of their requests is sent again, and the load on the
-    rest grows by the retries until they fail too. As successes pay for retries, the attempts stay
-    below ``1 + RETRY_SHARE`` times the requests, whatever fails, but for the saved balance.
+    Failure: a third of the endpoints die, each of their requests is retried, and the retries
+    overload the remaining endpoints until they fail too. As only successes add retries, the
+    attempts stay below ``1 + RETRY_SHARE`` times the requests, apart from the saved balance.
     """
 
     __slots__ = ("_balances",)
@@ -61,12 +61,12 @@
         self._balances: dict[str, _Balance] = {}
 
     def record_success(self, class_name: str) -> None:
-        """Pay a share of a retry into the class's balance."""
+        """Add `RETRY_SHARE` of a retry to the class's balance."""
         balance = self._get_balance(class_name)
         balance.tokens = min(BALANCE_LIMIT, balance.tokens + RETRY_SHARE)
 
     def try_spend(self, class_name: str, *, now: float) -> bool:
-        """Take one retry from the class's balance; False when there is none."""
+        """Deduct one retry from the class's balance; return False when there is none."""
         balance = self._get_balance(class_name)
         if balance.updated is not None and balance.tokens < FLOOR_LIMIT:
             elapsed = max(0.0, now - balance.updated)
@@ -93,7 +93,7 @@
             class_name: The request's class.
             attempt: Number of attempts sent, 1 or more.
             idempotent: Whether running it twice does no harm.
-            deadline: Time at which the caller stops waiting; carried along, never extended.
+            deadline: Time at which the caller stops waiting; retries don't extend it.
             now: The present time.
             random: Source of the jitter.
 
--- a/src/guavamast/send_gates.py
+++ b/src/guavamast/send_gates.py
@@ -11,32 +11,32 @@
     from guavamast.world import Endpoint
 
 PAUSE_THRESHOLD_S: Final = 1.5
-"""Time between two beats from which the process counts as paused; beats come every 0.1 s."""
+"""Time between two ticks above which the process counts as paused; ticks come every 0.1 s."""
 
 SETTLE_S: Final = 1.0
-"""Time that a process gives itself after a pause to read what came in meanwhile."""
+"""Time after a pause without sends, in which the process reads the updates received meanwhile."""
 
 BEAT_INTERVAL_S: Final = 0.1
 
 
 class SendGate(ABC):
-    """Tells whether an endpoint may still be sent work under the configuration in force."""
+    """Tells whether the current configuration allows sends to an endpoint."""
 
     @abstractmethod
     def is_open(self, endpoint: Endpoint) -> bool:
-        """Return whether this very endpoint is configured, active and at the same URL.
+        """Return whether this endpoint is configured, active and has the same URL.
 
-        An instance that is leaving still sends what it has accepted.
+        A leaving instance still sends the calls it has accepted.
         """
 
 
 class PauseWatch:
-    """Notices that the process was paused.
+    """Detects that the process was paused.
 
-    Failure: an entry stops for a minute between grant and send; meanwhile the endpoint was drained
-    and its slot given away. Its deadline may still hold, and its configuration looks as it did.
-    A gap between beats shows the pause, and sends wait until the loop had time to take in the
-    changes.
+    Failure: an entry is paused for a minute between grant and send; meanwhile the endpoint is
+    drained and its slot granted to others. The deadline may not have passed, and the entry still
+    sees its old configuration. A gap between ticks reveals the pause, and nothing is sent until the
+    loop has had time to process the updates.
     """
 
     __slots__ = ("_last_tick", "_settled_at")
@@ -46,7 +46,7 @@
         self._settled_at = now
 
     def beat(self, *, now: float) -> None:
-        """Note that the loop runs; call every ``BEAT_INTERVAL_S``."""
+        """Record that the event loop runs; call every ``BEAT_INTERVAL_S``."""
         if now - self._last_tick > PAUSE_THRESHOLD_S:
             self._settled_at = now + SETTLE_S
         self._last_tick = now
@@ -62,10 +62,10 @@
     """Return why a call may not be sent right now, or None.
 
     Args:
-        endpoint: Where it would go.
-        deadline: When the caller stops waiting, on the same clock as ``now``.
-        gate: The configuration's word.
-        pauses: Whether this process was paused.
+        endpoint: The call's destination.
+        deadline: Time at which the caller stops waiting, on the same clock as ``now``.
+        gate: Tells whether the configuration allows the send.
+        pauses: Tells whether this process was paused.
         now: The present time.
     """
     if now >= deadline:
--- a/src/guavamast/single_fetch.py
+++ b/src/guavamast/single_fetch.py
@@ -1,8 +1,8 @@
-"""One HTTP request on one new connection, with proof of whether a byte of it was sent.
+"""One HTTP request on one new connection, sent at most once; errors tell whether bytes were sent.
 
-Tornado's ``SimpleAsyncHTTPClient`` opens a connection a request and never repeats one; redirects
-are turned off here. A client object is made for each request, so that its TCP client can run
-``before_write`` between the end of the connect and the first byte.
+Tornado's ``SimpleAsyncHTTPClient`` opens one connection per request and never retries; redirects
+are turned off here. Each request has its own client object, so that its TCP client can run
+``before_write`` between the connect and the first byte.
 """
 
 from __future__ import annotations
@@ -22,7 +22,7 @@
     from tornado.iostream import IOStream
 
 MAX_RESPONSE_BYTES: Final = 16 * 1024 * 1024
-"""Longest answer that is taken in; a plain service's answers are a few kilobytes."""
+"""Largest response that is accepted; a plain service's responses are a few kilobytes."""
 
 
 class NotSent(Exception):
@@ -30,16 +30,16 @@
 
 
 class AnswerLost(Exception):
-    """Bytes may have left this process and no whole answer came back."""
+    """Bytes may have left this process and no whole response arrived."""
 
 
 class NumericResolver(DefaultLoopResolver):
-    """Resolves IP numbers without the executor's threads that ``getaddrinfo`` needs."""
+    """Resolves IP addresses without the executor threads that ``getaddrinfo`` needs."""
 
     async def resolve(
         self, host: str, port: int, family: socket.AddressFamily = socket.AF_UNSPEC
     ) -> list[tuple[int, Any]]:
-        """Return the address itself when it is a number, else what the OS resolves."""
+        """Return an IP address as it is; resolve host names by the operating system."""
         if not is_valid_ip(host):
             return await super().resolve(host, port, family)
         if ":" in host:
@@ -50,10 +50,10 @@
 class _SingleUseTcpClient(TCPClient):
     """Connects once and runs a hook right before the first byte can be written.
 
-    Failure: the waiting caller is cancelled while the connect goes on, is told ``not_run``, and
-    tornado, which doesn't stop a cancelled fetch, writes the request afterwards: it runs though
-    it was refused. ``abandon`` makes the connect fail instead; there is no switch of coroutines
-    between the check here and tornado's first write.
+    Failure: a caller is cancelled during the connect and told ``not_run``, but Tornado does not
+    stop a cancelled fetch and writes the request afterwards, so the rejected call runs. ``abandon``
+    makes the connect fail instead; there is no await between the check here and Tornado's first
+    write.
     """
 
     def __init__(self, *, resolver: NumericResolver, before_write: Callable[[], None]) -> None:
@@ -64,13 +64,13 @@
         self.writable = False
 
     def abandon(self) -> None:
-        """Close the connection, or let no byte be written by a connect still under way."""
+        """Close the connection; a connect in progress fails before any byte is written."""
         self._abandoned = True
         if self._stream is not None:
             self._stream.close()
 
     async def connect(self, *args: Any, **kwargs: Any) -> IOStream:
-        """Connect, then run the hook; its exception ends the request unsent."""
+        """Connect, then run the hook; if it raises, the request is not sent."""
         stream = await super().connect(*args, **kwargs)
         try:
             if self._abandoned:
@@ -85,7 +85,7 @@
 
 
 def do_nothing() -> None:
-    """Serve as the hook of a request that needs no last check."""
+    """Act as the hook of a request that needs no last check."""
 
 
 class SingleFetch:
@@ -93,7 +93,7 @@
 
     Args:
         request: What to send; its redirects are turned off.
-        before_write: Run after the connect and right before the first byte; may raise to stop it.
+        before_write: Runs between the connect and the first byte; may raise to stop the request.
     """
 
     __slots__ = ("_client", "_connector", "_request")
@@ -113,11 +113,11 @@
         self._client.tcp_client = self._connector
 
     async def run(self) -> HTTPResponse:
-        """Send the request and return the answer, whatever its status.
+        """Send the request and return the response, whatever its status.
 
         Raises:
             NotSent: No byte was sent.
-            AnswerLost: Bytes may have been sent, and no whole answer came back in time.
+            AnswerLost: Bytes may have been sent, and no whole response arrived in time.
         """
         try:
             return await self._client.fetch(self._request, raise_error=False)
@@ -127,7 +127,7 @@
             self.abort()
 
     def abort(self) -> None:
-        """Close the connection, whatever it is at."""
+        """Close the connection in any state."""
         self._connector.abandon()
         self._client.close()
 
@@ -135,20 +135,20 @@
 async def fetch_once(
     request: HTTPRequest, *, before_write: Callable[[], None] = do_nothing
 ) -> HTTPResponse:
-    """Send a request at most once and return its whole answer; see `SingleFetch`.
+    """Send a request at most once and return its whole response; see `SingleFetch`.
 
     Raises:
         NotSent: No byte was sent.
-        AnswerLost: Bytes may have been sent, and no whole answer came back in time.
+        AnswerLost: Bytes may have been sent, and no whole response arrived in time.
     """
     response = await SingleFetch(request=request, before_write=before_write).run()
     if not _is_framed(response):
-        raise AnswerLost("the answer has no length, so that a cut one can't be told from a whole")
+        raise AnswerLost("the response has no length, so a truncated body can't be detected")
     return response
 
 
 def _classify(error: Exception, connector: _SingleUseTcpClient) -> Exception:
-    """Return what a failure proves; the hook's own exception stays itself."""
+    """Return the error to raise: `NotSent`, `AnswerLost` or the hook's own exception."""
     message = str(error) or type(error).__name__
     if connector.writable:
         return AnswerLost(message)
--- a/src/guavamast/single_runs.py
+++ b/src/guavamast/single_runs.py
@@ -1,4 +1,4 @@
-"""Non-idempotent calls: each key runs at most once, whoever asks again wherever."""
+"""At-most-once runs of non-idempotent calls, across retries by callers at any instance."""
 
 from __future__ import annotations
 
@@ -36,23 +36,23 @@
     from guavamast.service_call import ServiceCall, SlotGrant, SlotSource
 
 PLATFORM_RETRY_AFTER_S: Final = 5.0
-"""When callers are told to come back while the platform is down."""
+"""Retry-After for callers while the platform is down."""
 
 SEND_RETRY_AFTER_S: Final = 1.0
-"""When callers are told to come back after a send that was stopped unsent."""
+"""Retry-After for callers when the call was not sent or is still in progress."""
 
 SEND_ATTEMPTS: Final = 3
-"""Endpoints that one call is tried at while no byte of it was sent."""
+"""Endpoints at which one call is attempted while no byte of it was sent."""
 
 RECORD_ATTEMPTS: Final = 2
-"""Tries to record an answer before the caller gets it and recording goes on behind."""
+"""Attempts to record a response before it is returned and recorded in the background."""
 
 MAX_SENT_KEYS: Final = 10_000
-"""Keys of the latest sends that a process remembers for the time of an outage."""
+"""Latest sent keys that a process keeps in memory, for rejections while the platform is down."""
 
 
 class SingleRun:
-    """One caller's request to run a call under a key: what it holds and whether it was sent.
+    """State of one caller's request to run a call under a key.
 
     Args:
         call: The request.
@@ -80,17 +80,18 @@
 class SingleRunner:
     """Runs non-idempotent calls.
 
-    The order is: look the key up, acquire a slot, insert the row, connect, check again, send,
-    record, answer. The look-up comes first so that an outage refuses at once, a recorded answer
-    needs no slot, and a refusal for want of one is never ``not_run`` for a key that ran before.
+    The order is: look up the key, acquire a slot, insert the row, connect, check again, send,
+    record, respond. The look-up comes first so that calls are rejected at once in an outage, a
+    recorded response needs no slot, and a rejection for lack of a slot is never ``not_run`` for a
+    key that ran before.
 
     Args:
-        store: The rows.
-        slots: Where slots come from.
+        store: Rows of the operations.
+        slots: Grants slots.
         attempts: Sends after the last check.
-        repairs: Writes rows later when the platform is down.
-        clock: Source of times.
-        metrics: Counts claims, recorded answers and unknown outcomes.
+        repairs: Retries writes in the background while the platform is down.
+        clock: Source of the present time.
+        metrics: Counts claims, recorded responses and unknown outcomes.
     """
 
     __slots__ = (
@@ -125,7 +126,7 @@
         """Return the state of a new request.
 
         Raises:
-            Refusal: The key can't be used.
+            Refusal: The key is invalid.
         """
         try:
             check_key(call.idempotency_key)
@@ -138,13 +139,13 @@
         """Run the call unless its key ran before.
 
         Returns:
-            The answer of the key's only run.
+            The response of the key's only run.
 
         Raises:
-            Refusal: There is no answer; the outcome says what is known.
+            Refusal: There is no response; the outcome says what is known about the run.
         """
         if self._repairs.is_full:
-            raise self._create_platform_rejection(run, "too many rows wait for the platform")
+            raise self._create_platform_rejection(run, "too many unwritten rows for the platform")
         earlier = await self._look_up(run)
         if earlier is not None:
             return earlier
@@ -160,7 +161,7 @@
         return await self._run_with_slot(run, grant)
 
     async def _look_up(self, run: SingleRun) -> Answer | None:
-        """Return the key's recorded answer, or None when the key is free."""
+        """Return the key's recorded response, or None when the key is free."""
         try:
             found = await self._store.find(run.operation.key)
         except PlatformUnavailable as error:
@@ -201,7 +202,7 @@
             raise self._create_platform_rejection(run, error.message) from None
 
     async def _send(self, run: SingleRun, grant: SlotGrant) -> Answer:
-        """Send the call, to another endpoint while it is proved that no byte was sent."""
+        """Send the call; try other endpoints as long as no byte was sent."""
         failed: frozenset[str] = frozenset()
         try:
             while True:
@@ -223,7 +224,7 @@
     async def _acquire_other(
         self, run: SingleRun, failed: frozenset[str], error: NotSent | Obstructed
     ) -> SlotGrant:
-        """Return a slot elsewhere, or raise the error that the last endpoint ended with."""
+        """Return a slot of another endpoint, or raise the last attempt's error."""
         expired = isinstance(error, Obstructed) and error.code is ErrorCode.DEADLINE_EXCEEDED
         if run.latch.sent or expired or len(failed) >= SEND_ATTEMPTS:
             raise error
@@ -233,14 +234,14 @@
             raise error from None
 
     async def _settle_failure(self, run: SingleRun, error: Exception) -> NoReturn:
-        """Refuse after a send that gave no answer.
+        """Reject after a send without a response.
 
-        A row of a call that may have been sent stays ``started`` for good; there is nobody who
-        could know whether it ran.
+        The row of a call that may have been sent stays ``started`` for good, as nothing can tell
+        whether it ran.
         """
         if run.latch.sent:
             self._metrics.count("operations.unknown")
-            message = "the endpoint's answer was lost; the call may have run"
+            message = "the endpoint's response was lost; the call may have run"
             raise run.latch.refuse(ErrorCode.ENDPOINT_FAILED, message, status=503) from error
         try:
             await self._store.mark_not_run(run.operation, run.latch)
@@ -249,10 +250,10 @@
         raise _create_unsent_rejection(run, error) from error
 
     async def _record(self, claim: Claim, response: Answer) -> None:
-        """Record an answer, later if need be.
+        """Record a response, in the background if the first attempts fail.
 
-        The caller gets the answer either way: it is the only one this key can have. Until it is
-        recorded, those who ask again are told that the call runs or that its outcome is unknown.
+        The caller gets the response either way: it is the only one this key can have. Until it is
+        recorded, retries of the key get ``in_progress`` or ``outcome_unknown``.
         """
         for _ in range(RECORD_ATTEMPTS):
             try:
@@ -264,20 +265,20 @@
         self._repairs.add(lambda: self._store.record(claim, response))
 
     async def _answer_from_decision(self, run: SingleRun, decision: ClaimDecision) -> Answer:
-        """Answer from what stands in the way of the run.
+        """Return the recorded response, or reject a request whose key is not free.
 
-        None of these refusals comes from the latch: this request did not run, but its key may
-        have, and a caller that reads ``not_run`` would give the call a new key and double it.
+        The latch only covers this request, which did not run, but its key may have. A caller that
+        reads ``not_run`` would repeat the call under a new key and run it twice.
         """
         if isinstance(decision, Recorded):
             return await self._serve_recorded(decision)
         if isinstance(decision, KeyReused):
-            message = "the key stands for another call or body; this one did not run"
+            message = "the key was used for another call or body; this one did not run"
             raise run.latch.refuse(ErrorCode.IDEMPOTENCY_KEY_REUSED, message, status=422)
         if isinstance(decision, Running):
             raise Refusal(
                 ErrorCode.IN_PROGRESS,
-                "the call runs; ask again",
+                "the call is in progress; retry later",
                 status=409,
                 outcome=Outcome.OUTCOME_UNKNOWN,
                 retry_after_s=max(SEND_RETRY_AFTER_S, decision.retry_after_s),
@@ -293,7 +294,7 @@
         except (PlatformUnavailable, AnswerMissing) as error:
             raise Refusal(
                 error.code,
-                "the call ran; its recorded answer can't be read now",
+                "the call ran; its recorded response can't be read now",
                 status=503,
                 outcome=Outcome.OUTCOME_UNKNOWN,
                 retry_after_s=PLATFORM_RETRY_AFTER_S,
@@ -308,10 +309,10 @@
         status: int,
         retry_after_s: float | None = None,
     ) -> Refusal:
-        """Make the refusal of a call whose row could not be read or written in time.
+        """Create the rejection of a call whose row could not be read or written in time.
 
-        It speaks of this request. A key that this process has sent before may have run, so it
-        gets ``outcome_unknown``; of a key that another process has sent, nothing is known here.
+        The outcome is that of this request. A key that this process has sent before may have run,
+        so it gets ``outcome_unknown``; keys sent by other processes are not known here.
         """
         if run.latch.sent or run.operation.key in self._sent_keys:
             unknown = Outcome.OUTCOME_UNKNOWN
@@ -337,7 +338,7 @@
 
 
 def _create_unsent_rejection(run: SingleRun, error: Exception) -> Refusal:
-    """Make the refusal after a send that did not begin; the latch proves it."""
+    """Create the rejection after a send that did not begin, as the latch proves."""
     if isinstance(error, Obstructed) and error.code is ErrorCode.DEADLINE_EXCEEDED:
         return run.latch.refuse(error.code, "the deadline has passed", status=504)
     unsent = isinstance(error, Obstructed | NotSent)
