--- a/tests/operation_fakes.py
+++ b/tests/operation_fakes.py
@@ -1,4 +1,4 @@
-"""Fakes of clock, platform, endpoints and slots that park at every step of an operation world."""
+"""Fakes of clock, platform, endpoints and slots that park at every step of a simulation."""
 
 from __future__ import annotations
 
@@ -38,27 +38,27 @@
 
 
 class SimulatedClock(Clock):
-    """The world's time; sleeping parks."""
+    """Simulated time; sleeping parks."""
 
     def __init__(self, simulation: World, instance: str) -> None:
         self.simulation = simulation
         self.instance = instance
 
     def read_monotonic(self) -> float:
-        """Return the world's time."""
+        """Return the simulated time."""
         return self.simulation.now
 
     def read_wall(self) -> float:
-        """Return the world's time."""
+        """Return the simulated time."""
         return self.simulation.now
 
     async def sleep(self, seconds: float) -> None:
-        """Park until the time has come."""
+        """Park until the simulated time is reached."""
         await self.simulation.park(self.instance, "timer", due=self.simulation.now + seconds)
 
 
 class SimulatedPlatform(PlatformClient):
-    """One instance's access to the world's tables."""
+    """One instance's access to the simulated tables."""
 
     def __init__(self, simulation: World, instance: str) -> None:
         self.simulation = simulation
@@ -66,7 +66,7 @@
         self.objects: dict[str, bytes] = {}
 
     async def transact(self, checks: list[Check], writes: list[Write]) -> list[int]:
-        """Park, write under the step's fault, park, answer."""
+        """Park, write with the step's fault, park, return the versions."""
         tables = self.simulation.tables
         fault = await self.simulation.park(self.instance, "write")
         if fault is Fault.BEFORE:
@@ -92,19 +92,19 @@
         return row
 
     async def scan(self, table: str, prefix: str) -> list[Row]:
-        """Return the rows at once."""
+        """Return the rows without parking."""
         return self.simulation.tables.scan(table, prefix)
 
     async def put_object(self, name: str, body: bytes) -> None:
-        """Store at once."""
+        """Store without parking."""
         self.objects[name] = body
 
     async def get_object(self, name: str) -> bytes | None:
-        """Return the object at once."""
+        """Return the object without parking."""
         return self.objects.get(name)
 
     async def list_instances(self) -> list[ListedInstance]:
-        """Return none."""
+        """Return an empty list."""
         return []
 
 
@@ -114,14 +114,14 @@
 
 
 class SimulatedSender(EndpointSender):
-    """Sends to endpoints that run whatever arrives."""
+    """Sends to endpoints that run every call that arrives."""
 
     def __init__(self, simulation: World, instance: str) -> None:
         self.simulation = simulation
         self.instance = instance
 
     async def send(self, call: EndpointCall, *, before_write: Callable[[], None]) -> Answer:
-        """Park at the connect, in mid-send and before the answer."""
+        """Park at the connect, during the send and before the response."""
         simulation = self.simulation
         if await simulation.park(self.instance, "connect") is Fault.BEFORE:
             raise NotSent("refused")
@@ -193,7 +193,7 @@
         self.grants: list[SimulatedGrant] = []
 
     async def acquire(self, call: ServiceCall, *, excluded: frozenset[str]) -> SlotGrant:
-        """Park, then grant or refuse."""
+        """Park, then grant or reject."""
         fault = await self.simulation.park(self.instance, "slot")
         left = [endpoint for endpoint in ENDPOINTS if endpoint.name not in excluded]
         if fault is Fault.BEFORE or self.simulation.slots_refused or not left:
@@ -203,7 +203,7 @@
 
 
 class WorldGate(SendGate):
-    """The configuration in force: which endpoints are drained."""
+    """Current configuration: which endpoints are drained."""
 
     def __init__(self, simulation: World) -> None:
         self.simulation = simulation
@@ -220,12 +220,12 @@
         """Do nothing."""
 
     def plan(self, call: ServiceCall, *, attempt: int, now: float) -> float | None:  # noqa: ARG002
-        """Return that there is no retry."""
+        """Return None: no retry."""
         return None
 
 
 class Node:
-    """One instance's entry, made of the code that runs in the daemon."""
+    """One instance's entry, built from the production code."""
 
     def __init__(self, simulation: World, name: str) -> None:
         clock = SimulatedClock(simulation, name)
@@ -244,7 +244,7 @@
 
 
 def create_simulation(*names: str) -> World:
-    """Return a world with these instances; call with a running loop."""
+    """Return a simulation of these instances; call with a running loop."""
     simulation = World()
     for name in names:
         simulation.nodes[name] = Node(simulation, name)
--- a/tests/operation_world.py
+++ b/tests/operation_world.py
@@ -1,8 +1,8 @@
-"""A small world for non-idempotent calls, in which a test decides every step's order and fault.
+"""A simulation of non-idempotent calls, in which a test decides the order and fault of each step.
 
-Each read or write of the platform, each connect, run and answer of the endpoint and each timer
-parks until the test lets it go on, with a fault or without. Instances can be paused and killed
-between any two steps, and effects can come late.
+Each read or write of the platform, each connect, run and response of the endpoint and each timer
+parks until the test resumes it, with or without a fault. Instances can be paused and killed
+between any two steps, and effects can be delayed.
 """
 
 from __future__ import annotations
@@ -35,24 +35,24 @@
     from tests.operation_fakes import Node
 
 READY_TIMER_S = 0.01
-"""Timers up to this long count as ready, as the window of a group commit."""
+"""Timers up to this duration count as ready, such as the window of a group commit."""
 
 SETTLE_ROUNDS = 16
-"""Rounds of the loop after which all tasks are parked again."""
+"""Rounds of the event loop after which all tasks are parked again."""
 
 
 class Fault(Enum):
-    """How a step goes on."""
+    """Fault with which a step is resumed."""
 
     NONE = "none"
     BEFORE = "before"
-    """It fails before any effect, and that shows."""
+    """It fails before any effect, and the caller knows that."""
     LOST_BEFORE = "lost_before"
-    """It has no effect, and that doesn't show."""
+    """It has no effect, and the response is lost."""
     LOST_AFTER = "lost_after"
-    """It has its effect, and that doesn't show."""
+    """It has its effect, and the response is lost."""
     LATE = "late"
-    """It has its effect after its failure was seen."""
+    """The response is lost, and the effect happens later."""
 
 
 FAULTS = tuple(Fault)
@@ -60,7 +60,7 @@
 
 @dataclass(slots=True, kw_only=True, eq=False)
 class Step:
-    """A coroutine that waits to go on."""
+    """A parked coroutine."""
 
     instance: str
     label: str
@@ -70,7 +70,7 @@
 
 @dataclass(slots=True, kw_only=True, eq=False)
 class CallerRequest:
-    """A caller's request and what it was told."""
+    """A caller's request and its reply."""
 
     number: int
     instance: str
@@ -83,9 +83,9 @@
     response: Answer | None = None
     refusal: Refusal | None = None
     runs_at_reply: int = 0
-    """Runs of the key by other requests when this one was answered."""
+    """Runs of the key by other requests when this one had its reply."""
     later_requested: bool = False
-    """Whether another request of the key was made before this one was answered."""
+    """Whether another request of the key was made before this one had its reply."""
 
     @property
     def replied(self) -> bool:
@@ -103,7 +103,7 @@
 
 @dataclass(slots=True, kw_only=True, eq=False)
 class LateEffect:
-    """An effect that is still on its way."""
+    """A delayed effect that has not happened yet."""
 
     apply: Callable[[], None]
 
@@ -128,7 +128,7 @@
     nodes: dict[str, Node] = field(default_factory=dict)
 
     async def park(self, instance: str, label: str, *, due: float = 0.0) -> Fault:
-        """Wait until the test lets this step go on; for ever on a dead instance."""
+        """Wait until the test resumes this step; for ever on a dead instance."""
         gate = asyncio.get_running_loop().create_future()
         step = Step(instance=instance, label=label, gate=gate, due=due)
         if instance not in self.dead:
@@ -144,15 +144,15 @@
         return [step for step in self.steps if step.instance not in self.paused]
 
     def list_ready(self) -> list[Step]:
-        """Return the steps that may go on now or after a few milliseconds."""
+        """Return the steps that are due now or within `READY_TIMER_S`."""
         return [step for step in self.list_running() if step.due <= self.now + READY_TIMER_S]
 
     def list_timers(self) -> list[Step]:
-        """Return the timers that take longer."""
+        """Return the timers that are due later."""
         return [step for step in self.list_running() if step.due > self.now + READY_TIMER_S]
 
     def add_not_run_row(self, key: str, body: bytes) -> None:
-        """Write the row of an earlier request that was told ``not_run``."""
+        """Write the ``not_run`` row of an earlier request."""
         operation = Operation(
             key=OperationKey(organisation="acme", key=key),
             nonce="earlier",
@@ -167,21 +167,21 @@
         self.tables.transact([], [row])
 
     def find_step(self, instance: str, label: str) -> Step | None:
-        """Return an instance's first step of that label that is parked."""
+        """Return an instance's first parked step with that label."""
         for step in self.steps:
             if step.instance == instance and step.label == label:
                 return step
         return None
 
     async def run_to(self, instance: str, label: str) -> None:
-        """Let an instance go on without a fault until it parks at a step of that label."""
+        """Resume an instance's steps without a fault until it parks at a step with that label."""
         await self.settle()
         while self.find_step(instance, label) is None:
             ready = [step for step in self.list_ready() if step.instance == instance]
             await self.resume(ready[0], Fault.NONE)
 
     async def resume(self, step: Step, fault: Fault) -> None:
-        """Let a step go on; a timer takes the time to its end."""
+        """Resume a step; a timer first advances the time to its end."""
         if step.due:
             self.advance(max(0.0, step.due - self.now))
         self.steps.remove(step)
@@ -189,12 +189,12 @@
         await self.settle()
 
     async def settle(self) -> None:
-        """Run the loop until all tasks are parked."""
+        """Run the event loop until all tasks are parked."""
         for _ in range(SETTLE_ROUNDS):
             await asyncio.sleep(0)
 
     def advance(self, seconds: float) -> None:
-        """Let time pass; the instances that run beat meanwhile."""
+        """Advance the time; running instances tick their pause watch at least once a second."""
         end = self.now + seconds
         while self.now < end:
             self.now = min(end, self.now + 1.0)
@@ -203,14 +203,14 @@
                     node.pauses.beat(now=self.now)
 
     def kill(self, instance: str) -> None:
-        """End an instance as kill -9 does: nothing of it goes on, nothing is cleaned up."""
+        """Kill an instance as kill -9 does: its steps never resume, and nothing is cleaned up."""
         self.dead.add(instance)
         self.steps = [step for step in self.steps if step.instance != instance]
 
     def send_request(
         self, instance: str, key: str, body: bytes, *, timeout_s: float = 30.0
     ) -> CallerRequest:
-        """Make a caller's request."""
+        """Send a caller's request to an instance."""
         siblings = [other for other in self.requests if other.key == key]
         for other in siblings:
             other.later_requested = other.later_requested or not other.replied
@@ -251,10 +251,10 @@
         )
 
     async def finish(self, *, late_last: bool) -> None:
-        """End all faults, let everything that lives go on, and late effects come.
+        """End all faults, resume all live instances, and apply the late effects.
 
         Args:
-            late_last: Whether they come once all else has ended, and not before.
+            late_last: Whether late effects happen only once all steps have ended.
         """
         self.paused.clear()
         self.drained.clear()
@@ -268,10 +268,10 @@
                 await self.resume(step, Fault.NONE)
             else:
                 return
-        raise AssertionError("the world does not come to rest")
+        raise AssertionError("the simulation does not end")
 
     def find_violations(self) -> list[str]:
-        """Return the promises that were broken; call after `finish`."""
+        """Return the violated guarantees; call after `finish`."""
         return [
             *self.forbidden_sends,
             *self._find_double_runs(),
@@ -287,7 +287,7 @@
         return [f"key {key} ran {count} times" for key, count in counts.items() if count > 1]
 
     def _find_false_not_run(self) -> list[str]:
-        """Find requests told ``not_run`` that ran, or whose key was known to have run."""
+        """Find requests rejected as ``not_run`` that ran, or whose key was known to have run."""
         ran = {run.request for run in self.runs}
         unread = (ErrorCode.PLATFORM_UNAVAILABLE, ErrorCode.DEADLINE_EXCEEDED)
         found = []
@@ -296,11 +296,11 @@
             if refusal is None or refusal.outcome is not Outcome.NOT_RUN:
                 continue
             if request.number in ran or request.number in self.sent_requests:
-                found.append(f"request {request.number} was told not_run and was sent")
+                found.append(f"request {request.number} was rejected as not_run and was sent")
             alone = not request.earlier_unanswered and not request.later_requested
             reused = refusal.code is ErrorCode.IDEMPOTENCY_KEY_REUSED
             if alone and not reused and refusal.code not in unread and request.runs_at_reply:
-                found.append(f"request {request.number} was told not_run though its key ran")
+                found.append(f"request {request.number} was rejected as not_run though its key ran")
         return found
 
     def _find_conflicting_responses(self) -> list[str]:
@@ -311,9 +311,9 @@
             if request.response is None:
                 continue
             if responses.setdefault(request.key, request.response) != request.response:
-                found.append(f"key {request.key} got two answers")
+                found.append(f"key {request.key} got two responses")
             if bodies.setdefault(request.key, request.body) != request.body:
-                found.append(f"key {request.key} was answered for two bodies")
+                found.append(f"key {request.key} got responses for two bodies")
         return found
 
     def _find_unreplied(self) -> list[str]:
@@ -334,7 +334,7 @@
         return found
 
     def _find_unrecorded(self) -> list[str]:
-        """Find keys whose answer reached a caller and was not recorded, though nobody died."""
+        """Find keys whose response reached a caller and was not recorded, though nothing died."""
         rows = self.tables.scan(OPERATIONS_TABLE, "")
         operations = [decode_operation(row.value) for row in rows]
         done = {item.key.key for item in operations if item.state is OperationState.DONE}
--- a/tests/test_allotments_properties.py
+++ b/tests/test_allotments_properties.py
@@ -1,4 +1,4 @@
-"""Properties of the split of a limit among entries."""
+"""Properties of the allotment of a limit to entries."""
 
 from __future__ import annotations
 
@@ -28,25 +28,25 @@
     ),
     max_size=40,
 )
-"""Entry, rate and concurrency that it wants, seconds until it asks, whether its answer is lost."""
+"""Entry, wanted rate and concurrency, seconds until its ask, and whether the answer is lost."""
 
-CUT_IS_LOST = [
+LOST_REDUCTION = [
     (0, 3.0, 7, 0.0, False),
     (1, 3.0, 7, 0.1, False),
     (0, 3.0, 7, 0.1, True),
     (1, 3.0, 7, 0.1, False),
 ]
-"""Entry 0 holds all, and the answer that cuts its part for entry 1 is lost."""
-RETURN_IS_LOST = [
+"""Entry 0 holds the limit, and the answer that reduces its allotment for entry 1 is lost."""
+LOST_WITHDRAWAL = [
     (0, 3.0, 7, 0.0, False),
     (0, 3.0, 0, 8.0, True),
     (1, 3.0, 7, 3.0, False),
 ]
-"""Entry 0 goes on with its first part, as the answer that takes it away is lost."""
+"""Entry 0 keeps its first allotment, as the answer that withdraws it is lost."""
 
 
 class Holdings:
-    """What each entry may use: its last answer that came, until that runs out."""
+    """What each entry may use: its last received allotment, until it expires."""
 
     def __init__(self) -> None:
         self.last: dict[int, tuple[float, Allotment]] = {}
@@ -62,16 +62,16 @@
 class AllotmentProperties(unittest.TestCase):
     """The allotments in use never add up to more than the limit."""
 
-    @example(steps=CUT_IS_LOST, moved_after=None)
-    @example(steps=RETURN_IS_LOST, moved_after=None)
+    @example(steps=LOST_REDUCTION, moved_after=None)
+    @example(steps=LOST_WITHDRAWAL, moved_after=None)
     @given(steps=STEPS, moved_after=st.none() | st.integers(0, 40))
     def test_allotments_in_use_stay_within_the_limit(
         self, steps: list, moved_after: int | None
     ) -> None:
         """An organisation gets its limit twice.
 
-        An answer that cuts an allotment is lost and its entry uses the old one to the end; or the
-        home moves, and the new one doesn't know of the allotments that the last one gave.
+        An answer that reduces an allotment is lost and the entry uses the old one until it
+        expires; or the home moves, and the new one doesn't know its predecessor's allotments.
         """
         home = AllotmentDispatcher()
         holdings = Holdings()
@@ -120,16 +120,16 @@
             for index, (_, rate, concurrent, _, _) in enumerate(steps)
         ]
         wanted = sum(concurrent for _, _, concurrent, _, _ in steps)
-        given_out = sum(answer.concurrent for answer in answers)
-        self.assertLessEqual(given_out, CONCURRENT)
-        self.assertGreaterEqual(given_out, min(wanted, CONCURRENT))
+        allotted = sum(answer.concurrent for answer in answers)
+        self.assertLessEqual(allotted, CONCURRENT)
+        self.assertGreaterEqual(allotted, min(wanted, CONCURRENT))
         self.assertLessEqual(sum(answer.tokens for answer in answers), RATE * BURST_S)
 
     def test_older_ask_is_dropped(self) -> None:
-        """An entry gets more than its part after its asks have crossed.
+        """An entry gets more than its allotment after its asks were reordered.
 
-        Asks on an old and a new stream cross. If the older one were answered last, the home would
-        book what the entry held before, not what it holds.
+        Asks on an old and a new stream arrive out of order. If the older one were answered last,
+        the home would reserve what the entry held before, not what it holds.
         """
         home = AllotmentDispatcher()
         ask = AllotmentAsk(
--- a/tests/test_group_commit.py
+++ b/tests/test_group_commit.py
@@ -1,4 +1,4 @@
-"""Tests of transactions that go together."""
+"""Tests of the group commit of transactions."""
 
 from __future__ import annotations
 
@@ -12,7 +12,7 @@
 
 
 class GroupCommitTest(unittest.IsolatedAsyncioTestCase):
-    """Callers share a write, not its failures."""
+    """Callers share a write, but not each other's conflicts."""
 
     def setUp(self) -> None:
         self.simulation = World()
@@ -46,8 +46,8 @@
         self.assertEqual(results, [[1]] * 7)
 
     async def test_same_row_never_twice_in_a_group(self) -> None:
-        # Two callers insert one key in the same moment. In one transaction both checks for an
-        # absent row hold, and both would be told that the row is theirs.
+        # Two callers insert one key at the same moment. In one merged transaction both checks for
+        # an absent row would hold, and both callers would succeed.
         tasks = [self.insert("k"), self.insert("k"), self.insert("other")]
         await self.simulation.settle()
         await self.run_to_end()
--- a/tests/test_limits_properties.py
+++ b/tests/test_limits_properties.py
@@ -1,4 +1,4 @@
-"""Properties of the limits over several entries and one home."""
+"""Properties of the limits with several entries and one home dispatcher."""
 
 from __future__ import annotations
 
@@ -54,7 +54,7 @@
 
 TICK_S = 0.05
 PREFETCHED_S = PREFETCH_S + LOW_TOKENS_S
-"""Seconds of their demand for which entries may hold tokens."""
+"""Seconds of their demand for which entries may hold prefetched tokens."""
 PHASES = st.lists(
     st.tuples(
         st.lists(st.sampled_from([0, 0, 1, 5]), min_size=ENTRIES, max_size=ENTRIES),
@@ -64,11 +64,11 @@
     min_size=1,
     max_size=5,
 )
-"""Requests at each entry in each tick, ticks of the phase, ticks that a request runs."""
+"""Requests at each entry per tick, duration of the phase and of a request in ticks."""
 
 
 class Fleet:
-    """Entries and one home with answers that come late, crossed or never."""
+    """Entries and one home whose answers arrive late, out of order or never."""
 
     def __init__(self, *, random: Random, delay_ticks: int, loss: float) -> None:
         self.random = random
@@ -112,7 +112,7 @@
 
 
 class LimitProperties(unittest.TestCase):
-    """The limits hold in every window of every history."""
+    """The limits hold in each time window of each generated history."""
 
     def check(self, fleet: Fleet, phases: list, factor: int) -> None:
         for demands, ticks, run_ticks in phases:
@@ -144,9 +144,9 @@
     ) -> None:
         """An organisation gets more than its limit.
 
-        An answer is lost or comes after a later one. The entry goes on with its old allotment or
-        falls back to its even part, while the home may already have given the part to others. The
-        even parts add up to one limit, so both together stay below two.
+        An answer is lost or overtaken by a later one. The entry keeps its old allotment or falls
+        back to its even share, while the home may already have allotted it to others. The even
+        shares add up to one limit, so the total stays within two limits.
         """
         fleet = Fleet(random=Random(seed), delay_ticks=delay_ticks, loss=loss)
         self.check(fleet, phases, 2)
@@ -196,10 +196,10 @@
         self.assertEqual(last.code, ErrorCode.CONCURRENCY_LIMITED)
 
     def test_unheard_home_leaves_an_even_part(self) -> None:
-        """The caller is refused, or an organisation gets its limit many times over.
+        """All callers are rejected, or an organisation gets its limit many times over.
 
-        The home is cut off: no answer comes. Refusing all would be an outage, admitting all no
-        limit; the even parts of all entries add up to the limit.
+        The home is unreachable. Rejecting all requests would be an outage, and admitting all would
+        be no limit; the even shares of all entries add up to the limit.
         """
         self.entry.admit(ORGANISATION, now=0.0)
         self.entry.collect_asks(now=0.0)
@@ -209,15 +209,15 @@
             granted += self.entry.admit(ORGANISATION, now=now).granted
             self.entry.release(ORGANISATION.name, now=now)
             self.entry.collect_asks(now=now)
-        part = RATE / ENTRIES * 40
-        self.assertLessEqual(granted, part + 1)
-        self.assertGreaterEqual(granted, part * 0.9 - 1)
+        share = RATE / ENTRIES * 40
+        self.assertLessEqual(granted, share + 1)
+        self.assertGreaterEqual(granted, share * 0.9 - 1)
 
     def test_running_requests_are_reported_after_their_part_ran_out(self) -> None:
-        """An organisation runs more at once than its limit.
+        """An organisation runs more concurrent requests than its limit.
 
-        The entry's part ran out while the home could not be heard. If the next ask did not tell of
-        the requests that still run, the home would hand their part to others.
+        The entry's allotment expired while the home was unreachable. If the next ask did not
+        report the requests that still run, the home would allot their concurrency to others.
         """
         for _ in range(3):
             self.entry.admit(ORGANISATION, now=0.0)
@@ -236,10 +236,10 @@
         self.assertTrue(self.entry.admit(ORGANISATION, now=1.0).granted)
 
     def test_answer_to_an_older_ask_is_dropped(self) -> None:
-        """The entry admits more than its part.
+        """The entry admits more than its allotment.
 
-        An ask times out and is repeated; then the answer to the first comes, whose part the home
-        has given to others since.
+        An ask times out and is retried; then the answer to the first ask arrives, whose allotment
+        the home has given to others since.
         """
         for _ in range(CONCURRENT):
             self.entry.admit(ORGANISATION, now=0.0)
--- a/tests/test_operations_properties.py
+++ b/tests/test_operations_properties.py
@@ -1,4 +1,4 @@
-"""Properties of non-idempotent calls under generated interleavings of steps and faults."""
+"""Properties of non-idempotent calls with generated interleavings of steps and faults."""
 
 from __future__ import annotations
 
@@ -26,7 +26,7 @@
 
 
 class EventKind(Enum):
-    """What happens next in a history."""
+    """Kind of an event in a history."""
 
     ASK = "ask"
     STEP = "step"
@@ -41,7 +41,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Event:
-    """One event; ``pick`` chooses among what is possible then."""
+    """One event; ``pick`` selects among the possible targets."""
 
     kind: EventKind
     pick: int
@@ -63,21 +63,21 @@
 
 @dataclass(frozen=True, slots=True)
 class Start:
-    """How a history begins and ends."""
+    """Start and end of a history."""
 
-    asks: int
-    """Requests of one key at once, each at another instance."""
+    request_count: int
+    """Concurrent requests of one key, each at another instance."""
     not_run_row: bool
     """Whether an earlier request of the key left a ``not_run`` row."""
     late_last: bool
-    """Whether late effects come once all else has ended."""
+    """Whether late effects happen only once all steps have ended."""
 
 
 STARTS = st.builds(Start, st.integers(1, len(NAMES)), st.booleans(), st.booleans())
 
 
 async def apply_event(simulation: World, event: Event) -> None:
-    """Let one event happen, if it is possible."""
+    """Apply one event, if it is possible."""
     name = NAMES[event.pick % len(NAMES)]
     if event.kind is EventKind.ASK and name not in simulation.dead:
         body = BODIES[event.pick % 10 == 9]
@@ -97,7 +97,7 @@
 
 
 def change_environment(simulation: World, event: Event, name: str) -> None:
-    """Kill, pause or continue an instance, or change slots or configuration."""
+    """Kill, pause or resume an instance, or change slots or configuration."""
     if event.kind is EventKind.KILL and len(simulation.dead) < len(NAMES) - 1:
         simulation.kill(name)
     elif event.kind is EventKind.PAUSE and name in simulation.paused:
@@ -112,11 +112,11 @@
 
 
 async def run_history(start: Start, events: list[Event]) -> list[str]:
-    """Run a history to its end and return the promises that it broke."""
+    """Run a history to its end and return the violated guarantees."""
     simulation = create_simulation(*NAMES)
     if start.not_run_row:
         simulation.add_not_run_row(KEYS[0], BODIES[0])
-    for name in NAMES[: start.asks]:
+    for name in NAMES[: start.request_count]:
         simulation.send_request(name, KEYS[0], BODIES[0])
     for event in events:
         await apply_event(simulation, event)
@@ -125,7 +125,7 @@
 
 
 class GeneratedHistoriesTest(unittest.TestCase):
-    """No generated history breaks a promise."""
+    """No generated history violates a guarantee."""
 
     @settings(max_examples=HISTORY_COUNT)
     @given(STARTS, st.lists(EVENTS, min_size=30, max_size=90))
@@ -134,7 +134,7 @@
 
 
 class SweepTest(unittest.TestCase):
-    """Each row's part of the table comes up once a retention period, whatever its length."""
+    """Each row's prefix is swept once per retention period, whatever its length."""
 
     @given(st.floats(3600.0, 3e7), st.floats(0.0, 2e9), st.text("0123456789abcdef", min_size=4))
     def test_every_key_is_swept(self, retention_s: float, now: float, key: str) -> None:
@@ -153,7 +153,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Injection:
-    """What hits the first instance when it reaches a step."""
+    """A fault injected into the first instance at a step."""
 
     step: int
     """Number of the step of the call, from 0."""
@@ -163,33 +163,33 @@
 
 
 STEP_COUNT = 10
-"""Steps of one undisturbed call: read, slot, window, write, connect, send, run, record."""
+"""Steps of one call without faults: read, slot, window, write, connect, send, run, record."""
 
 INJECTIONS = [Injection(step, fault) for step in range(STEP_COUNT) for fault in (*FAULTS[1:], None)]
 INJECTIONS += [Injection(step, None, pause=True) for step in range(STEP_COUNT)]
 
 
 async def run_injections(injections: tuple[Injection, ...], *, late_last: bool) -> list[str]:
-    """Hit one call at given steps; its caller asks again through another instance, twice."""
+    """Inject faults into one call; its caller retries twice at another instance."""
     simulation = create_simulation("a", "b")
     request = simulation.send_request("a", "k", b"100")
     await simulation.settle()
-    pending = {blow.step: blow for blow in injections}
+    pending = {injection.step: injection for injection in injections}
     for number in range(30):
         steps = sorted(simulation.list_running(), key=lambda step: step.due)
         if request.replied or not steps:
             break
         await apply_injection(simulation, pending.get(number), steps[0])
     for _ in range(2):
-        repeat = simulation.send_request("b", "k", b"100")
-        await run_until_replied(simulation, repeat)
+        retry = simulation.send_request("b", "k", b"100")
+        await run_until_replied(simulation, retry)
         simulation.paused.clear()
     await simulation.finish(late_last=late_last)
     return simulation.find_violations()
 
 
 async def run_until_replied(simulation: World, request: CallerRequest) -> None:
-    """Let the steps of one instance go on until its caller has a reply."""
+    """Resume the steps of one instance until its caller has a reply."""
     for _ in range(100):
         await simulation.settle()
         steps = [step for step in simulation.list_running() if step.instance == request.instance]
@@ -199,7 +199,7 @@
 
 
 async def apply_injection(simulation: World, injection: Injection | None, step: Step) -> None:
-    """Let a step go on under a blow."""
+    """Resume a step with an injected fault, if any."""
     if injection is None or injection.fault is not None:
         await simulation.resume(step, Fault.NONE if injection is None else injection.fault)
     elif injection.pause:
@@ -210,17 +210,19 @@
 
 
 class EveryStepTest(unittest.TestCase):
-    """Each fault at each step, singly and in pairs, with the caller asking again elsewhere."""
+    """Each fault at each step, singly and in pairs, with retries at another instance."""
 
     def test_single_and_paired_faults(self) -> None:
-        cases = [(blow,) for blow in INJECTIONS]
+        cases = [(injection,) for injection in INJECTIONS]
         cases += [pair for pair in combinations(INJECTIONS, 2) if pair[0].step != pair[1].step]
         for injections in cases:
             orders = (
-                (False, True) if Fault.LATE in {blow.fault for blow in injections} else (False,)
+                (False, True)
+                if Fault.LATE in {injection.fault for injection in injections}
+                else (False,)
             )
             for late_last in orders:
-                with self.subTest(blows=injections, late_last=late_last):
+                with self.subTest(injections=injections, late_last=late_last):
                     self.assertEqual(
                         asyncio.run(run_injections(injections, late_last=late_last)), []
                     )
--- a/tests/test_retries_properties.py
+++ b/tests/test_retries_properties.py
@@ -30,7 +30,7 @@
 
 
 class RetryBudgetProperties(unittest.TestCase):
-    """The budget holds over any history, in any window of it."""
+    """The budget holds in each window of each generated history."""
 
     @example(before=[("success", "high", 100)], window=[("spend", "high", 100)])
     @given(before=RUNS, window=RUNS)
@@ -40,7 +40,8 @@
         end, spent, successes = self.replay(budget, window, now)
         for name in spent:
             earned = RETRY_SHARE * successes[name] + FLOOR_PER_S * (end - now)
-            # The floor is paid at the next spend, so up to FLOOR_LIMIT of it may be older.
+            # The floor is added at the next spend, so up to FLOOR_LIMIT of it may predate the
+            # window.
             self.assertLessEqual(spent[name], BALANCE_LIMIT + FLOOR_LIMIT + earned + 1e-9)
 
     def replay(self, budget: RetryBudget, runs: list, now: float) -> tuple:
@@ -85,10 +86,10 @@
             self.assertLess(retry.delay_s, left_s)
 
     def test_one_class_does_not_spend_the_retries_of_another(self) -> None:
-        """The caller of a quiet class gets an error though its class has retries saved.
+        """A caller of a quiet class gets an error though its class has retries left.
 
-        A burst of one class fails and takes all retries; if the classes shared one balance, the
-        failing class would also end the retries of the others.
+        Failures of one class use up its retries; if the classes shared one balance, they would use
+        up the retries of the others too.
         """
         budget = RetryBudget()
         for _ in range(100):
--- a/tests/test_single_fetch.py
+++ b/tests/test_single_fetch.py
@@ -1,4 +1,4 @@
-"""Tests that one request is sent at most once, and that what is told of it is proved."""
+"""Tests that one request is sent at most once, and that its errors tell whether it was sent."""
 
 from __future__ import annotations
 
@@ -11,7 +11,7 @@
 
 
 class RawServer:
-    """Accepts connections, records what arrives and answers fixed bytes."""
+    """Accepts connections, records the received bytes and responds with fixed bytes."""
 
     def __init__(self, response: bytes) -> None:
         self.response = response
@@ -20,7 +20,7 @@
         self.accepted = asyncio.Event()
 
     async def start(self) -> None:
-        """Listen on a port of the OS's choice."""
+        """Listen on a port chosen by the operating system."""
         self.server = await asyncio.start_server(self._serve, "127.0.0.1", 0)
         self.port = self.server.sockets[0].getsockname()[1]
         self.url = f"http://127.0.0.1:{self.port}/calls/pay"
@@ -35,7 +35,7 @@
 
 
 class SingleFetchTest(unittest.IsolatedAsyncioTestCase):
-    """The HTTP client neither repeats, follows nor guesses."""
+    """The HTTP client neither retries nor follows redirects nor accepts truncated responses."""
 
     async def start(self, response: bytes) -> RawServer:
         server = RawServer(response)
@@ -56,7 +56,8 @@
         self.assertEqual(len(server.received), 2)
 
     async def test_redirect_is_returned_and_not_followed(self) -> None:
-        # A service answers 307 with its own address: a client that follows sends the call twice.
+        # A service redirects with 307 to its own address: a client that follows it would send the
+        # call twice.
         server = await self.start(b"")
         server.response = (
             f"HTTP/1.1 307 See\r\nLocation: {server.url}\r\nContent-Length: 0\r\n\r\n".encode()
@@ -65,8 +66,8 @@
         self.assertEqual(len(server.received), 1)
 
     async def test_cut_connection_is_not_tried_again(self) -> None:
-        # The service reads the call and closes. Many clients repeat on a connection that was closed
-        # without an answer; the run would double.
+        # The service reads the call and closes the connection. Many clients retry after a
+        # connection was closed without a response; the call would run twice.
         server = await self.start(b"")
         with self.assertRaises(AnswerLost):
             await self.fetch(server.url)
@@ -81,7 +82,7 @@
             b"nonsense\r\n\r\n",
         ):
             server = await self.start(response)
-            with self.subTest(answer=response), self.assertRaises(AnswerLost):
+            with self.subTest(response=response), self.assertRaises(AnswerLost):
                 await self.fetch(server.url)
 
     async def test_refused_connection_proves_not_sent(self) -> None:
@@ -103,8 +104,8 @@
         self.assertEqual(server.received, [])
 
     async def test_cancelled_request_is_never_written_later(self) -> None:
-        # The caller's wait is cancelled during the connect and it is told "not run". Tornado goes
-        # on with the connect of a cancelled fetch and would write the request a moment later.
+        # The caller is cancelled during the connect and told "not run". Tornado continues the
+        # connect of a cancelled fetch and would write the request afterwards.
         server = await self.start(b"HTTP/1.1 200 OK\r\nContent-Length: 2\r\n\r\nok")
         task = asyncio.ensure_future(self.fetch(server.url))
         await asyncio.sleep(0)
--- a/tests/test_single_runs.py
+++ b/tests/test_single_runs.py
@@ -1,4 +1,4 @@
-"""Tests of one order of events each, for failures that generated histories reach too seldom."""
+"""Tests of specific event orders that generated histories reach too rarely."""
 
 from __future__ import annotations
 
@@ -10,12 +10,12 @@
 
 
 class SingleRunsTest(unittest.IsolatedAsyncioTestCase):
-    """What is told of a key is what is known of it."""
+    """The reported outcome of a key matches what is known about its run."""
 
     async def test_slot_refused_after_another_request_ran(self) -> None:
         # Two requests of one key. The second finds no row and waits for a slot; meanwhile the first
-        # runs, its answer is lost and it is told "outcome unknown". If the refusal of the second's
-        # slot were told as "not run", the caller would pay again under a new key.
+        # runs, its response is lost and it gets "outcome unknown". If the second's rejection for
+        # lack of a slot said "not run", the caller would pay again under a new key.
         simulation = create_simulation("a", "b")
         second = simulation.send_request("b", "k", b"100")
         await simulation.run_to("b", "slot")
@@ -28,9 +28,9 @@
         self.assertEqual(second.refusal.outcome, Outcome.OUTCOME_UNKNOWN)
 
     async def test_late_insert_of_a_refused_request(self) -> None:
-        # The insert's answer is lost and the row can't be read, so the caller is told "not run".
-        # The platform carries the insert out long after: the key would be blocked as started for
-        # good, though nothing was sent, by a row that nobody is left to give up.
+        # The insert's response is lost and the row can't be read, so the caller gets "not run". The
+        # platform applies the insert much later: the row would stay started and block the key for
+        # good though nothing was sent, as no attempt is left to mark it as not run.
         for not_run_row in (False, True):
             simulation = create_simulation("a")
             if not_run_row:
@@ -45,13 +45,13 @@
             self.assertEqual(request.refusal.outcome, Outcome.NOT_RUN)
             await simulation.finish(late_last=True)
             self.assertEqual(simulation.find_violations(), [])
-            repeat = simulation.send_request("a", "k", b"100")
+            retry = simulation.send_request("a", "k", b"100")
             await simulation.finish(late_last=True)
-            self.assertIsNotNone(repeat.response)
+            self.assertIsNotNone(retry.response)
 
     async def test_timer_that_fires_early(self) -> None:
-        # The deadline's timer fires a moment before the deadline by the clock (loops allow for the
-        # clock's resolution). The caller is told "not run"; the last check, a moment later, still
+        # The deadline's timer fires slightly before the deadline, as event loops round by the
+        # clock's resolution. The caller gets "not run", but the last check right after it still
         # finds time left and would send.
         simulation = create_simulation("a")
         request = simulation.send_request("a", "k", b"100")
@@ -64,21 +64,22 @@
         self.assertEqual(simulation.runs, [])
 
     async def test_caller_that_is_gone_does_not_stop_the_run(self) -> None:
-        # The caller's connection breaks in mid-send and its handler is cancelled. The run must go
-        # on to its record, else the key stays started and nobody ever gets the answer.
+        # The caller disconnects during the send and its handler is cancelled. The run must continue
+        # until it is recorded, else the key stays started and no caller ever gets the response.
         simulation = create_simulation("a", "b")
         first = simulation.send_request("a", "k", b"100")
         await simulation.run_to("a", "sent")
         first.task.cancel()
         await simulation.run_to("a", "written")
-        repeat = simulation.send_request("b", "k", b"100")
+        retry = simulation.send_request("b", "k", b"100")
         await simulation.finish(late_last=False)
-        self.assertIsNotNone(repeat.response)
+        self.assertIsNotNone(retry.response)
         self.assertEqual(len(simulation.runs), 1)
 
     async def test_pause_between_grant_and_send(self) -> None:
-        # The entry stops for two seconds while it connects. Its deadline holds, its configuration
-        # looks as before, but the endpoint may have been drained meanwhile: nothing is sent.
+        # The entry is paused for two seconds during the connect. The deadline has not passed and
+        # its configuration is unchanged, but the endpoint may have been drained meanwhile: nothing
+        # is sent.
         simulation = create_simulation("a")
         request = simulation.send_request("a", "k", b"100")
         await simulation.run_to("a", "connect")
