--- a/src/guavamast/allotments.py
+++ b/src/guavamast/allotments.py
@@ -42,7 +42,7 @@
 
 @dataclass(frozen=True, slots=True, kw_only=True)
 class AllotmentAsk:
-    """An entry's request to its organisation's home for an allotment."""
+    """An entry's request to an organisation's home for an allotment."""
 
     organisation: str
     entry: str
--- a/src/guavamast/attempts.py
+++ b/src/guavamast/attempts.py
@@ -66,8 +66,8 @@
 
         Failure: a process is paused between its checks and the send for longer than any timeout,
         and sends to an endpoint that has left, or for a caller that was told ``not_run``. So the
-        last check runs after the connect, with no await before the first write. A pause after it
-        only delays bytes that the latch already counts as sent.
+        last check runs after the connect, in the same event-loop step as the first write. A pause
+        after it only delays bytes that the latch already counts as sent.
 
         Raises:
             Obstructed: The last check failed.
--- a/src/guavamast/retries.py
+++ b/src/guavamast/retries.py
@@ -51,8 +51,8 @@
     """Retry budget of an entry: for each class, a share of its successes.
 
     Failure: a third of the endpoints die, each of their requests is retried, and the retries
-    overload the remaining endpoints until they fail too. As only successes add retries, the
-    attempts stay below ``1 + RETRY_SHARE`` times the requests, apart from the saved balance.
+    overload the remaining endpoints until they fail too. As successes pay for retries, the attempts
+    stay below ``1 + RETRY_SHARE`` times the requests, whatever fails, apart from the saved balance.
     """
 
     __slots__ = ("_balances",)
--- a/src/guavamast/single_fetch.py
+++ b/src/guavamast/single_fetch.py
@@ -52,8 +52,8 @@
 
     Failure: a caller is cancelled during the connect and told ``not_run``, but Tornado does not
     stop a cancelled fetch and writes the request afterwards, so the rejected call runs. ``abandon``
-    makes the connect fail instead; there is no await between the check here and Tornado's first
-    write.
+    makes the connect fail instead; no other coroutine runs between the check here and Tornado's
+    first write.
     """
 
     def __init__(self, *, resolver: NumericResolver, before_write: Callable[[], None]) -> None:
--- a/src/guavamast/single_runs.py
+++ b/src/guavamast/single_runs.py
@@ -145,7 +145,7 @@
             Refusal: There is no response; the outcome says what is known about the run.
         """
         if self._repairs.is_full:
-            raise self._create_platform_rejection(run, "too many unwritten rows for the platform")
+            raise self._create_platform_rejection(run, "too many rows wait to be written")
         earlier = await self._look_up(run)
         if earlier is not None:
             return earlier
@@ -168,11 +168,7 @@
             raise self._create_platform_rejection(run, error.message) from None
         now = self._clock.read_wall()
         decision = decide_claim(run.operation, found, version=0, now=now)
-        return (
-            None
-            if isinstance(decision, Insert)
-            else await self._answer_from_decision(run, decision)
-        )
+        return None if isinstance(decision, Insert) else await self._serve_existing(run, decision)
 
     async def _run_with_slot(self, run: SingleRun, grant: SlotGrant) -> Answer:
         try:
@@ -186,7 +182,7 @@
             raise
         if not isinstance(claim, Claim):
             grant.release(used=False, failed=False, duration_s=0.0)
-            return await self._answer_from_decision(run, claim)
+            return await self._serve_existing(run, claim)
         self._metrics.count("operations.claimed")
         response = await self._send(run, grant)
         await self._record(claim, response)
@@ -264,7 +260,7 @@
                 continue
         self._repairs.add(lambda: self._store.record(claim, response))
 
-    async def _answer_from_decision(self, run: SingleRun, decision: ClaimDecision) -> Answer:
+    async def _serve_existing(self, run: SingleRun, decision: ClaimDecision) -> Answer:
         """Return the recorded response, or reject a request whose key is not free.
 
         The latch only covers this request, which did not run, but its key may have. A caller that
--- a/tests/operation_fakes.py
+++ b/tests/operation_fakes.py
@@ -196,7 +196,7 @@
         """Park, then grant or reject."""
         fault = await self.simulation.park(self.instance, "slot")
         left = [endpoint for endpoint in ENDPOINTS if endpoint.name not in excluded]
-        if fault is Fault.BEFORE or self.simulation.slots_refused or not left:
+        if fault is Fault.BEFORE or self.simulation.slots_rejected or not left:
             raise SlotUnavailable(ErrorCode.SHED, call.rule.service, status=503, retry_after_s=1)
         self.grants.append(SimulatedGrant(left[0]))
         return self.grants[-1]
--- a/tests/operation_world.py
+++ b/tests/operation_world.py
@@ -121,7 +121,7 @@
     dead: set[str] = field(default_factory=set)
     paused: set[str] = field(default_factory=set)
     drained: set[str] = field(default_factory=set)
-    slots_refused: bool = False
+    slots_rejected: bool = False
     sent_nonces: set[str] = field(default_factory=set)
     sent_requests: set[int] = field(default_factory=set)
     forbidden_sends: list[str] = field(default_factory=list)
@@ -258,7 +258,7 @@
         """
         self.paused.clear()
         self.drained.clear()
-        self.slots_refused = False
+        self.slots_rejected = False
         for _ in range(2000):
             await self.settle()
             if self.late_effects and not (late_last and self.steps):
--- a/tests/test_operations_processes.py
+++ b/tests/test_operations_processes.py
@@ -137,9 +137,9 @@
                 await asyncio.sleep(0.01)
 
     async def test_entry_killed_at_every_step(self) -> None:
-        # The entry is killed while sixty approvals are at different steps. Callers retry at the
-        # other instance. Keys whose row was inserted stay unknown, the others run there; none runs
-        # twice.
+        # The entry is killed while sixty approvals are at different steps. Their connections break,
+        # and callers retry at the other instance. Keys whose row was inserted stay unknown, the
+        # others run there; none runs twice.
         await self.fault_services(kind="slow", delay_s=0.03)
         sending = asyncio.ensure_future(self.send_requests("kill", count=60, number=0))
         await self.wait_for_runs(15)
--- a/tests/test_operations_properties.py
+++ b/tests/test_operations_properties.py
@@ -108,7 +108,7 @@
     elif event.kind is EventKind.DRAIN:
         simulation.drained ^= {ENDPOINTS[event.pick % len(ENDPOINTS)].name}
     elif event.kind is EventKind.SLOTS:
-        simulation.slots_refused = not simulation.slots_refused
+        simulation.slots_rejected = not simulation.slots_rejected
 
 
 async def run_history(start: Start, events: list[Event]) -> list[str]:
