--- a/src/guavamast/limit_gate.py
+++ b/src/guavamast/limit_gate.py
@@ -1,4 +1,4 @@
-"""The entry's gate of organisations' limits: admits, waits for a first allotment, or refuses."""
+"""The entry's enforcement of organisations' limits: admits, waits for an allotment, or rejects."""
 
 from __future__ import annotations
 
@@ -6,7 +6,7 @@
 from typing import TYPE_CHECKING, Final
 
 from guavamast._allotment_wire import decode_allotment, encode_allotment_ask
-from guavamast.allotments import find_home
+from guavamast.allotments import select_home
 from guavamast.errors import Refusal, SendLatch
 from guavamast.limits import AdmissionState
 
@@ -21,16 +21,16 @@
     from guavamast.world import Organisation
 
 RENEW_INTERVAL_S: Final = 0.5
-"""Time between two looks for allotments that are due, while requests run."""
+"""Interval between checks for allotments that are due for renewal."""
 TOO_MANY_REQUESTS: Final = 429
 
 
 class LimitGate:
-    """Admits requests against allotments that the organisations' homes hand out.
+    """Admits requests against the allotments from the organisations' homes.
 
     Args:
-        limiter: Decides.
-        state: The entry's view.
+        limiter: Decides on each request.
+        state: The entry's state, with its view of the members.
         links: The streams to dispatchers.
         clock: Monotonic time.
     """
@@ -50,25 +50,25 @@
         self._answered: dict[str, asyncio.Event] = {}
 
     async def admit(self, organisation: Organisation) -> None:
-        """Return when a request may go on; then `release` must be called at its end.
+        """Wait until a request is admitted; `release` must be called at its end.
 
         Raises:
             Refusal: A limit is reached.
         """
         admission = self._limiter.admit(organisation, now=self._clock())
         while admission.state is AdmissionState.PENDING:
-            await self._wait_answer(organisation.name, admission.retry_after_s)
+            await self._wait_for_allotment(organisation.name, admission.retry_after_s)
             admission = self._limiter.admit(organisation, now=self._clock())
         self._send_asks()
         if admission.state is AdmissionState.REFUSED:
-            raise self._refuse(organisation, admission.code, admission.retry_after_s)
+            raise self._create_rejection(organisation, admission.code, admission.retry_after_s)
 
     def release(self, organisation: Organisation) -> None:
         """End an admitted request."""
         self._limiter.release(organisation.name, now=self._clock())
 
     def take_allotment(self, message: peer_pb2.AllotmentMessage) -> None:
-        """Take a home's answer and wake the requests that wait for it."""
+        """Apply a home's answer and wake the requests that wait for it."""
         allotment = decode_allotment(message)
         self._limiter.record_allotment(allotment, now=self._clock())
         answered = self._answered.pop(allotment.organisation, None)
@@ -81,14 +81,14 @@
             await asyncio.sleep(RENEW_INTERVAL_S)
             self._send_asks()
 
-    async def _wait_answer(self, organisation: str, at_most_s: float) -> None:
+    async def _wait_for_allotment(self, organisation: str, timeout_s: float) -> None:
         answered = self._answered.setdefault(organisation, asyncio.Event())
         self._send_asks()
         try:
-            async with asyncio.timeout(at_most_s):
+            async with asyncio.timeout(timeout_s):
                 await answered.wait()
         except TimeoutError:
-            # The home does not answer; the next admission falls back to the even part.
+            # The home does not answer; the next admission falls back to the even share.
             return
 
     def _send_asks(self) -> None:
@@ -98,10 +98,12 @@
                 self._links.send(address, encode_allotment_ask(ask))
 
     def _find_home_address(self, ask: AllotmentAsk) -> str:
-        home = find_home(ask.organisation, self._state.view)
+        home = select_home(ask.organisation, self._state.view)
         return home.instance.peer_address if home else ""
 
-    def _refuse(self, organisation: Organisation, code: str, retry_after_s: float) -> Refusal:
+    def _create_rejection(
+        self, organisation: Organisation, code: str, retry_after_s: float
+    ) -> Refusal:
         return SendLatch().refuse(
             code,
             f"{organisation.name} has reached a limit of its contract",
--- a/tests/test_single_fetch.py
+++ b/tests/test_single_fetch.py
@@ -1,4 +1,4 @@
-"""Tests that one request is sent at most once, and that what is told of it is proved."""
+"""Tests that one request is sent at most once, and that its errors tell whether it was sent."""
 
 from __future__ import annotations
 
@@ -11,16 +11,16 @@
 
 
 class RawServer:
-    """Accepts connections, records what arrives and answers fixed bytes."""
+    """Accepts connections, records the received bytes and responds with fixed bytes."""
 
-    def __init__(self, answer: bytes) -> None:
-        self.answer = answer
+    def __init__(self, response: bytes) -> None:
+        self.response = response
         self.received: list[bytes] = []
         self.url = ""
         self.accepted = asyncio.Event()
 
     async def start(self) -> None:
-        """Listen on a port of the OS's choice."""
+        """Listen on a port chosen by the operating system."""
         self.server = await asyncio.start_server(self._serve, "127.0.0.1", 0)
         self.port = self.server.sockets[0].getsockname()[1]
         self.url = f"http://127.0.0.1:{self.port}/calls/pay"
@@ -30,15 +30,15 @@
         received = await reader.read(65536)
         if received:
             self.received.append(received)
-            writer.write(self.answer)
+            writer.write(self.response)
         writer.close()
 
 
 class SingleFetchTest(unittest.IsolatedAsyncioTestCase):
-    """The HTTP client neither repeats, follows nor guesses."""
+    """The HTTP client neither retries nor follows redirects nor accepts truncated responses."""
 
-    async def start(self, answer: bytes) -> RawServer:
-        server = RawServer(answer)
+    async def start(self, response: bytes) -> RawServer:
+        server = RawServer(response)
         await server.start()
         self.addCleanup(server.server.close)
         return server
@@ -56,32 +56,33 @@
         self.assertEqual(len(server.received), 2)
 
     async def test_redirect_is_returned_and_not_followed(self) -> None:
-        # A service answers 307 with its own address: a client that follows sends the call twice.
+        # A service redirects with 307 to its own address: a client that follows it would send the
+        # call twice.
         server = await self.start(b"")
-        server.answer = (
+        server.response = (
             f"HTTP/1.1 307 See\r\nLocation: {server.url}\r\nContent-Length: 0\r\n\r\n".encode()
         )
         self.assertEqual((await self.fetch(server.url)).code, 307)
         self.assertEqual(len(server.received), 1)
 
     async def test_cut_connection_is_not_tried_again(self) -> None:
-        # The service reads the call and closes. Many clients repeat on a connection that was closed
-        # without an answer; the run would double.
+        # The service reads the call and closes the connection. Many clients retry after a
+        # connection was closed without a response; the call would run twice.
         server = await self.start(b"")
         with self.assertRaises(AnswerLost):
             await self.fetch(server.url)
         self.assertEqual(len(server.received), 1)
 
     async def test_cut_answer_is_not_taken_for_a_whole_one(self) -> None:
-        for answer in (
+        for response in (
             b"HTTP/1.1 200 OK\r\nContent-Length: 20\r\n\r\n{}",
             b"HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n2\r\n{}\r\n",
             b"HTTP/1.1 200 OK\r\n\r\n{}",
             b"HTTP/1.1 200",
             b"nonsense\r\n\r\n",
         ):
-            server = await self.start(answer)
-            with self.subTest(answer=answer), self.assertRaises(AnswerLost):
+            server = await self.start(response)
+            with self.subTest(response=response), self.assertRaises(AnswerLost):
                 await self.fetch(server.url)
 
     async def test_refused_connection_proves_not_sent(self) -> None:
@@ -103,8 +104,8 @@
         self.assertEqual(server.received, [])
 
     async def test_cancelled_request_is_never_written_later(self) -> None:
-        # The caller's wait is cancelled during the connect and it is told "not run". Tornado goes
-        # on with the connect of a cancelled fetch and would write the request a moment later.
+        # The caller is cancelled during the connect and told "not run". Tornado continues the
+        # connect of a cancelled fetch and would write the request afterwards.
         server = await self.start(b"HTTP/1.1 200 OK\r\nContent-Length: 2\r\n\r\nok")
         task = asyncio.ensure_future(self.fetch(server.url))
         await asyncio.sleep(0)
