--- a/src/guavamast/log_report.py
+++ b/src/guavamast/log_report.py
@@ -20,9 +20,9 @@
 """Answered, and not late by the instance's own clock."""
 GROUPINGS: Final = ("route", "endpoint", "instance", "second")
 """By what requests can be grouped; seconds count from the first line."""
-UNKNOWN: Final = "(none)"
+UNKNOWN_GROUP: Final = "(none)"
 """The group of requests that were refused before a route or endpoint was found."""
-MOST_GROUPS: Final = 200
+MAX_GROUPS: Final = 200
 """Rows of a table at most: a page that somebody still reads."""
 
 
@@ -68,21 +68,21 @@
         entries: Decoded lines of all instances.
         by: One of `GROUPINGS`.
     """
-    facts = _collect_facts(entries)
-    began = min((float(entry["time"]) for entry in entries if "time" in entry), default=0.0)
+    sends = _collect_sends(entries)
+    first_time = min((float(entry["time"]) for entry in entries if "time" in entry), default=0.0)
     groups: dict[str, GroupTally] = {}
     for entry in entries:
-        outcome = _find_outcome(entry)
+        outcome = _classify_outcome(entry)
         if outcome is None:
             continue
-        known = facts.get(str(entry.get("request_id")), {}) | entry
-        name = _find_group(known, by=by, began=began)
+        merged = sends.get(str(entry.get("request_id")), {}) | entry
+        name = _select_group(merged, by=by, first_time=first_time)
         group = groups.setdefault(name, GroupTally(name=name))
         group.outcomes[outcome] += 1
         if entry.get("first_event_s"):
             group.first_events_s.append(float(entry["first_event_s"]))
             group.pauses_s.append(float(entry["longest_pause_s"]))
-    return [groups[name] for name in sorted(groups)][:MOST_GROUPS]
+    return [groups[name] for name in sorted(groups)][:MAX_GROUPS]
 
 
 def show_report(groups: list[GroupTally]) -> str:
@@ -94,22 +94,22 @@
     for group in groups:
         row: list[Any] = [group.name, group.total, group.outcomes[IN_TIME]]
         row += [group.outcomes[name] for name in outcomes]
-        row += [_show_quantiles(group.first_events_s), _show_quantiles(group.pauses_s)]
+        row += [_format_quantiles(group.first_events_s), _format_quantiles(group.pauses_s)]
         rows.append(row)
     return make_table(header, rows)
 
 
-def _collect_facts(entries: list[dict[str, Any]]) -> dict[str, dict[str, Any]]:
+def _collect_sends(entries: list[dict[str, Any]]) -> dict[str, dict[str, Any]]:
     """Return route and endpoint of each request from the lines of its sends."""
-    facts: dict[str, dict[str, Any]] = {}
+    sends: dict[str, dict[str, Any]] = {}
     for entry in entries:
         if entry["event"] == "sent":
             names = ("route", "endpoint")
-            facts[str(entry.get("request_id"))] = {name: entry.get(name) for name in names}
-    return facts
+            sends[str(entry.get("request_id"))] = {name: entry.get(name) for name in names}
+    return sends
 
 
-def _find_outcome(entry: dict[str, Any]) -> str | None:
+def _classify_outcome(entry: dict[str, Any]) -> str | None:
     """Return what a line says of the end of a request; None if it says nothing of it."""
     if entry["event"] == "refused":
         return f"refused {entry.get('reason', '')}".strip()
@@ -124,15 +124,15 @@
     return f"late {late}" if late else IN_TIME
 
 
-def _find_group(entry: dict[str, Any], *, by: str, began: float) -> str:
+def _select_group(entry: dict[str, Any], *, by: str, first_time: float) -> str:
     if by == "second":
-        return f"{int(float(entry['time']) - began):5d}"
-    return str(entry.get(by) or UNKNOWN)
+        return f"{int(float(entry['time']) - first_time):5d}"
+    return str(entry.get(by) or UNKNOWN_GROUP)
 
 
-def _show_quantiles(values: list[float]) -> str:
+def _format_quantiles(values: list[float]) -> str:
     if not values:
         return "-"
     ordered = sorted(values)
-    chosen = (ordered[int(len(ordered) * share)] for share in (0.5, 0.9))
-    return "/".join(f"{value * 1000:.0f}" for value in chosen)
+    quantiles = (ordered[int(len(ordered) * share)] for share in (0.5, 0.9))
+    return "/".join(f"{value * 1000:.0f}" for value in quantiles)
--- a/src/guavamast/platform/catalog_wire.py
+++ b/src/guavamast/platform/catalog_wire.py
@@ -15,7 +15,7 @@
     WeightedService,
 )
 
-_KINDS = {
+_ROUTE_KINDS = {
     "idempotent": RouteKind.IDEMPOTENT,
     "non_idempotent": RouteKind.NON_IDEMPOTENT,
     "streaming": RouteKind.STREAM,
@@ -59,7 +59,7 @@
         host=entry["host"],
         path_prefix=entry["path_prefix"],
         # An unknown kind is handled as one that must not be repeated.
-        kind=_KINDS.get(entry.get("kind", ""), RouteKind.NON_IDEMPOTENT),
+        kind=_ROUTE_KINDS.get(entry.get("kind", ""), RouteKind.NON_IDEMPOTENT),
         services=services,
         timeout_s=timeout_s,
         objective_s=float(objective_ms) / 1000.0 if objective_ms else timeout_s,
--- a/src/guavamast/platform/demo.py
+++ b/src/guavamast/platform/demo.py
@@ -16,7 +16,7 @@
 if TYPE_CHECKING:
     from guavamast.relay.node_settings import SocketAddress
 
-START_S = 10.0
+READY_TIMEOUT_S = 10.0
 """Time for the instance to become ready."""
 
 
@@ -37,7 +37,7 @@
 
 async def wait_ready(address: SocketAddress) -> None:
     """Return when the instance is ready."""
-    async with asyncio.timeout(START_S):
+    async with asyncio.timeout(READY_TIMEOUT_S):
         while True:
             try:
                 if (await ask(address, "/v1/ready", request_id="")).startswith("200"):
@@ -47,13 +47,13 @@
             await asyncio.sleep(0.05)
 
 
-async def show() -> None:
+async def run_demo() -> None:
     """Start the site, make the requests and print what came back."""
     site = Site()
     await site.start()
     settings = decode_settings(site.make_settings("demo"), file="demo")
     with open(os.devnull, "wb") as log:
-        serving = asyncio.create_task(run_node(settings, log_descriptor=log.fileno()))
+        instance_task = asyncio.create_task(run_node(settings, log_descriptor=log.fileno()))
         assert settings.readiness is not None
         await wait_ready(settings.readiness)
         callers = settings.callers
@@ -70,13 +70,13 @@
         events = (await stream).replace("\n", " ")
         print("stream whose engine broke off:", events)
         os.kill(os.getpid(), signal.SIGTERM)
-        await serving
+        await instance_task
     await site.stop()
 
 
 def main() -> None:
     """Run the demo."""
-    asyncio.run(show())
+    asyncio.run(run_demo())
 
 
 if __name__ == "__main__":
--- a/src/guavamast/platform/questions.py
+++ b/src/guavamast/platform/questions.py
@@ -18,7 +18,7 @@
 _TEXT = "text/plain"
 
 
-class NodeQuestion(Question):
+class NodeQueryHandler(Question):
     """A question about one instance.
 
     Args:
@@ -29,7 +29,7 @@
         self._node = node
 
 
-class AddressQuestion(NodeQuestion):
+class AddressQueryHandler(NodeQueryHandler):
     """``GET /v1/resolve``: addresses for a caller."""
 
     def answer(self, path: str, query: str) -> tuple[int, str, str] | None:
@@ -37,16 +37,18 @@
         if path != "/v1/resolve":
             return None
         fields = parse_qs(query)
-        place = CallerPlace(
+        location = CallerPlace(
             region=fields.get("region", [""])[0],
             failure_domain=fields.get("zone", [""])[0],
         )
-        addresses = choose_addresses(place, self._node.list_serving(), self._node.list_fallback())
+        addresses = choose_addresses(
+            location, self._node.list_serving(), self._node.list_fallback()
+        )
         body = json.dumps({"addresses": addresses, "ttl_s": VALIDITY_S})
         return 200, _JSON, body
 
 
-class ReadinessQuestion(NodeQuestion):
+class ReadinessQueryHandler(NodeQueryHandler):
     """``GET /v1/ready``: whether this instance takes new work."""
 
     def answer(self, path: str, query: str) -> tuple[int, str, str] | None:
@@ -58,7 +60,7 @@
         return 200 if state is InstanceState.SERVING else 503, _TEXT, f"{state}\n"
 
 
-class MetricsQuestion(NodeQuestion):
+class MetricsQueryHandler(NodeQueryHandler):
     """``GET /metrics``."""
 
     def answer(self, path: str, query: str) -> tuple[int, str, str] | None:
--- a/src/guavamast/platform/request_headers.py
+++ b/src/guavamast/platform/request_headers.py
@@ -14,14 +14,14 @@
 )
 
 REQUEST_ID: Final = "X-Attempt-Id"
-PATIENCE: Final = "X-Request-Deadline-Ms"
+TIMEOUT: Final = "X-Request-Deadline-Ms"
 """Milliseconds that the sender will wait, from the moment at which it sends."""
-PROMPT: Final = "X-Prompt-Prefix"
-TOKENS: Final = "X-Token-Usage"
+PROMPT_PARTS: Final = "X-Prompt-Prefix"
+TOKEN_COUNTS: Final = "X-Token-Usage"
 SIGNATURE: Final = "X-Engine-Seal"
 NOT_RUN: Final = "X-Not-Executed"
 
-_CONNECTION_HEADERS: Final = frozenset(
+_HOP_BY_HOP_HEADERS: Final = frozenset(
     (
         "connection",
         "keep-alive",
@@ -37,7 +37,7 @@
     )
 )
 """Concern one connection only, or frame the body."""
-_RELAY_HEADERS: Final = frozenset(
+_RESERVED_HEADERS: Final = frozenset(
     (
         "authorization",
         "x-request-deadline-ms",
@@ -53,7 +53,7 @@
     )
 )
 """For the relay alone to set, or not for endpoints to see."""
-_SCHEME: Final = "bearer "
+_BEARER_PREFIX: Final = "bearer "
 
 
 class PlatformHeaders(HeaderCodec):
@@ -72,18 +72,18 @@
     ) -> CallerRequest:
         """Return a caller's request."""
         fields = {name.lower(): value for name, value in headers}
-        prompt_tokens, output_tokens = _read_tokens(fields.get(TOKENS.lower()))
+        prompt_tokens, output_tokens = _parse_token_counts(fields.get(TOKEN_COUNTS.lower()))
         return CallerRequest(
             request_id=fields.get(REQUEST_ID.lower(), ""),
             method=method,
             target=target,
             host=fields.get("host", ""),
-            headers=_select(headers, fields, _RELAY_HEADERS),
+            headers=_filter_headers(headers, fields, _RESERVED_HEADERS),
             body=body,
             has_body=bool(body) or "content-length" in fields or "transfer-encoding" in fields,
-            api_key=_read_key(fields.get("authorization")),
-            patience_s=_read_seconds(fields.get(PATIENCE.lower())),
-            prompt_parts=_read_parts(fields.get(PROMPT.lower())),
+            api_key=_parse_bearer_key(fields.get("authorization")),
+            patience_s=_parse_timeout_s(fields.get(TIMEOUT.lower())),
+            prompt_parts=_parse_prompt_parts(fields.get(PROMPT_PARTS.lower())),
             prompt_tokens=prompt_tokens,
             output_tokens=output_tokens,
             arrived=arrived,
@@ -99,7 +99,7 @@
         if terms.organisation is not None:
             headers.append(("X-Tenant", terms.organisation))
         if terms.time_left_s is not None:
-            headers.append((PATIENCE, str(max(1, int(terms.time_left_s * 1000)))))
+            headers.append((TIMEOUT, str(max(1, int(terms.time_left_s * 1000)))))
         if terms.urgency is not None:
             headers.append(("X-Request-Urgency", str(terms.urgency)))
         return headers
@@ -111,14 +111,14 @@
         encoding = fields.get("content-encoding", "identity").lower()
         return AnswerHead(
             status=status,
-            headers=_select(headers, fields, frozenset()),
+            headers=_filter_headers(headers, fields, frozenset()),
             request_id=fields.get(REQUEST_ID.lower()),
             sealed=SIGNATURE.lower() in fields,
             # Another engine at the address says 421 without the header that others carry.
             refused_unrun=NOT_RUN.lower() in fields or status == 421,
             encoded=encoding not in ("", "identity"),
             event_stream=fields.get("content-type", "").startswith("text/event-stream"),
-            keep_alive_s=_read_keep_alive(fields.get("keep-alive")),
+            keep_alive_s=_parse_keep_alive(fields.get("keep-alive")),
             closes="close" in connection,
         )
 
@@ -130,34 +130,34 @@
         return headers
 
 
-def _select(
+def _filter_headers(
     headers: list[Header], fields: dict[str, str], dropped: frozenset[str]
 ) -> tuple[Header, ...]:
     """Return the headers that go on, without those that the connection header names."""
-    named = {name.strip().lower() for name in fields.get("connection", "").split(",")}
+    connection_options = {name.strip().lower() for name in fields.get("connection", "").split(",")}
     return tuple(
         (name, value)
         for name, value in headers
-        if name.lower() not in _CONNECTION_HEADERS
+        if name.lower() not in _HOP_BY_HOP_HEADERS
         and name.lower() not in dropped
-        and name.lower() not in named
+        and name.lower() not in connection_options
     )
 
 
-def _read_key(value: str | None) -> str | None:
-    if value is None or not value.lower().startswith(_SCHEME):
+def _parse_bearer_key(value: str | None) -> str | None:
+    if value is None or not value.lower().startswith(_BEARER_PREFIX):
         return None
-    return value[len(_SCHEME) :].strip()
+    return value[len(_BEARER_PREFIX) :].strip()
 
 
-def _read_seconds(value: str | None) -> float | None:
+def _parse_timeout_s(value: str | None) -> float | None:
     try:
         return None if value is None else float(value) / 1000.0
     except ValueError:
         return None
 
 
-def _read_tokens(value: str | None) -> tuple[int, int]:
+def _parse_token_counts(value: str | None) -> tuple[int, int]:
     """Return prompt tokens and most output tokens; 0 for what is not stated."""
     parts = (value or "").split(",")
     if len(parts) != 2 or not all(part.strip().isdigit() for part in parts):
@@ -165,7 +165,7 @@
     return int(parts[0]), int(parts[1])
 
 
-def _read_parts(value: str | None) -> tuple[PromptPart, ...]:
+def _parse_prompt_parts(value: str | None) -> tuple[PromptPart, ...]:
     parts = []
     for entry in (value or "").split(","):
         part_id, _, tokens = entry.strip().partition(":")
@@ -174,7 +174,7 @@
     return tuple(parts)
 
 
-def _read_keep_alive(value: str | None) -> float | None:
+def _parse_keep_alive(value: str | None) -> float | None:
     for entry in (value or "").split(","):
         name, _, seconds = entry.strip().partition("=")
         if name.lower() == "timeout" and seconds.isdigit():
--- a/src/guavamast/platform/runner.py
+++ b/src/guavamast/platform/runner.py
@@ -4,7 +4,11 @@
 
 from typing import TYPE_CHECKING
 
-from guavamast.platform.questions import AddressQuestion, MetricsQuestion, ReadinessQuestion
+from guavamast.platform.questions import (
+    AddressQueryHandler,
+    MetricsQueryHandler,
+    ReadinessQueryHandler,
+)
 from guavamast.platform.request_headers import PlatformHeaders
 from guavamast.platform.store_client import StoreClient
 from guavamast.relay.boot_clock import read_boot_time
@@ -31,7 +35,7 @@
         log_descriptor=log_descriptor,
     )
     await node.run(
-        directory=AddressQuestion(node=node),
-        readiness=ReadinessQuestion(node=node),
-        metrics=MetricsQuestion(node=node),
+        directory=AddressQueryHandler(node=node),
+        readiness=ReadinessQueryHandler(node=node),
+        metrics=MetricsQueryHandler(node=node),
     )
--- a/src/guavamast/platform/settings.py
+++ b/src/guavamast/platform/settings.py
@@ -13,11 +13,11 @@
 
 SETTINGS_VARIABLE = "GUAVAMAST_SETTINGS"
 """Environment variable that holds the path of the file."""
-UNBOUNDED_S = 3600.0
+DEFAULT_BOUND_S = 3600.0
 """Where no bound is set, an instance serves by what it knows through an outage this long."""
 
 
-class _Reader:
+class _SettingsReader:
     """Takes values out of the file's tables and collects what is wrong."""
 
     def __init__(self, file: str, fields: dict[str, Any]) -> None:
@@ -25,13 +25,13 @@
         self._fields = fields
         self.findings: list[Finding] = []
 
-    def report(self, path: str, code: FindingCode, message: str) -> None:
+    def add_finding(self, path: str, code: FindingCode, message: str) -> None:
         """Add a finding."""
         self.findings.append(
             Finding(file=self._file, line=0, code=code, message=f"{path}: {message}")
         )
 
-    def find(self, path: str) -> Any:
+    def look_up(self, path: str) -> Any:
         """Return the value at a dotted path; None where there is none."""
         value: Any = self._fields
         for name in path.split("."):
@@ -42,14 +42,14 @@
 
     def read(self, path: str, convert: Callable[[Any], Any], default: Any) -> Any:
         """Return a converted value; a missing or wrong one is a finding."""
-        value = self.find(path)
+        value = self.look_up(path)
         if value is None:
-            self.report(path, FindingCode.MISSING_KEY, "is missing")
+            self.add_finding(path, FindingCode.MISSING_KEY, "is missing")
             return default
         try:
             return convert(value)
         except (TypeError, ValueError) as error:
-            self.report(path, FindingCode.BAD_VALUE, str(error))
+            self.add_finding(path, FindingCode.BAD_VALUE, str(error))
             return default
 
 
@@ -72,7 +72,7 @@
     return SocketAddress(ip=ip, port=int(port))
 
 
-def _read_ports(value: Any) -> int:
+def _read_first_port(value: Any) -> int:
     if not isinstance(value, list) or len(value) != 2 or value[1] - value[0] < 1:
         raise ValueError("is not a range of two ports or more")
     return int(value[0])
@@ -101,27 +101,27 @@
     Raises:
         FindingsError: With everything that is wrong in it.
     """
-    reader = _Reader(file, fields)
-    nowhere = SocketAddress(ip="127.0.0.1", port=1)
+    reader = _SettingsReader(file, fields)
+    placeholder = SocketAddress(ip="127.0.0.1", port=1)
     ip = reader.read("ip", _read_text, "127.0.0.1")
-    first_port = reader.read("internal_ports", _read_ports, 1)
-    has_directory = reader.find("listen.directory") is not None
-    has_readiness = reader.find("listen.readiness") is not None
+    first_port = reader.read("internal_ports", _read_first_port, 1)
+    has_directory = reader.look_up("listen.directory") is not None
+    has_readiness = reader.look_up("listen.readiness") is not None
     settings = NodeSettings(
         name=reader.read("node_name", _read_text, ""),
         ip=ip,
         failure_domain=reader.read("zone", _read_text, ""),
         region=reader.read("region", _read_text, ""),
-        callers=reader.read("listen.front", _read_address, nowhere),
+        callers=reader.read("listen.front", _read_address, placeholder),
         directory=(
-            reader.read("listen.directory", _read_address, nowhere) if has_directory else None
+            reader.read("listen.directory", _read_address, placeholder) if has_directory else None
         ),
         readiness=(
-            reader.read("listen.readiness", _read_address, nowhere) if has_readiness else None
+            reader.read("listen.readiness", _read_address, placeholder) if has_readiness else None
         ),
         metrics=SocketAddress(ip=ip, port=first_port + 1),
         peers=SocketAddress(ip=ip, port=first_port),
-        store=reader.read("platform.address", _read_address, nowhere),
+        store=reader.read("platform.address", _read_address, placeholder),
         change_s=_read_bound(reader, "bounds.config_apply_ms"),
         leaving_s=_read_bound(reader, "bounds.drain_ms"),
         # Absent where keys need not stop working at once; a long bound then.
@@ -139,22 +139,22 @@
     return settings
 
 
-def _read_optional(reader: _Reader, path: str) -> float:
+def _read_optional(reader: _SettingsReader, path: str) -> float:
     """Return a number that may be missing; 0 then."""
-    if reader.find(path) is None:
+    if reader.look_up(path) is None:
         return 0.0
     return float(reader.read(path, _read_positive, 0.0))
 
 
-def _read_bound(reader: _Reader, path: str) -> float:
+def _read_bound(reader: _SettingsReader, path: str) -> float:
     """Return seconds of a bound in milliseconds that may be missing; a long one then."""
-    if reader.find(path) is None:
-        return UNBOUNDED_S
+    if reader.look_up(path) is None:
+        return DEFAULT_BOUND_S
     return float(reader.read(path, _read_positive, 2000.0)) / 1000.0
 
 
-def _read_revocation(reader: _Reader) -> float:
+def _read_revocation(reader: _SettingsReader) -> float:
     """Return seconds; the file says milliseconds, and whether the bound holds when cut off."""
-    if not reader.find("bounds.strict_revocation"):
-        return UNBOUNDED_S
+    if not reader.look_up("bounds.strict_revocation"):
+        return DEFAULT_BOUND_S
     return float(reader.read("bounds.revoke_ms", _read_positive, 5000.0)) / 1000.0
--- a/src/guavamast/platform/standins/engine.py
+++ b/src/guavamast/platform/standins/engine.py
@@ -126,13 +126,13 @@
                 return False
         assert request is not None
         if self.fault is EngineFault.HANG:
-            self._note_run(request, body)
+            self._record_run(request, body)
             await reader.read()
             self.abandoned += 1
             return False
         return await self._answer(http, writer, request, body)
 
-    def _note_run(self, request: h11.Request, body: bytes) -> Run:
+    def _record_run(self, request: h11.Request, body: bytes) -> Run:
         headers = {name.decode(): value.decode() for name, value in request.headers}
         run = Run(
             request_id=headers.get("x-attempt-id", ""),
@@ -153,26 +153,26 @@
             return await self._send(http, writer, 421, [("X-Instance-Id", self.engine_id)], b"")
         if self.fault is EngineFault.FULL:
             return await self._send(http, writer, 503, [("X-Not-Executed", "1")], b"")
-        run = self._note_run(request, body)
+        run = self._record_run(request, body)
         request_id = run.request_id
         await asyncio.sleep(self.work_s)
         if self.fault is EngineFault.LOSE:
             return False
-        told_id = "other" if self.fault is EngineFault.CROSSED else request_id
-        common = [("X-Attempt-Id", told_id), ("Keep-Alive", f"timeout={KEEP_ALIVE_S}")]
+        answer_id = "other" if self.fault is EngineFault.CROSSED else request_id
+        common = [("X-Attempt-Id", answer_id), ("Keep-Alive", f"timeout={KEEP_ALIVE_S}")]
         if self.fault is not EngineFault.UNSEALED:
             common.append(("X-Engine-Seal", f"seal-{self.engine_id}"))
         if self.fault is EngineFault.ERROR:
             return await self._send(http, writer, 500, common, b"failed")
         if b"stream" in request.target:
             return await self._stream(http, writer, common, run)
-        again = await self._send(http, writer, 200, common, b"answer " + request_id.encode())
+        keep_open = await self._send(http, writer, 200, common, b"answer " + request_id.encode())
         if self.fault is EngineFault.EXTRA:
             writer.write(
                 b"HTTP/1.1 200 OK\r\nX-Attempt-Id: other\r\nX-Engine-Seal: s\r\n"
                 b"Content-Length: 5\r\n\r\nwrong"
             )
-        return again
+        return keep_open
 
     async def _stream(
         self,
--- a/src/guavamast/platform/standins/site.py
+++ b/src/guavamast/platform/standins/site.py
@@ -30,7 +30,7 @@
         self.engines: dict[str, EngineStandIn] = {}
         self.store_port = 0
         self._version = 0
-        self._holders: list[socket.socket] = []
+        self._reserved_sockets: list[socket.socket] = []
         self.keys = [KEY]
         self.more_keys: dict[str, str] = {}
         """Keys of further organisations, by their names."""
@@ -67,8 +67,8 @@
         for engine in self.engines.values():
             await engine.stop()
         self.store.stop()
-        for holder in self._holders:
-            holder.close()
+        for reserved in self._reserved_sockets:
+            reserved.close()
 
     async def add_engine(self, engine_id: str, service: str) -> EngineStandIn:
         """Start an engine and list it."""
@@ -94,10 +94,10 @@
         """Write the next version of the configuration."""
         self._version += 3
         routes = [
-            _make_route(CALLS, "non_idempotent", self.route_services[CALLS], 2),
-            _make_route(LOOKUPS, "idempotent", self.route_services[LOOKUPS], 2),
-            _make_route(STREAMS, "streaming", self.route_services[STREAMS], 1),
-            _make_route(RESUMABLE, "streaming", self.route_services[RESUMABLE], 2, resumable=True),
+            _build_route(CALLS, "non_idempotent", self.route_services[CALLS], 2),
+            _build_route(LOOKUPS, "idempotent", self.route_services[LOOKUPS], 2),
+            _build_route(STREAMS, "streaming", self.route_services[STREAMS], 1),
+            _build_route(RESUMABLE, "streaming", self.route_services[RESUMABLE], 2, resumable=True),
         ]
         services = [
             {"name": "pool", "max_connections": 100, "engine": {"kv_capacity_tokens": 100_000}},
@@ -127,9 +127,9 @@
 
     def make_settings(self, name: str) -> dict[str, Any]:
         """Return the settings of an instance, on ports that stay reserved for it."""
-        holders = [*(_reserve_port() for _ in range(3)), *_reserve_pair()]
-        self._holders += holders
-        ports = [int(holder.getsockname()[1]) for holder in holders]
+        sockets = [*(_reserve_port() for _ in range(3)), *_reserve_pair()]
+        self._reserved_sockets += sockets
+        ports = [int(reserved.getsockname()[1]) for reserved in sockets]
         return {
             "node_name": name,
             "ip": "127.0.0.1",
@@ -161,10 +161,10 @@
     connection. The system chooses no port that is bound, and Linux lets a listener share it when
     both allow the reuse of addresses.
     """
-    holder = socket.socket()
-    holder.setsockopt(socket.SOL_SOCKET, socket.SO_REUSEADDR, 1)
-    holder.bind(("127.0.0.1", port))
-    return holder
+    reserved = socket.socket()
+    reserved.setsockopt(socket.SOL_SOCKET, socket.SO_REUSEADDR, 1)
+    reserved.bind(("127.0.0.1", port))
+    return reserved
 
 
 def _reserve_pair() -> list[socket.socket]:
@@ -177,7 +177,7 @@
             first.close()
 
 
-def _make_route(
+def _build_route(
     prefix: str, kind: str, service: str, attempts: int, *, resumable: bool = False
 ) -> dict[str, Any]:
     return {
--- a/src/guavamast/platform/standins/store.py
+++ b/src/guavamast/platform/standins/store.py
@@ -75,15 +75,15 @@
         if self.fault is StoreFault.SILENT:
             return
         if self.fault is StoreFault.BUSY:
-            _write(request, 503, {})
+            _write_answer(request, 503, {})
         elif request.path == "/v1/rows-get":
-            _write(request, 200, self._get(request))
+            _write_answer(request, 200, self._get(request))
         elif request.path == "/v1/rows-tx":
             answer = self._transact(json.loads(request.body))
             if self.fault is not StoreFault.LOSES_ANSWERS:
-                _write(request, 200, answer)
+                _write_answer(request, 200, answer)
         else:
-            _write(request, 404, {})
+            _write_answer(request, 404, {})
 
     def _get(self, request: httputil.HTTPServerRequest) -> dict[str, Any]:
         table = request.query_arguments["table"][0].decode()
@@ -100,7 +100,7 @@
             }
             for key in keys[:limit]
         ]
-        return self._stamp({"rows": rows, "more_pages": len(keys) > limit})
+        return self._add_store_time({"rows": rows, "more_pages": len(keys) > limit})
 
     def _transact(self, fields: dict[str, Any]) -> dict[str, Any]:
         self._version += 1
@@ -108,14 +108,14 @@
             self._rows[row["table"], row["key"]] = _Row(value=row["value"], version=self._version)
         for row in fields["remove"]:
             self._rows.pop((row["table"], row["key"]), None)
-        return self._stamp({})
+        return self._add_store_time({})
 
-    def _stamp(self, fields: dict[str, Any]) -> dict[str, Any]:
+    def _add_store_time(self, fields: dict[str, Any]) -> dict[str, Any]:
         now_ms = int(time.clock_gettime(time.CLOCK_BOOTTIME) * 1000)
         return fields | {"ver": self._version, "now_ms": now_ms}
 
 
-def _write(request: httputil.HTTPServerRequest, status: int, fields: dict[str, Any]) -> None:
+def _write_answer(request: httputil.HTTPServerRequest, status: int, fields: dict[str, Any]) -> None:
     body = json.dumps(fields).encode()
     headers = httputil.HTTPHeaders(
         {"Content-Type": "application/json", "Content-Length": str(len(body))}
--- a/src/guavamast/platform/store_client.py
+++ b/src/guavamast/platform/store_client.py
@@ -27,12 +27,12 @@
     from guavamast.relay.freshness import StoreClock
     from guavamast.relay.node_settings import SocketAddress
 
-KEPT_TIMEOUT_S: Final = 0.3
+REUSED_CONNECTION_TIMEOUT_S: Final = 0.3
 """For one call on a kept connection, in seconds: a silent one is given up soon enough for a new one
 before anything gets too old."""
 CALL_TIMEOUT_S: Final = 0.5
 """For connecting, and for one call on a new connection, in seconds."""
-LONG_TIMEOUT_S: Final = 2.0
+BACKGROUND_TIMEOUT_S: Final = 2.0
 """For calls that nobody waits for."""
 INSTANCES_TABLE: Final = "instances"
 PAGE_ROWS: Final = 500
@@ -68,19 +68,19 @@
         """Read the operators' configuration."""
         query = {"table": _OPERATOR_TABLE, "part": "", "from": _CONFIGURATION_KEY, "limit": 1}
         answer = await self._get("/v1/rows-get", query)
-        reading = _read_clock(answer)
+        store_time = _decode_store_time(answer)
         rows = [row for row in answer["rows"] if row.get("key") == _CONFIGURATION_KEY]
         if not rows:
-            return CatalogReading(catalog=None, reading=reading)
+            return CatalogReading(catalog=None, reading=store_time)
         version = int(rows[0]["ver"])
         if known is not None and known.row_version == version:
-            return CatalogReading(catalog=known, reading=reading)
+            return CatalogReading(catalog=known, reading=store_time)
         try:
             text = _decode_text(rows[0])
         except ValueError as error:
             raise StoreError(f"configuration: {error}") from error
         catalog = self.decode_catalog(text, row_version=version)
-        return CatalogReading(catalog=catalog, reading=reading, text=text)
+        return CatalogReading(catalog=catalog, reading=store_time, text=text)
 
     def decode_catalog(self, text: bytes, *, row_version: int) -> Catalog:
         """Return the configuration of a row."""
@@ -92,7 +92,7 @@
 
     async def read_endpoints(self) -> EndpointReading:
         """Read the table of endpoints; rows that can't be read name none."""
-        rows, reading = await self._get_all(_ENDPOINT_TABLE)
+        rows, store_time = await self._get_all(_ENDPOINT_TABLE)
         records = []
         for row in rows:
             try:
@@ -103,7 +103,7 @@
             if record is not None:
                 records.append(record)
         digest = compute_digest((str(row["key"]), int(row["ver"])) for row in rows)
-        return EndpointReading(records=records, digest=digest, reading=reading)
+        return EndpointReading(records=records, digest=digest, reading=store_time)
 
     async def read_instances(self) -> list[InstanceRecord]:
         """Read all registered instances."""
@@ -144,20 +144,20 @@
 
     async def _transact(self, fields: dict[str, Any]) -> None:
         body = json.dumps(fields).encode()
-        await self._call("POST", "/v1/rows-tx", body, timeout_s=LONG_TIMEOUT_S)
+        await self._call("POST", "/v1/rows-tx", body, timeout_s=BACKGROUND_TIMEOUT_S)
 
     async def _get_all(self, table: str) -> tuple[list[dict[str, Any]], float]:
         """Return all rows of a table and the reading of the first page, the oldest."""
         rows: list[dict[str, Any]] = []
-        reading: float | None = None
+        store_time: float | None = None
         start = ""
         while True:
             query = {"table": table, "part": "", "from": start, "limit": PAGE_ROWS}
             answer = await self._get("/v1/rows-get", query)
-            reading = _read_clock(answer) if reading is None else reading
+            store_time = _decode_store_time(answer) if store_time is None else store_time
             rows.extend(answer["rows"])
             if not answer.get("more_pages") or not answer["rows"]:
-                return rows, reading
+                return rows, store_time
             start = answer["rows"][-1]["key"] + "\x00"
 
     async def _get(self, path: str, query: dict[str, str | int]) -> dict[str, Any]:
@@ -175,12 +175,14 @@
         Failure: a kept connection has fallen silent while new ones work, and the store is taken to
         be away. Whatever is kept is dropped then, so that only a new connection tells.
         """
-        kept = self._take_kept()
-        if kept is not None:
+        idle = self._pop_idle()
+        if idle is not None:
             try:
-                return await self._call_on(kept, method, target, body, timeout_s=KEPT_TIMEOUT_S)
+                return await self._call_on(
+                    idle, method, target, body, timeout_s=REUSED_CONNECTION_TIMEOUT_S
+                )
             except (ConnectionLost, MalformedAnswer, TimeoutError):
-                self._drop_kept()
+                self._close_idle()
         try:
             ip, port = self._address.ip, self._address.port
             connection = await HttpConnection.open(ip, port, timeout_s=timeout_s)
@@ -207,17 +209,17 @@
         except ValueError as error:
             raise StoreError(f"answer: {error}") from error
         if "now_ms" in answer:
-            self._clock.record(sent=sent, reading=_read_clock(answer))
+            self._clock.record(sent=sent, reading=_decode_store_time(answer))
         return answer
 
-    def _take_kept(self) -> HttpConnection | None:
+    def _pop_idle(self) -> HttpConnection | None:
         while self._idle:
             connection = self._idle.pop()
             if connection.reusable:
                 return connection
         return None
 
-    def _drop_kept(self) -> None:
+    def _close_idle(self) -> None:
         for connection in self._idle:
             connection.close()
         self._idle.clear()
@@ -237,7 +239,7 @@
         return head.status, bytes(data)
 
 
-def _read_clock(answer: dict[str, Any]) -> float:
+def _decode_store_time(answer: dict[str, Any]) -> float:
     """Return the store's clock in seconds; it is sent in milliseconds."""
     return float(answer["now_ms"]) / 1000.0
 
--- a/tests/_platform_callers.py
+++ b/tests/_platform_callers.py
@@ -23,7 +23,7 @@
     status: int
     headers: dict[str, str]
     body: bytes
-    whole: bool
+    complete: bool
 
 
 class Caller:
@@ -37,36 +37,36 @@
         host, _, port = address.rpartition(":")
         return cls(await HttpConnection.open(host, int(port), timeout_s=5.0))
 
-    async def ask(
+    async def send_request(
         self,
         target: str,
         *,
         request_id: str = "r1",
         key: str = KEY,
         body: bytes = b"",
-        patience_ms: int = 3000,
-        extra: tuple[Header, ...] = (),
+        timeout_ms: int = 3000,
+        extra_headers: tuple[Header, ...] = (),
     ) -> Reply:
         headers = [
             ("Host", HOST),
             ("Authorization", f"Bearer {key}"),
             ("X-Attempt-Id", request_id),
-            ("X-Request-Deadline-Ms", str(patience_ms)),
-            *extra,
+            ("X-Request-Deadline-Ms", str(timeout_ms)),
+            *extra_headers,
         ]
         if body:
             headers.append(("Content-Length", str(len(body))))
         await self.connection.send("POST" if body else "GET", target, headers, body)
         head = await self.connection.read_head()
         received = b""
-        whole = True
+        complete = True
         try:
             while (chunk := await self.connection.read_chunk()) is not None:
                 received += chunk
         except (ConnectionLost, MalformedAnswer):
-            whole = False
+            complete = False
         fields = {name.lower(): value for name, value in head.headers}
-        return Reply(status=head.status, headers=fields, body=received, whole=whole)
+        return Reply(status=head.status, headers=fields, body=received, complete=complete)
 
 
 class Instance:
@@ -90,7 +90,7 @@
     async def read_readiness(self) -> int:
         try:
             caller = await Caller.open(self.readiness)
-            reply = await caller.ask("/v1/ready")
+            reply = await caller.send_request("/v1/ready")
         except ConnectionLost:
             return 0
         caller.connection.close()
--- a/tests/test_log_report.py
+++ b/tests/test_log_report.py
@@ -14,14 +14,14 @@
 from guavamast.log_report import GroupTally, read_lines, show_report, tally
 
 
-def write(event: str, **fields: Any) -> str:
+def format_line(event: str, **fields: Any) -> str:
     """Return a log line as a collector stores it: with words of its own before the object."""
     return f"3.2 front-1 {json.dumps({'time': 100.0, 'event': event} | fields)}\n"
 
 
 LINES = [
-    write("sent", request_id="a", route="chat", endpoint="e1"),
-    write(
+    format_line("sent", request_id="a", route="chat", endpoint="e1"),
+    format_line(
         "ended",
         request_id="a",
         outcome="answered",
@@ -30,12 +30,12 @@
         first_event_s=0.1,
         longest_pause_s=0.4,
     ),
-    write("sent", request_id="b", route="chat", endpoint="e2"),
-    write("ended", request_id="b", outcome="failed", time=101.5),
-    write("sent", request_id="c", route="status", endpoint="p1"),
-    write("ended", request_id="c", outcome="answered", status=200, late=None),
-    write("refused", request_id="d", route="chat", reason="no room in time", time=101.9),
-    write("refused", request_id="e", reason="old keys"),
+    format_line("sent", request_id="b", route="chat", endpoint="e2"),
+    format_line("ended", request_id="b", outcome="failed", time=101.5),
+    format_line("sent", request_id="c", route="status", endpoint="p1"),
+    format_line("ended", request_id="c", outcome="answered", status=200, late=None),
+    format_line("refused", request_id="d", route="chat", reason="no room in time", time=101.9),
+    format_line("refused", request_id="e", reason="old keys"),
     "front-1 killed\n",
     '{"time": 1, "eve',
 ]
@@ -65,14 +65,14 @@
         self.assertEqual(seconds["    1"], {"failed": 1, "refused no room in time": 1})
 
     def test_an_error_of_the_endpoint_is_no_answer_in_time(self) -> None:
-        line = write("ended", request_id="x", outcome="answered", status=500, late=None)
+        line = format_line("ended", request_id="x", outcome="answered", status=500, late=None)
         groups = tally(read_lines([line]), by="route")
         self.assertEqual(groups[0].outcomes["error"], 1)
 
     def test_the_table_names_each_outcome(self) -> None:
-        shown = show_report(tally(read_lines(LINES), by="route"))
-        self.assertIn("LATE PAUSE", shown)
-        self.assertIn("100/100", shown)
+        table = show_report(tally(read_lines(LINES), by="route"))
+        self.assertIn("LATE PAUSE", table)
+        self.assertIn("100/100", table)
         self.assertEqual(show_report(list[GroupTally]()), "none")
 
     def test_the_command_prints_the_table_of_all_files(self) -> None:
@@ -86,10 +86,10 @@
         self.assertIn("LATE PAUSE", printed.getvalue())
 
     def test_a_wrong_grouping_or_no_file_is_a_usage_error(self) -> None:
-        for words in (["report", "x.log", "--by", "colour"], ["report"]):
+        for arguments in (["report", "x.log", "--by", "colour"], ["report"]):
             printed = io.StringIO()
             with contextlib.redirect_stderr(printed):
-                self.assertEqual(run(words), 2)
+                self.assertEqual(run(arguments), 2)
             self.assertIn("usage", printed.getvalue())
 
 
--- a/tests/test_platform_path.py
+++ b/tests/test_platform_path.py
@@ -85,7 +85,7 @@
         caller = await Caller.open(instance.callers)
         for number in range(3):
             target = f"{CALLS}x%2F?q={number}"
-            reply = await caller.ask(target, request_id=f"r{number}", body=b"pay 5")
+            reply = await caller.send_request(target, request_id=f"r{number}", body=b"pay 5")
             self.assertEqual((reply.status, reply.body), (200, b"answer r%d" % number))
             self.assertTrue(reply.headers["x-engine-seal"].startswith("seal-portal"))
         runs = [run for engine in self.site.engines.values() for run in engine.runs]
@@ -98,17 +98,17 @@
     async def test_unknown_keys_and_routes_are_refused(self) -> None:
         instance = await self.start_instance()
         caller = await Caller.open(instance.callers)
-        self.assertEqual((await caller.ask(CALLS + "x", key="bad")).status, 401)
-        self.assertEqual((await caller.ask("/nowhere/")).status, 404)
+        self.assertEqual((await caller.send_request(CALLS + "x", key="bad")).status, 401)
+        self.assertEqual((await caller.send_request("/nowhere/")).status, 404)
         self.assertEqual(self.count_runs(), 0)
 
     async def test_requests_beyond_the_limits_are_refused(self) -> None:
         instance = await self.start_instance()
         caller = await Caller.open(instance.callers)
-        reply = await caller.ask(CALLS, extra=(("X-Long", "x" * 5000),))
+        reply = await caller.send_request(CALLS, extra_headers=(("X-Long", "x" * 5000),))
         self.assertEqual(reply.status, 431)
         caller = await Caller.open(instance.callers)
-        self.assertEqual((await caller.ask(CALLS, body=b"x" * 9000)).status, 413)
+        self.assertEqual((await caller.send_request(CALLS, body=b"x" * 9000)).status, 413)
         self.assertEqual(self.count_runs(), 0)
 
     async def test_a_resumable_stream_goes_on_at_another_engine(self) -> None:
@@ -123,8 +123,8 @@
         # Either engine is as good as the other: asked until the one that breaks off was chosen.
         for number in range(60):
             name = f"r{number}"
-            reply = await caller.ask(RESUMABLE + "x", request_id=name)
-            self.assertTrue(reply.whole)
+            reply = await caller.send_request(RESUMABLE + "x", request_id=name)
+            self.assertTrue(reply.complete)
             expected = b"".join(make_event(name, event) for event in range(1, EVENTS + 1))
             self.assertEqual(reply.body, expected)
             if self.site.engines["pool-0"].runs:
@@ -140,8 +140,8 @@
         instance = await self.start_instance()
         self.set_fault(EngineFault.CUT)
         caller = await Caller.open(instance.callers)
-        reply = await caller.ask(STREAMS + "stream")
-        self.assertFalse(reply.whole)
+        reply = await caller.send_request(STREAMS + "stream")
+        self.assertFalse(reply.complete)
         self.assertEqual(reply.body, make_event("r1", 1) + make_event("r1", 2))
         self.assertEqual(self.count_runs(), 1)
 
@@ -153,7 +153,7 @@
         instance = await self.start_instance()
         self.set_fault(EngineFault.LOSE)
         caller = await Caller.open(instance.callers)
-        self.assertEqual((await caller.ask(CALLS + "x", body=b"pay")).status, 502)
+        self.assertEqual((await caller.send_request(CALLS + "x", body=b"pay")).status, 502)
         self.assertEqual(self.count_runs(), 1)
 
     async def test_a_lookup_is_tried_at_another_engine(self) -> None:
@@ -163,20 +163,20 @@
             caller = await Caller.open(instance.callers)
             for number in range(4):
                 name = f"{fault}{number}"
-                reply = await caller.ask(LOOKUPS + "x", request_id=name)
+                reply = await caller.send_request(LOOKUPS + "x", request_id=name)
                 self.assertEqual((reply.status, reply.body), (200, b"answer " + name.encode()))
 
     async def test_an_answer_without_signature_is_not_passed_on(self) -> None:
         instance = await self.start_instance()
         self.set_fault(EngineFault.UNSEALED)
         caller = await Caller.open(instance.callers)
-        self.assertEqual((await caller.ask(CALLS + "x", body=b"pay")).status, 502)
+        self.assertEqual((await caller.send_request(CALLS + "x", body=b"pay")).status, 502)
 
     async def test_an_answer_to_another_request_is_not_passed_on(self) -> None:
         instance = await self.start_instance()
         self.set_fault(EngineFault.CROSSED)
         caller = await Caller.open(instance.callers)
-        self.assertEqual((await caller.ask(CALLS + "x", body=b"pay")).status, 502)
+        self.assertEqual((await caller.send_request(CALLS + "x", body=b"pay")).status, 502)
         self.assertEqual(self.count_runs(), 1)
 
     async def test_a_second_answer_never_reaches_the_next_caller(self) -> None:
@@ -189,7 +189,7 @@
         self.set_fault(EngineFault.EXTRA)
         caller = await Caller.open(instance.callers)
         for number in range(12):
-            reply = await caller.ask(CALLS + "x", request_id=f"r{number}", body=b"pay")
+            reply = await caller.send_request(CALLS + "x", request_id=f"r{number}", body=b"pay")
             if reply.status == 200:
                 self.assertEqual(reply.body, b"answer r%d" % number)
             else:
@@ -199,7 +199,7 @@
         instance = await self.start_instance()
         self.set_fault(EngineFault.FULL)
         caller = await Caller.open(instance.callers)
-        reply = await caller.ask(CALLS + "x", body=b"pay")
+        reply = await caller.send_request(CALLS + "x", body=b"pay")
         self.assertEqual(reply.status, 503)
         self.assertGreater(float(reply.headers["retry-after"]), 0.0)
         self.assertEqual(self.count_runs(), 0)
@@ -211,28 +211,30 @@
         the first one. Each request says which engine is meant.
         """
         instance = await self.start_instance()
-        stranger = await self.site.add_engine("stranger", "pool")
+        other_engine = await self.site.add_engine("stranger", "pool")
         for name in ("portal-0", "portal-1"):
             await self.site.engines[name].stop()
-            self.site.list_engine(name, "portal", stranger.port)
+            self.site.list_engine(name, "portal", other_engine.port)
         caller = await Caller.open(instance.callers)
         async with asyncio.timeout(READY_S):
-            while not stranger.connections:
-                self.assertEqual((await caller.ask(CALLS + "x", body=b"pay")).status, 503)
+            while not other_engine.connections:
+                self.assertEqual((await caller.send_request(CALLS + "x", body=b"pay")).status, 503)
                 await asyncio.sleep(0.05)
-        self.assertEqual((await caller.ask(CALLS + "x", body=b"pay")).status, 503)
-        self.assertEqual(stranger.runs, [])
+        self.assertEqual((await caller.send_request(CALLS + "x", body=b"pay")).status, 503)
+        self.assertEqual(other_engine.runs, [])
 
     async def test_an_engine_stops_when_its_caller_has_left(self) -> None:
         instance = await self.start_instance()
         self.set_fault(EngineFault.HANG)
         caller = await Caller.open(instance.callers)
-        asking = asyncio.create_task(caller.ask(CALLS + "x", body=b"pay", patience_ms=60_000))
+        pending = asyncio.create_task(
+            caller.send_request(CALLS + "x", body=b"pay", timeout_ms=60_000)
+        )
         async with asyncio.timeout(READY_S):
             while not self.count_runs():
                 await asyncio.sleep(0.01)
         caller.connection.close()
-        asking.cancel()
+        pending.cancel()
         async with asyncio.timeout(READY_S):
             while not any(engine.abandoned for engine in self.site.engines.values()):
                 await asyncio.sleep(0.01)
@@ -251,13 +253,15 @@
         self.site.configure()
         await asyncio.sleep(2.0)
         caller = await Caller.open(instance.callers)
-        reply = await caller.ask(CALLS + "x", body=b"pay")
+        reply = await caller.send_request(CALLS + "x", body=b"pay")
         self.assertEqual(reply.status, 503)
         self.assertEqual(self.count_runs(), 0)
         self.assertEqual(await instance.read_readiness(), 503)
         self.site.store.fault = StoreFault.NONE
         await instance.wait_ready()
-        self.assertEqual((await caller.ask(CALLS + "x", request_id="r2", body=b"pay")).status, 401)
+        self.assertEqual(
+            (await caller.send_request(CALLS + "x", request_id="r2", body=b"pay")).status, 401
+        )
 
     async def test_an_engine_that_leaves_gets_no_more_requests(self) -> None:
         instance = await self.start_instance()
@@ -269,11 +273,11 @@
             while True:
                 before = self.count_runs()
                 caller = await Caller.open(instance.callers)
-                reply = await caller.ask(LOOKUPS + "x")
+                reply = await caller.send_request(LOOKUPS + "x")
                 if len(third.runs) and self.count_runs() - before == 1 and reply.status == 200:
                     break
         for number in range(8):
-            await caller.ask(LOOKUPS + "x", request_id=f"later{number}")
+            await caller.send_request(LOOKUPS + "x", request_id=f"later{number}")
         self.assertGreaterEqual(len(third.runs), 9)
 
     async def test_a_paused_instance_sends_nothing_by_an_old_configuration(self) -> None:
@@ -287,19 +291,21 @@
         instance = await self.start_instance()
         await self.site.add_engine("annex-0", "annex")
         callers = [await Caller.open(instance.callers) for _ in range(4)]
-        await self.ask_all(callers, "before")
-        former = self.count_runs()
+        await self.send_lookups(callers, "before")
+        runs_before = self.count_runs()
         with self.pause(instance):
             self.site.route_services[LOOKUPS] = "annex"
             self.site.configure()
             await asyncio.sleep(2.5)
-            asking = asyncio.create_task(self.ask_all(callers, "after"))
+            pending = asyncio.create_task(self.send_lookups(callers, "after"))
             await asyncio.sleep(0.1)
-        for reply in await asking:
+        for reply in await pending:
             self.assertIn(reply.status, (200, 503))
         annex = self.site.engines["annex-0"]
-        self.assertEqual(self.count_runs() - former, len(annex.runs))
-        self.assertEqual((await callers[0].ask(LOOKUPS + "x", request_id="last")).status, 200)
+        self.assertEqual(self.count_runs() - runs_before, len(annex.runs))
+        self.assertEqual(
+            (await callers[0].send_request(LOOKUPS + "x", request_id="last")).status, 200
+        )
         self.assertEqual(annex.runs[-1].request_id, "last")
 
     async def test_a_paused_instance_sends_nothing_to_an_engine_that_left(self) -> None:
@@ -312,17 +318,17 @@
         self.site.bounds["revoke_ms"] = 9000
         instance = await self.start_instance()
         callers = [await Caller.open(instance.callers) for _ in range(8)]
-        await self.ask_all(callers, "before")
+        await self.send_lookups(callers, "before")
         leaving = self.site.engines["portal-0"]
-        former = len(leaving.runs)
+        runs_before = len(leaving.runs)
         with self.pause(instance):
             self.site.list_engine("portal-0", "portal", leaving.port, state="draining")
             await asyncio.sleep(2.5)
-            asking = asyncio.create_task(self.ask_all(callers, "after"))
+            pending = asyncio.create_task(self.send_lookups(callers, "after"))
             await asyncio.sleep(0.1)
-        for reply in await asking:
+        for reply in await pending:
             self.assertIn(reply.status, (200, 503))
-        self.assertEqual(len(leaving.runs), former)
+        self.assertEqual(len(leaving.runs), runs_before)
 
     async def test_an_engine_whose_entry_is_gone_gets_nothing_more(self) -> None:
         """A call reaches an engine seconds after its entry was removed.
@@ -334,24 +340,24 @@
         self.site.bounds["revoke_ms"] = 9000
         instance = await self.start_instance()
         callers = [await Caller.open(instance.callers) for _ in range(8)]
-        await self.ask_all(callers, "before")
+        await self.send_lookups(callers, "before")
         leaving = self.site.engines["portal-0"]
         with self.pause(instance):
             self.site.store.drop("servers", "portal-0")
             await asyncio.sleep(2.5)
         await asyncio.sleep(0.5)
-        former = len(leaving.runs)
-        for reply in await self.ask_all(callers, "after"):
+        runs_before = len(leaving.runs)
+        for reply in await self.send_lookups(callers, "after"):
             self.assertEqual(reply.status, 200)
-        self.assertEqual(len(leaving.runs), former)
+        self.assertEqual(len(leaving.runs), runs_before)
 
-    async def ask_all(self, callers: list[Caller], name: str) -> list[Reply]:
+    async def send_lookups(self, callers: list[Caller], name: str) -> list[Reply]:
         """Have each caller send a look-up; returns the replies."""
-        asking = [
-            caller.ask(LOOKUPS + "x", request_id=f"{name}{number}")
+        pending = [
+            caller.send_request(LOOKUPS + "x", request_id=f"{name}{number}")
             for number, caller in enumerate(callers)
         ]
-        return list(await asyncio.gather(*asking))
+        return list(await asyncio.gather(*pending))
 
     @contextmanager
     def pause(self, instance: Instance) -> Iterator[None]:
@@ -372,16 +378,16 @@
         first = await self.start_instance("one")
         second = await self.start_instance("two")
         caller = await Caller.open(first.callers)
-        asking = asyncio.create_task(caller.ask(STREAMS + "stream"))
+        pending = asyncio.create_task(caller.send_request(STREAMS + "stream"))
         await asyncio.sleep(0.05)
         first.process.send_signal(signal.SIGTERM)
-        reply = await asking
-        self.assertTrue(reply.whole)
+        reply = await pending
+        self.assertTrue(reply.complete)
         self.assertEqual(await first.read_readiness(), 503)
-        late = await (await Caller.open(first.callers)).ask(CALLS + "x", body=b"pay")
+        late = await (await Caller.open(first.callers)).send_request(CALLS + "x", body=b"pay")
         self.assertEqual((late.status, late.headers.get("connection")), (200, "close"))
         resolver = await Caller.open(second.directory)
-        answer = await resolver.ask(f"/v1/resolve?name={HOST}&region=r&zone=a")
+        answer = await resolver.send_request(f"/v1/resolve?name={HOST}&region=r&zone=a")
         self.assertNotIn(first.callers.encode(), answer.body)
         self.assertIn(second.callers.encode(), answer.body)
         self.assertEqual(await asyncio.wait_for(first.process.wait(), READY_S), 0)
--- a/tests/test_platform_wire.py
+++ b/tests/test_platform_wire.py
@@ -137,7 +137,7 @@
     def setUp(self) -> None:
         self.codec = PlatformHeaders()
 
-    def relay(self, *headers: tuple[str, str]) -> dict[str, str]:
+    def forward_headers(self, *headers: tuple[str, str]) -> dict[str, str]:
         request = self.codec.read_request(
             method="POST", target="/p", headers=list(headers), body=b"x", arrived=0.0
         )
@@ -152,7 +152,7 @@
 
     def test_callers_cannot_set_the_relays_headers(self) -> None:
         forged = ("X-Tenant", "X-Hold", "X-Pin-Ms", "X-Kv-Backup", "Kv-From", "Kv-Fetch")
-        sent = self.relay(
+        sent = self.forward_headers(
             *((name, "forged") for name in (*forged, "X-Expect-Instance", "X-Request-Urgency")),
             ("Authorization", "Bearer k"),
             ("X-Request-Deadline-Ms", "90000"),
@@ -209,9 +209,11 @@
 
     def list_modules(self) -> list[Path]:
         adapter = SOURCE / "platform"
-        starter = SOURCE / "commands.py"
+        commands = SOURCE / "commands.py"
         return [
-            path for path in SOURCE.rglob("*.py") if adapter not in path.parents and path != starter
+            path
+            for path in SOURCE.rglob("*.py")
+            if adapter not in path.parents and path != commands
         ]
 
     def test_nothing_imports_the_adapter(self) -> None:
--- a/tests/test_soak.py
+++ b/tests/test_soak.py
@@ -44,7 +44,7 @@
 )
 
 
-def make_record(asked: list[Asked], ran: list[Ran]) -> Record:
+def build_record(asked: list[Asked], ran: list[Ran]) -> Record:
     """Return what was seen in a run without faults, with a good answer at its end."""
     last = replace(CALL, request_id="last", sent=20.0, ended=20.1, answer_id="last")
     last_run = replace(RUN, request_id="last", began=20.05)
@@ -64,53 +64,53 @@
 class CheckTest(unittest.TestCase):
     """Each broken promise is found."""
 
-    def assert_broken(self, record: Record, words: str) -> None:
+    def assert_broken(self, record: Record, text: str) -> None:
         broken = check(record)
         self.assertEqual(len(broken), 1, broken)
-        self.assertIn(words, broken[0])
+        self.assertIn(text, broken[0])
 
     def test_nothing_is_broken_by_good_answers(self) -> None:
-        self.assertEqual(check(make_record([CALL], [RUN])), [])
+        self.assertEqual(check(build_record([CALL], [RUN])), [])
 
     def test_second_run(self) -> None:
         again = replace(RUN, engine="portal-1")
-        self.assert_broken(make_record([CALL], [RUN, again]), "ran 2 times")
+        self.assert_broken(build_record([CALL], [RUN, again]), "ran 2 times")
 
     def test_refusal_that_is_not_true(self) -> None:
         refused = replace(CALL, status=503, body=b"")
-        self.assert_broken(make_record([refused], [RUN]), "refused as not run")
+        self.assert_broken(build_record([refused], [RUN]), "refused as not run")
 
     def test_answers_of_others_and_wrong_bodies(self) -> None:
         crossed = replace(CALL, answer_id="r2")
-        self.assert_broken(make_record([crossed], [RUN]), "got the answer to r2")
-        record = make_record([replace(CALL, body=b"answer r1!")], [RUN])
+        self.assert_broken(build_record([crossed], [RUN]), "got the answer to r2")
+        record = build_record([replace(CALL, body=b"answer r1!")], [RUN])
         self.assertEqual(len(check(record)), 2)
 
     def test_denial_of_a_proper_request(self) -> None:
         denied = replace(CALL, status=401, body=b"")
-        self.assert_broken(make_record([denied], []), "denied with 401")
+        self.assert_broken(build_record([denied], []), "denied with 401")
 
     def test_failures_while_nothing_is_disturbed(self) -> None:
         lost = replace(CALL, status=None, body=b"", whole=False)
-        record = make_record([lost], [RUN])
+        record = build_record([lost], [RUN])
         self.assert_broken(record, "nothing was disturbed")
         disturbed = replace(record, disruptions=[Span(began=9.0, ended=9.5)])
         self.assertEqual(check(disturbed), [])
         failed = replace(CALL, status=502, body=b"")
-        self.assert_broken(make_record([failed], [RUN]), "502, though")
+        self.assert_broken(build_record([failed], [RUN]), "502, though")
 
     def test_run_for_a_revoked_key(self) -> None:
-        record = make_record([CALL], [RUN])
+        record = build_record([CALL], [RUN])
         revoked = {"bakery": CALL.sent - REVOKE_S - 0.1}
         self.assertIn("its key was taken away", check(replace(record, revoked=revoked))[0])
 
     def test_run_at_an_engine_that_left(self) -> None:
-        record = make_record([CALL], [RUN])
+        record = build_record([CALL], [RUN])
         drains = {"portal-0": [Span(began=RUN.began - DRAIN_S - 0.1, ended=12.0)]}
         self.assert_broken(replace(record, drains=drains), "after it left")
 
     def test_a_disturbed_instance_may_not_send_to_an_engine_that_left_either(self) -> None:
-        record = make_record([CALL], [RUN])
+        record = build_record([CALL], [RUN])
         drains = {"portal-0": [Span(began=RUN.began - DRAIN_S - 0.1, ended=12.0)]}
         spans = [Span(began=RUN.began - 2.0, ended=RUN.began - 1.0)]
         frozen = replace(record, drains=drains, disruptions=spans)
@@ -119,14 +119,14 @@
 
     def test_run_that_was_changed_or_not_asked_for(self) -> None:
         changed = replace(RUN, intact=False)
-        self.assert_broken(make_record([CALL], [changed]), "changed on its way")
-        stranger = replace(RUN, request_id="r9")
-        self.assert_broken(make_record([CALL], [RUN, stranger]), "nobody asked")
+        self.assert_broken(build_record([CALL], [changed]), "changed on its way")
+        unrequested = replace(RUN, request_id="r9")
+        self.assert_broken(build_record([CALL], [RUN, unrequested]), "nobody asked")
         other = replace(RUN, organisation="florist")
-        self.assert_broken(make_record([CALL], [other]), "ran as florist")
+        self.assert_broken(build_record([CALL], [other]), "ran as florist")
 
     def test_no_recovery(self) -> None:
-        record = make_record([CALL], [RUN])
+        record = build_record([CALL], [RUN])
         late = [replace(CALL, request_id=f"l{n}", sent=20.0, status=503) for n in range(3)]
         broken = check(replace(record, asked=[*record.asked, *late]))
         self.assertIn("only 1 of the last 4 requests were answered", broken)
@@ -156,20 +156,20 @@
         self.addAsyncCleanup(self.engine.stop)
         self.addAsyncCleanup(self.link.stop)
 
-    async def ask(self) -> HttpConnection:
+    async def send_request(self) -> HttpConnection:
         connection = await HttpConnection.open("127.0.0.1", self.link.port, timeout_s=5.0)
         await connection.send("GET", "/x", [("Host", "h"), ("X-Attempt-Id", "r1")], b"")
         return connection
 
     async def test_passes_on(self) -> None:
-        connection = await self.ask()
+        connection = await self.send_request()
         self.assertEqual((await connection.read_head()).status, 200)
         self.assertEqual(await connection.read_chunk(), b"answer r1")
         connection.close()
 
     async def test_cut_one_way_runs_and_answers_nothing(self) -> None:
         self.link.fault = LinkFault.CUT_TO_CLIENT
-        connection = await self.ask()
+        connection = await self.send_request()
         with self.assertRaises(TimeoutError):
             await asyncio.wait_for(connection.read_head(), 0.2)
         self.assertEqual(len(self.engine.runs), 1)
@@ -177,7 +177,7 @@
 
     async def test_silence_runs_nothing_and_a_reset_ends_it(self) -> None:
         self.link.fault = LinkFault.SILENT
-        connection = await self.ask()
+        connection = await self.send_request()
         with self.assertRaises(TimeoutError):
             await asyncio.wait_for(connection.read_head(), 0.2)
         self.assertEqual(self.engine.runs, [])
