--- a/src/guavamast/log_report.py
+++ b/src/guavamast/log_report.py
@@ -1,7 +1,7 @@
-"""What became of requests, from the log lines of all instances.
+"""Report of request outcomes from the log lines of all instances.
 
-An engineer on call collects the lines of the instances and asks which routes lost their answers, at
-which moments and for what reason, without searching for single ids.
+It shows an engineer on call which routes lost answers, when and for what reason, without a search
+for single request ids.
 """
 
 from __future__ import annotations
@@ -19,35 +19,35 @@
 IN_TIME: Final = "in_time"
 """Answered, and not late by the instance's own clock."""
 GROUPINGS: Final = ("route", "endpoint", "instance", "second")
-"""By what requests can be grouped; seconds count from the first line."""
+"""Fields by which requests can be grouped; seconds count from the earliest line."""
 UNKNOWN_GROUP: Final = "(none)"
-"""The group of requests that were refused before a route or endpoint was found."""
+"""Group of requests that were rejected before a route or endpoint was found."""
 MAX_GROUPS: Final = 200
-"""Rows of a table at most: a page that somebody still reads."""
+"""Maximum rows of a table, so that it stays readable."""
 
 
 @dataclass(slots=True, kw_only=True)
 class GroupTally:
-    """The requests of one route, endpoint or second."""
+    """The requests of one group: a route, endpoint, instance or second."""
 
     name: str
     outcomes: Counter[str] = field(default_factory=Counter)
-    """Requests by outcome; late answers by what made them late."""
+    """Number of requests by outcome; late answers by the cause of their delay."""
     first_events_s: list[float] = field(default_factory=list)
-    """Times to the first event of streams that were answered."""
+    """Seconds to the first event of streams that were answered."""
     pauses_s: list[float] = field(default_factory=list)
-    """Longest pauses of the same."""
+    """Longest pauses of the same streams, in seconds."""
 
     @property
     def total(self) -> int:
-        """All requests that ended or were refused."""
+        """Number of requests that ended or were rejected."""
         return sum(self.outcomes.values())
 
 
 def read_lines(lines: Iterable[str]) -> list[dict[str, Any]]:
-    """Return the decoded lines; what stands before the object is left out.
+    """Return the decoded lines; text before the JSON object is left out.
 
-    Lines that are no JSON object, such as those that a terminal broke, are skipped.
+    Lines that are no JSON object, such as those that a terminal wrapped, are skipped.
     """
     entries = []
     for line in lines:
@@ -62,7 +62,7 @@
 
 
 def tally(entries: list[dict[str, Any]], *, by: str) -> list[GroupTally]:
-    """Return the outcomes of requests in groups.
+    """Count the outcomes of requests by group.
 
     Args:
         entries: Decoded lines of all instances.
@@ -86,7 +86,7 @@
 
 
 def show_report(groups: list[GroupTally]) -> str:
-    """Return the groups as a table, the worst outcomes after the best."""
+    """Format the groups as a table, with requests in time before all other outcomes."""
     outcomes = sorted({name for group in groups for name in group.outcomes} - {IN_TIME})
     header = ["GROUP", "REQUESTS", "IN TIME", *(name.upper() for name in outcomes)]
     header += ["FIRST EVENT P50/P90 MS", "LONGEST PAUSE P50/P90 MS"]
@@ -100,7 +100,7 @@
 
 
 def _collect_sends(entries: list[dict[str, Any]]) -> dict[str, dict[str, Any]]:
-    """Return route and endpoint of each request from the lines of its sends."""
+    """Return the route and endpoint of each request's last send."""
     sends: dict[str, dict[str, Any]] = {}
     for entry in entries:
         if entry["event"] == "sent":
@@ -110,7 +110,7 @@
 
 
 def _classify_outcome(entry: dict[str, Any]) -> str | None:
-    """Return what a line says of the end of a request; None if it says nothing of it."""
+    """Return the outcome of a request that a line records; None if it records none."""
     if entry["event"] == "refused":
         return f"refused {entry.get('reason', '')}".strip()
     if entry["event"] != "ended":
--- a/src/guavamast/platform/__init__.py
+++ b/src/guavamast/platform/__init__.py
@@ -1,4 +1,4 @@
-"""Adapter to the users' platform: its names, formats and calls. Decides nothing.
+"""Adapter to the users' platform: its settings, wire formats and store client. It decides nothing.
 
-May import the relay's types; nothing but the command that starts it imports this package.
+It may import the relay's types; only the command that starts it imports this package.
 """
--- a/src/guavamast/platform/__main__.py
+++ b/src/guavamast/platform/__main__.py
@@ -1,4 +1,4 @@
-"""Runs one instance on the users' platform: ``python3 -m guavamast.platform``."""
+"""Entry point of one instance on the users' platform: ``python3 -m guavamast.platform``."""
 
 from __future__ import annotations
 
@@ -8,11 +8,11 @@
 
 
 def main() -> int:
-    """Run; exit 2 with all findings when the settings are not usable.
+    """Run one instance; print all findings and return 2 if the settings are invalid.
 
-    Failure: the platform tells a process that its settings have changed while it still loads its
-    modules, the signal's default action ends it, and an instance is missing for another start. The
-    signal is ignored from the first line on, until the instance logs it.
+    SIGHUP is ignored from the first line on, until the instance installs a handler that logs it.
+    Without this, a SIGHUP that reports changed settings while the modules still load would end the
+    process by its default action, and the instance would be missing until the next start.
     """
     signal.signal(signal.SIGHUP, signal.SIG_IGN)
     import asyncio
--- a/src/guavamast/platform/catalog_wire.py
+++ b/src/guavamast/platform/catalog_wire.py
@@ -1,4 +1,4 @@
-"""Decodes the operators' configuration as the platform's store holds it."""
+"""Decoder of the operators' configuration as the platform's store holds it."""
 
 from __future__ import annotations
 
@@ -23,14 +23,14 @@
 
 
 def decode_catalog(fields: dict[str, Any], *, row_version: int) -> Catalog:
-    """Return the configuration of a row.
+    """Decode the configuration of a row.
 
     Args:
         fields: The row's value.
-        row_version: The store's number of the row.
+        row_version: The row's version in the store.
 
     Raises:
-        KeyError, TypeError, ValueError: The value is not a configuration.
+        KeyError, TypeError, ValueError: The value is not a valid configuration.
     """
     tenants = fields.get("tenants")
     return Catalog(
@@ -58,7 +58,7 @@
         name=str(entry.get("name", "")),
         host=entry["host"],
         path_prefix=entry["path_prefix"],
-        # An unknown kind is handled as one that must not be repeated.
+        # An unknown kind is treated as non-idempotent, which must not run twice.
         kind=_ROUTE_KINDS.get(entry.get("kind", ""), RouteKind.NON_IDEMPOTENT),
         services=services,
         timeout_s=timeout_s,
@@ -72,7 +72,7 @@
 
 
 def _decode_urgency(value: object, default: int | None) -> Any:
-    """Return 0 to 9; the platform calls it a priority, of which 0 is the highest."""
+    """Return an urgency of 0 to 9; the platform calls it priority, and 0 is the highest."""
     if value is None:
         return default
     return min(9, max(0, int(value)))  # type: ignore[call-overload]
--- a/src/guavamast/platform/demo.py
+++ b/src/guavamast/platform/demo.py
@@ -1,4 +1,4 @@
-"""The path on the platform in one process: store, engines, an instance and a few requests."""
+"""Demo of the platform in one process: store, engines, an instance and a few requests."""
 
 from __future__ import annotations
 
@@ -17,11 +17,11 @@
     from guavamast.relay.node_settings import SocketAddress
 
 READY_TIMEOUT_S = 10.0
-"""Time for the instance to become ready."""
+"""Seconds within which the instance must become ready."""
 
 
 async def ask(address: SocketAddress, target: str, *, request_id: str, body: bytes = b"") -> str:
-    """Send one request as a caller does; return the status and the answer's body."""
+    """Send one request as a caller and return the answer's status and body."""
     connection = await HttpConnection.open(address.ip, address.port, timeout_s=1.0)
     headers = [("Host", HOST), ("Authorization", f"Bearer {KEY}"), ("X-Attempt-Id", request_id)]
     if body:
@@ -36,7 +36,7 @@
 
 
 async def wait_ready(address: SocketAddress) -> None:
-    """Return when the instance is ready."""
+    """Wait until the instance is ready."""
     async with asyncio.timeout(READY_TIMEOUT_S):
         while True:
             try:
@@ -48,7 +48,7 @@
 
 
 async def run_demo() -> None:
-    """Start the site, make the requests and print what came back."""
+    """Start the site, send the requests and print the answers."""
     site = Site()
     await site.start()
     settings = decode_settings(site.make_settings("demo"), file="demo")
--- a/src/guavamast/platform/endpoint_wire.py
+++ b/src/guavamast/platform/endpoint_wire.py
@@ -1,4 +1,4 @@
-"""Decodes what engines and services write of themselves into the store."""
+"""Decoder of the rows that engines and services write about themselves to the store."""
 
 from __future__ import annotations
 
@@ -8,14 +8,14 @@
 
 
 def decode_endpoint(key: str, fields: Any, *, row_version: int) -> EndpointRecord | None:
-    """Return the record of a row; None if it names no endpoint that can be used.
+    """Return the record of a row; None if it describes no usable endpoint.
 
-    Rows may come from other writers: fields missing or of another type, or unknown states.
+    Rows may come from other writers, with missing fields, other types or unknown states.
 
     Args:
         key: The endpoint's id.
         fields: The row's decoded value.
-        row_version: The store's number of the row.
+        row_version: The row's version in the store.
     """
     if not isinstance(fields, dict):
         return None
--- a/src/guavamast/platform/questions.py
+++ b/src/guavamast/platform/questions.py
@@ -1,4 +1,4 @@
-"""What the platform and callers ask an instance: where to connect, readiness and metrics."""
+"""Handlers of queries from the platform and callers: addresses, readiness and metrics."""
 
 from __future__ import annotations
 
@@ -19,10 +19,10 @@
 
 
 class NodeQueryHandler(Question):
-    """A question about one instance.
+    """Base of the handlers of queries about one instance.
 
     Args:
-        node: The instance that answers.
+        node: The queried instance.
     """
 
     def __init__(self, *, node: Node) -> None:
@@ -33,7 +33,7 @@
     """``GET /v1/resolve``: addresses for a caller."""
 
     def answer(self, path: str, query: str) -> tuple[int, str, str] | None:
-        """Return the addresses for the caller's place."""
+        """Return the addresses for the caller's location."""
         if path != "/v1/resolve":
             return None
         fields = parse_qs(query)
@@ -49,10 +49,10 @@
 
 
 class ReadinessQueryHandler(NodeQueryHandler):
-    """``GET /v1/ready``: whether this instance takes new work."""
+    """``GET /v1/ready``: whether this instance accepts new requests."""
 
     def answer(self, path: str, query: str) -> tuple[int, str, str] | None:
-        """Return 200 when callers may come."""
+        """Return 200 when callers may connect, otherwise 503."""
         del query
         if path != "/v1/ready":
             return None
--- a/src/guavamast/platform/request_headers.py
+++ b/src/guavamast/platform/request_headers.py
@@ -1,4 +1,4 @@
-"""The names of headers on the platform."""
+"""Header names of the platform and their codec."""
 
 from __future__ import annotations
 
@@ -15,7 +15,7 @@
 
 REQUEST_ID: Final = "X-Attempt-Id"
 TIMEOUT: Final = "X-Request-Deadline-Ms"
-"""Milliseconds that the sender will wait, from the moment at which it sends."""
+"""The sender's timeout in milliseconds, counted from the time of sending."""
 PROMPT_PARTS: Final = "X-Prompt-Prefix"
 TOKEN_COUNTS: Final = "X-Token-Usage"
 SIGNATURE: Final = "X-Engine-Seal"
@@ -36,7 +36,7 @@
         "expect",
     )
 )
-"""Concern one connection only, or frame the body."""
+"""Headers that apply to one connection only, or that frame the body."""
 _RESERVED_HEADERS: Final = frozenset(
     (
         "authorization",
@@ -52,12 +52,12 @@
         "kv-fetch",
     )
 )
-"""For the relay alone to set, or not for endpoints to see."""
+"""Headers that only the relay may set, or that endpoints must not see."""
 _BEARER_PREFIX: Final = "bearer "
 
 
 class PlatformHeaders(HeaderCodec):
-    """Decodes and encodes headers as the platform names them."""
+    """Codec for headers as the platform names them."""
 
     __slots__ = ()
 
@@ -70,7 +70,7 @@
         body: bytes,
         arrived: float,
     ) -> CallerRequest:
-        """Return a caller's request."""
+        """Decode a caller's request."""
         fields = {name.lower(): value for name, value in headers}
         prompt_tokens, output_tokens = _parse_token_counts(fields.get(TOKEN_COUNTS.lower()))
         return CallerRequest(
@@ -114,7 +114,7 @@
             headers=_filter_headers(headers, fields, frozenset()),
             request_id=fields.get(REQUEST_ID.lower()),
             sealed=SIGNATURE.lower() in fields,
-            # Another engine at the address says 421 without the header that others carry.
+            # 421 comes from another engine at the address and carries no such header.
             refused_unrun=NOT_RUN.lower() in fields or status == 421,
             encoded=encoding not in ("", "identity"),
             event_stream=fields.get("content-type", "").startswith("text/event-stream"),
@@ -123,7 +123,7 @@
         )
 
     def write_refusal(self, request_id: str, retry_after_s: float | None) -> list[Header]:
-        """Return the headers of an answer of the relay's own."""
+        """Return the headers of an answer that the relay generates itself."""
         headers = [(REQUEST_ID, request_id)] if request_id else []
         if retry_after_s is not None:
             headers.append(("Retry-After", f"{retry_after_s:.3f}"))
@@ -133,7 +133,7 @@
 def _filter_headers(
     headers: list[Header], fields: dict[str, str], dropped: frozenset[str]
 ) -> tuple[Header, ...]:
-    """Return the headers that go on, without those that the connection header names."""
+    """Return the headers to forward, without those that the Connection header lists."""
     connection_options = {name.strip().lower() for name in fields.get("connection", "").split(",")}
     return tuple(
         (name, value)
@@ -158,7 +158,7 @@
 
 
 def _parse_token_counts(value: str | None) -> tuple[int, int]:
-    """Return prompt tokens and most output tokens; 0 for what is not stated."""
+    """Return the prompt tokens and the maximum output tokens; both 0 if not stated."""
     parts = (value or "").split(",")
     if len(parts) != 2 or not all(part.strip().isdigit() for part in parts):
         return 0, 0
--- a/src/guavamast/platform/runner.py
+++ b/src/guavamast/platform/runner.py
@@ -1,4 +1,4 @@
-"""Runs one instance of the relay from the platform's settings."""
+"""Runner of one relay instance with the platform's settings."""
 
 from __future__ import annotations
 
@@ -23,8 +23,8 @@
     """Serve until SIGTERM.
 
     Args:
-        settings: What the platform says to this instance.
-        log_descriptor: Where log lines go.
+        settings: The instance's decoded settings.
+        log_descriptor: File descriptor to which log lines are written.
     """
     clock = StoreClock()
     node = Node(
--- a/src/guavamast/platform/settings.py
+++ b/src/guavamast/platform/settings.py
@@ -1,4 +1,4 @@
-"""Decodes the platform's settings file of one process."""
+"""Decoder of the platform's settings file of one process."""
 
 from __future__ import annotations
 
@@ -14,11 +14,11 @@
 SETTINGS_VARIABLE = "GUAVAMAST_SETTINGS"
 """Environment variable that holds the path of the file."""
 DEFAULT_BOUND_S = 3600.0
-"""Where no bound is set, an instance serves by what it knows through an outage this long."""
+"""Seconds for a bound that is not set: state may be this old, so that an outage is bridged."""
 
 
 class _SettingsReader:
-    """Takes values out of the file's tables and collects what is wrong."""
+    """Reads values from a decoded settings file and collects findings."""
 
     def __init__(self, file: str, fields: dict[str, Any]) -> None:
         self._file = file
@@ -32,7 +32,7 @@
         )
 
     def look_up(self, path: str) -> Any:
-        """Return the value at a dotted path; None where there is none."""
+        """Return the value at a dotted path; None if there is none."""
         value: Any = self._fields
         for name in path.split("."):
             if not isinstance(value, dict) or name not in value:
@@ -41,7 +41,7 @@
         return value
 
     def read(self, path: str, convert: Callable[[Any], Any], default: Any) -> Any:
-        """Return a converted value; a missing or wrong one is a finding."""
+        """Return a converted value; if missing or invalid, add a finding and return the default."""
         value = self.look_up(path)
         if value is None:
             self.add_finding(path, FindingCode.MISSING_KEY, "is missing")
@@ -55,7 +55,7 @@
 
 def _read_text(value: Any) -> str:
     if not isinstance(value, str) or not value:
-        raise ValueError("is not a text")
+        raise ValueError("is not a non-empty string")
     return value
 
 
@@ -82,13 +82,13 @@
     """Return the settings in a file.
 
     Raises:
-        FindingsError: With everything that is wrong in it.
+        FindingsError: With all findings of the file.
     """
     try:
         with open(path, encoding="utf-8") as file:
             fields = json.load(file)
         if not isinstance(fields, dict):
-            raise ValueError("not a table")
+            raise ValueError("not a JSON object")
     except (OSError, ValueError) as error:
         finding = Finding(file=path, line=0, code=FindingCode.UNREADABLE, message=str(error))
         raise FindingsError([finding]) from error
@@ -99,7 +99,7 @@
     """Return the settings in a decoded file; unknown fields are ignored.
 
     Raises:
-        FindingsError: With everything that is wrong in it.
+        FindingsError: With all findings of the file.
     """
     reader = _SettingsReader(file, fields)
     placeholder = SocketAddress(ip="127.0.0.1", port=1)
@@ -124,7 +124,7 @@
         store=reader.read("platform.address", _read_address, placeholder),
         change_s=_read_bound(reader, "bounds.config_apply_ms"),
         leaving_s=_read_bound(reader, "bounds.drain_ms"),
-        # Absent where keys need not stop working at once; a long bound then.
+        # The default bound applies where keys need not stop working at once.
         revocation_s=_read_revocation(reader),
         grace_s=reader.read("bounds.grace_s", _read_positive, 8.0),
         repeat_ratio=reader.read("bounds.retry_budget_ratio", _read_positive, 0.1),
@@ -140,21 +140,25 @@
 
 
 def _read_optional(reader: _SettingsReader, path: str) -> float:
-    """Return a number that may be missing; 0 then."""
+    """Return an optional number; 0 if missing."""
     if reader.look_up(path) is None:
         return 0.0
     return float(reader.read(path, _read_positive, 0.0))
 
 
 def _read_bound(reader: _SettingsReader, path: str) -> float:
-    """Return seconds of a bound in milliseconds that may be missing; a long one then."""
+    """Return an optional bound in seconds, read as milliseconds; the default bound if missing."""
     if reader.look_up(path) is None:
         return DEFAULT_BOUND_S
     return float(reader.read(path, _read_positive, 2000.0)) / 1000.0
 
 
 def _read_revocation(reader: _SettingsReader) -> float:
-    """Return seconds; the file says milliseconds, and whether the bound holds when cut off."""
+    """Return the revocation bound in seconds, read as milliseconds.
+
+    It applies only if the file states that it must hold while the store is unreachable; otherwise
+    the default bound is returned.
+    """
     if not reader.look_up("bounds.strict_revocation"):
         return DEFAULT_BOUND_S
     return float(reader.read("bounds.revoke_ms", _read_positive, 5000.0)) / 1000.0
--- a/src/guavamast/platform/standins/__init__.py
+++ b/src/guavamast/platform/standins/__init__.py
@@ -1,1 +1,1 @@
-"""Stand-ins of the platform's store and engines, with faults, for the demo and tests."""
+"""Stand-ins for the platform's store and engines, with injected faults, for the demo and tests."""
--- a/src/guavamast/platform/standins/engine.py
+++ b/src/guavamast/platform/standins/engine.py
@@ -1,4 +1,4 @@
-"""Stand-in of an engine or service: answers deterministically, counts runs, fails on request."""
+"""Stand-in for an engine or service: fixed answers, recorded runs and injected faults."""
 
 from __future__ import annotations
 
@@ -10,36 +10,36 @@
 import h11
 
 EVENTS = 6
-"""Events of a stream unless set otherwise."""
+"""Default number of events in a stream."""
 EVENT_INTERVAL_S = 0.02
 KEEP_ALIVE_S = 5
 
 
 class EngineFault(StrEnum):
-    """What the engine does wrong."""
+    """Fault that the engine injects."""
 
     NONE = "none"
     FULL = "full"
-    """Refuses each request as not run."""
+    """Rejects each request as not run."""
     ERROR = "error"
     """Runs the request and answers 500."""
     CUT = "cut"
-    """Breaks a stream off in the middle of its third event."""
+    """Closes the connection in the middle of a stream's third event."""
     LOSE = "lose"
     """Runs the request and closes the connection without an answer."""
     EXTRA = "extra"
-    """Sends a second answer, to another request, after each one."""
+    """Sends a second answer, to another request, after each answer."""
     CROSSED = "crossed"
-    """Answers as if to another request."""
+    """Answers with the id of another request."""
     HANG = "hang"
     """Runs the request and never answers."""
     UNSEALED = "unsealed"
-    """Leaves the signature out."""
+    """Omits the signature."""
 
 
 @dataclass(frozen=True, slots=True, kw_only=True)
 class Run:
-    """One request that the engine began to work on."""
+    """One request that the engine began to run."""
 
     request_id: str
     tenant: str
@@ -47,43 +47,43 @@
     body: bytes
     headers: dict[str, str]
     began: float
-    """Seconds of the steady clock."""
+    """Seconds on the monotonic clock."""
 
 
 class EngineStandIn:
-    """Serves one connection per request at a time, as engines do.
+    """Serves one request at a time on each connection, as engines do.
 
     Args:
-        engine_id: Its id; requests that expect another are refused.
+        engine_id: Its id; requests that expect another are rejected.
     """
 
     def __init__(self, *, engine_id: str) -> None:
         self.engine_id = engine_id
         self.fault = EngineFault.NONE
         self.work_s = 0.0
-        """Time that a request takes before its answer begins."""
+        """Seconds that a request takes before its answer begins."""
         self.events = EVENTS
-        """Events of each stream."""
+        """Number of events in each stream."""
         self.runs: list[Run] = []
         self.abandoned = 0
-        """Requests whose connection was closed before their answer was whole."""
+        """Number of requests whose connection closed before the answer was complete."""
         self.connections = 0
         self._server: asyncio.Server | None = None
         self._writers: dict[asyncio.StreamWriter, asyncio.Task[None]] = {}
 
     @property
     def port(self) -> int:
-        """The port on which it serves."""
+        """The listening port."""
         assert self._server is not None
         return int(self._server.sockets[0].getsockname()[1])
 
     async def listen(self, port: int = 0) -> int:
-        """Begin to serve on loopback; returns the port, chosen by the system unless given."""
+        """Listen on loopback and return the port, chosen by the system unless given."""
         self._server = await asyncio.start_server(self._serve, "127.0.0.1", port)
         return self.port
 
     async def stop(self) -> None:
-        """Stop serving and drop all connections."""
+        """Stop listening and close all connections."""
         assert self._server is not None
         self._server.close()
         tasks = list(self._writers.values())
@@ -109,7 +109,7 @@
     async def _serve_one(
         self, http: h11.Connection, reader: asyncio.StreamReader, writer: asyncio.StreamWriter
     ) -> bool:
-        """Answer one request; returns whether the connection goes on."""
+        """Serve one request and return whether the connection stays open."""
         request: h11.Request | None = None
         body = b""
         while True:
@@ -216,5 +216,5 @@
 
 
 def make_event(request_id: str, number: int) -> bytes:
-    """Return an event of a stream, the same from every engine."""
+    """Return an event of a stream; all engines send the same bytes."""
     return f"id: {number}\ndata: {request_id}-{number}\n\n".encode()
--- a/src/guavamast/platform/standins/site.py
+++ b/src/guavamast/platform/standins/site.py
@@ -1,4 +1,4 @@
-"""A small site on loopback: a store with a configuration, engines and services in it."""
+"""A small site on loopback: a store with a configuration, engines and services."""
 
 from __future__ import annotations
 
@@ -13,17 +13,17 @@
 HOST = "portal.example"
 KEY = "site-caller-key"
 CALLS = "/call/"
-"""Prefix of non-idempotent calls."""
+"""Path prefix of non-idempotent calls."""
 LOOKUPS = "/lookup/"
-"""Prefix of idempotent calls."""
+"""Path prefix of idempotent calls."""
 STREAMS = "/stream/"
-"""Prefix of streams that can't be resumed."""
+"""Path prefix of streams that can't be resumed."""
 RESUMABLE = "/resumable/stream/"
-"""Prefix of streams that can be."""
+"""Path prefix of streams that can be resumed."""
 
 
 class Site:
-    """Stand-ins of all that an instance meets, and the settings for instances."""
+    """Stand-ins for all that an instance connects to, and the settings for instances."""
 
     def __init__(self) -> None:
         self.store = StoreStandIn()
@@ -33,14 +33,14 @@
         self._reserved_sockets: list[socket.socket] = []
         self.keys = [KEY]
         self.more_keys: dict[str, str] = {}
-        """Keys of further organisations, by their names."""
+        """Keys of further organisations by name."""
         self.route_services = {
             CALLS: "portal",
             LOOKUPS: "portal",
             STREAMS: "pool",
             RESUMABLE: "pool",
         }
-        """The service of each route, by its prefix."""
+        """Service of each route by path prefix."""
         self.bounds: dict[str, Any] = {
             "strict_revocation": True,
             "revoke_ms": 2000,
@@ -51,10 +51,10 @@
             "budget_slack": 20,
             "budget_window_s": 10,
         }
-        """What instances are told of the bounds in force."""
+        """Bounds in the settings of instances."""
 
     async def start(self, *, pool: int = 2, portal: int = 2) -> None:
-        """Start the store and so many engines of each service."""
+        """Start the store and the given numbers of engines of each service."""
         self.store_port = self.store.listen()
         self.configure()
         for number in range(pool):
@@ -71,7 +71,7 @@
             reserved.close()
 
     async def add_engine(self, engine_id: str, service: str) -> EngineStandIn:
-        """Start an engine and list it."""
+        """Start an engine and write its row."""
         engine = EngineStandIn(engine_id=engine_id)
         port = await engine.listen()
         self.engines[engine_id] = engine
@@ -79,7 +79,7 @@
         return engine
 
     def list_engine(self, engine_id: str, service: str, port: int, *, state: str = "ready") -> None:
-        """Write an engine's row."""
+        """Write an engine's row to the store."""
         fields = {
             "service": service,
             "address": f"127.0.0.1:{port}",
@@ -126,7 +126,7 @@
         return [first, *more]
 
     def make_settings(self, name: str) -> dict[str, Any]:
-        """Return the settings of an instance, on ports that stay reserved for it."""
+        """Return the settings of an instance, with ports that stay reserved for it."""
         sockets = [*(_reserve_port() for _ in range(3)), *_reserve_pair()]
         self._reserved_sockets += sockets
         ports = [int(reserved.getsockname()[1]) for reserved in sockets]
@@ -147,7 +147,7 @@
 
 
 def write_settings(fields: dict[str, Any], directory: str) -> str:
-    """Write a settings file; returns its path."""
+    """Write a settings file and return its path."""
     path = os.path.join(directory, f"{fields['node_name']}.json")
     with open(path, "w", encoding="utf-8") as file:
         json.dump(fields, file)
@@ -155,11 +155,11 @@
 
 
 def _reserve_port(port: int = 0) -> socket.socket:
-    """Return a socket that is bound and never listens; a listener may be bound beside it.
+    """Return a socket that is bound and never listens, so that a listener may share its port.
 
-    Failure: an instance ends and is started again, and meanwhile its port is given to an outgoing
-    connection. The system chooses no port that is bound, and Linux lets a listener share it when
-    both allow the reuse of addresses.
+    Without it, the port of an instance that restarts could be assigned to an outgoing connection.
+    The system chooses no port that is bound, and Linux lets a listener share it when both sockets
+    allow the reuse of addresses.
     """
     reserved = socket.socket()
     reserved.setsockopt(socket.SOL_SOCKET, socket.SO_REUSEADDR, 1)
@@ -168,7 +168,7 @@
 
 
 def _reserve_pair() -> list[socket.socket]:
-    """Return the sockets of two ports in a row."""
+    """Return the sockets of two consecutive ports."""
     while True:
         first = _reserve_port()
         try:
--- a/src/guavamast/platform/standins/store.py
+++ b/src/guavamast/platform/standins/store.py
@@ -1,4 +1,4 @@
-"""Stand-in of the platform's store: rows in tables, one counter of versions, a steady clock."""
+"""Stand-in for the platform's store: rows in tables, one version counter, a monotonic clock."""
 
 from __future__ import annotations
 
@@ -15,15 +15,15 @@
 
 
 class StoreFault(StrEnum):
-    """What the store does wrong."""
+    """Fault that the store injects."""
 
     NONE = "none"
     BUSY = "busy"
     """Answers 503."""
     SILENT = "silent"
-    """Answers nothing."""
+    """Never answers."""
     LOSES_ANSWERS = "loses_answers"
-    """Performs writes and answers nothing to them."""
+    """Performs writes and never answers them."""
 
 
 @dataclass(slots=True, kw_only=True)
@@ -42,17 +42,17 @@
         self.fault = StoreFault.NONE
 
     def listen(self) -> int:
-        """Begin to serve on loopback; returns the port."""
+        """Listen on loopback and return the port."""
         sockets = bind_sockets(0, "127.0.0.1")
         self._server.add_sockets(sockets)
         return int(sockets[0].getsockname()[1])
 
     def stop(self) -> None:
-        """Accept no more connections."""
+        """Stop accepting connections."""
         self._server.stop()
 
     def put(self, table: str, key: str, fields: Any) -> int:
-        """Write a row as an operator or an engine does; returns its version."""
+        """Write a row as an operator or an engine does and return its version."""
         self._version += 1
         value = base64.b64encode(json.dumps(fields).encode()).decode()
         self._rows[table, key] = _Row(value=value, version=self._version)
--- a/src/guavamast/platform/store_client.py
+++ b/src/guavamast/platform/store_client.py
@@ -1,4 +1,4 @@
-"""The platform's store over HTTP."""
+"""HTTP client of the platform's store."""
 
 from __future__ import annotations
 
@@ -28,12 +28,12 @@
     from guavamast.relay.node_settings import SocketAddress
 
 REUSED_CONNECTION_TIMEOUT_S: Final = 0.3
-"""For one call on a kept connection, in seconds: a silent one is given up soon enough for a new one
-before anything gets too old."""
+"""Seconds for one call on a reused connection; short enough to retry an unresponsive one on a new
+connection before any state gets too old."""
 CALL_TIMEOUT_S: Final = 0.5
-"""For connecting, and for one call on a new connection, in seconds."""
+"""Seconds for connecting, and for one call on a new connection."""
 BACKGROUND_TIMEOUT_S: Final = 2.0
-"""For calls that nobody waits for."""
+"""Seconds for calls that no request waits for."""
 INSTANCES_TABLE: Final = "instances"
 PAGE_ROWS: Final = 500
 _OPERATOR_TABLE: Final = "op"
@@ -42,12 +42,12 @@
 
 
 class StoreClient(Store):
-    """Calls the store over connections that are kept.
+    """Calls the store over persistent connections.
 
     Args:
-        address: Where the store listens.
-        clock: Learns from each answer how the store's clock stands.
-        read_time: The local clock.
+        address: The store's address.
+        clock: Receives the store time of each answer.
+        read_time: Returns the local time in seconds.
     """
 
     __slots__ = ("_address", "_clock", "_idle", "_read_time")
@@ -83,7 +83,7 @@
         return CatalogReading(catalog=catalog, reading=store_time, text=text)
 
     def decode_catalog(self, text: bytes, *, row_version: int) -> Catalog:
-        """Return the configuration of a row."""
+        """Decode the configuration of a row."""
         try:
             return decode_catalog(json.loads(text), row_version=row_version)
         except (KeyError, TypeError, ValueError) as error:
@@ -91,7 +91,7 @@
             raise StoreError(reason) from error
 
     async def read_endpoints(self) -> EndpointReading:
-        """Read the table of endpoints; rows that can't be read name none."""
+        """Read the table of endpoints; rows that can't be decoded are skipped."""
         rows, store_time = await self._get_all(_ENDPOINT_TABLE)
         records = []
         for row in rows:
@@ -138,7 +138,7 @@
         await self._transact({"expect": [], "writes": [row], "remove": []})
 
     async def remove_instance(self, name: str) -> None:
-        """Drop an instance's record."""
+        """Remove an instance's record."""
         row = {"table": INSTANCES_TABLE, "part": "", "key": name}
         await self._transact({"expect": [], "writes": [], "remove": [row]})
 
@@ -147,7 +147,7 @@
         await self._call("POST", "/v1/rows-tx", body, timeout_s=BACKGROUND_TIMEOUT_S)
 
     async def _get_all(self, table: str) -> tuple[list[dict[str, Any]], float]:
-        """Return all rows of a table and the reading of the first page, the oldest."""
+        """Return all rows of a table and the store time of the first page, the oldest."""
         rows: list[dict[str, Any]] = []
         store_time: float | None = None
         start = ""
@@ -164,16 +164,17 @@
         target = f"{path}?{urlencode(query)}"
         answer = await self._call("GET", target, b"", timeout_s=CALL_TIMEOUT_S)
         if not isinstance(answer.get("rows"), list):
-            raise StoreError("answer without rows")
+            raise StoreError("answer has no list of rows")
         return answer
 
     async def _call(
         self, method: str, target: str, body: bytes, *, timeout_s: float
     ) -> dict[str, Any]:
-        """Make one call on a kept connection or, if it brings nothing, on a new one.
+        """Make one call on an idle connection or, if that fails, on a new one.
 
-        Failure: a kept connection has fallen silent while new ones work, and the store is taken to
-        be away. Whatever is kept is dropped then, so that only a new connection tells.
+        After a failure, all idle connections are closed, so that only a new one decides whether the
+        store is unavailable. Without this, idle connections that became unresponsive while new ones
+        work would make the store look unavailable.
         """
         idle = self._pop_idle()
         if idle is not None:
@@ -193,7 +194,7 @@
     async def _call_on(
         self, connection: HttpConnection, method: str, target: str, body: bytes, *, timeout_s: float
     ) -> dict[str, Any]:
-        """Make one call on a connection and keep it if the answer was whole."""
+        """Make one call on a connection and keep it for reuse if the answer was complete."""
         sent = self._read_time()
         exchange = self._exchange(connection, method, target, body)
         try:
@@ -240,28 +241,28 @@
 
 
 def _decode_store_time(answer: dict[str, Any]) -> float:
-    """Return the store's clock in seconds; it is sent in milliseconds."""
+    """Return the store time of an answer in seconds; it is sent in milliseconds."""
     return float(answer["now_ms"]) / 1000.0
 
 
 def _decode_value(row: dict[str, Any]) -> Any:
-    """Return the value of a row.
+    """Return the decoded value of a row.
 
     Raises:
-        ValueError: It can't be read.
+        ValueError: The value is missing or malformed.
     """
     return json.loads(_decode_text(row))
 
 
 def _decode_text(row: dict[str, Any]) -> bytes:
-    """Return the bytes of a row.
+    """Return the value of a row as bytes.
 
     Raises:
-        ValueError: It holds none.
+        ValueError: The value is missing or not Base64.
     """
     value = row.get("value")
     if not isinstance(value, str):
-        raise ValueError("no value")
+        raise ValueError("row has no value")
     return base64.b64decode(value, validate=True)
 
 
--- a/tests/_platform_callers.py
+++ b/tests/_platform_callers.py
@@ -1,4 +1,4 @@
-"""A caller's connection and a process of the relay, for tests of the path on the platform."""
+"""Caller connections and relay processes for end-to-end tests on the platform."""
 
 from __future__ import annotations
 
@@ -13,12 +13,12 @@
     from guavamast.relay.messages import Header
 
 READY_S = 20.0
-"""Time for a process to start and become ready, on a busy machine."""
+"""Seconds for a process to start and become ready on a busy machine."""
 
 
 @dataclass(frozen=True, slots=True, kw_only=True)
 class Reply:
-    """What a caller received."""
+    """The answer that a caller received."""
 
     status: int
     headers: dict[str, str]
--- a/tests/test_log_report.py
+++ b/tests/test_log_report.py
@@ -1,4 +1,4 @@
-"""Tests of the table that is made of log lines."""
+"""Tests of the report of request outcomes from log lines."""
 
 from __future__ import annotations
 
@@ -15,7 +15,7 @@
 
 
 def format_line(event: str, **fields: Any) -> str:
-    """Return a log line as a collector stores it: with words of its own before the object."""
+    """Return a log line as a collector stores it, with its own text before the JSON object."""
     return f"3.2 front-1 {json.dumps({'time': 100.0, 'event': event} | fields)}\n"
 
 
@@ -42,7 +42,7 @@
 
 
 class LogReportTest(unittest.TestCase):
-    """Each request that ended or was refused counts once, in the group of its route or place."""
+    """Each request that ended or was rejected counts once, in its group."""
 
     def count(self, by: str) -> dict[str, dict[str, int]]:
         return {group.name: dict(group.outcomes) for group in tally(read_lines(LINES), by=by)}
--- a/tests/test_platform_path.py
+++ b/tests/test_platform_path.py
@@ -1,4 +1,4 @@
-"""Tests of the whole path on the platform: real processes against the project's stand-ins."""
+"""End-to-end tests on the platform: real processes against the project's stand-ins."""
 
 from __future__ import annotations
 
@@ -33,7 +33,7 @@
 
 
 class PathTest(unittest.IsolatedAsyncioTestCase):
-    """What callers see of one or two instances and their engines."""
+    """Behaviour of one or two instances and their engines as callers see it."""
 
     async def asyncSetUp(self) -> None:
         self.site = Site()
@@ -46,8 +46,8 @@
     async def start_instance(self, name: str = "one") -> Instance:
         """Start a process and wait until it is ready.
 
-        The platform gives fixed ports. One that was free may be taken by the time the process binds
-        it; the process ends then, and others are tried.
+        The settings name fixed ports. If one is taken by the time the process binds it, the process
+        ends and other ports are tried.
         """
         while True:
             settings = self.site.make_settings(name)
@@ -112,15 +112,15 @@
         self.assertEqual(self.count_runs(), 0)
 
     async def test_a_resumable_stream_goes_on_at_another_engine(self) -> None:
-        """The caller gets each event once, in order, although the first engine breaks off.
+        """The caller gets each event once, in order, although the first engine disconnects.
 
-        The engine closes its connection in the middle of the third event. What was left of it is
-        not passed on; the other engine sends that event again from its start.
+        The engine closes its connection in the middle of the third event. The partial event is not
+        forwarded; the other engine sends that event again from its start.
         """
         instance = await self.start_instance()
         self.set_fault(EngineFault.CUT, "pool-0")
         caller = await Caller.open(instance.callers)
-        # Either engine is as good as the other: asked until the one that breaks off was chosen.
+        # Both engines are equal candidates: send until the faulty one has been chosen.
         for number in range(60):
             name = f"r{number}"
             reply = await caller.send_request(RESUMABLE + "x", request_id=name)
@@ -132,10 +132,10 @@
         self.assertEqual(len(self.site.engines["pool-0"].runs), 1)
 
     async def test_a_stream_that_can_not_be_resumed_is_visibly_cut(self) -> None:
-        """The caller sees that the answer is not whole, and the work is not run again.
+        """The caller sees that the answer is incomplete, and the request is not run again.
 
-        The engine breaks off in the third event; the caller has two, and its connection is closed
-        without the end of the answer.
+        The engine disconnects in the third event; the caller has received two, and its connection
+        is closed without the end of the answer.
         """
         instance = await self.start_instance()
         self.set_fault(EngineFault.CUT)
@@ -146,7 +146,7 @@
         self.assertEqual(self.count_runs(), 1)
 
     async def test_a_call_that_may_have_run_is_not_sent_again(self) -> None:
-        """The caller gets 502, which promises nothing, and the call ran once.
+        """The caller gets 502, which does not say whether the call ran, and the call ran once.
 
         The engine runs the call and closes the connection without an answer.
         """
@@ -180,10 +180,10 @@
         self.assertEqual(self.count_runs(), 1)
 
     async def test_a_second_answer_never_reaches_the_next_caller(self) -> None:
-        """Each caller gets its own answer although engines send another after each one.
+        """Each caller gets its own answer although engines send a second one after each answer.
 
-        The second answer waits on the connection that was to be kept; the next request would take
-        it for its own. The connection is dropped.
+        The second answer arrives on the idle connection, where the next request would take it for
+        its own. The connection is closed instead.
         """
         instance = await self.start_instance()
         self.set_fault(EngineFault.EXTRA)
@@ -205,10 +205,10 @@
         self.assertEqual(self.count_runs(), 0)
 
     async def test_an_engine_at_a_reused_address_gets_nothing(self) -> None:
-        """The caller's request is not run by the service that was given the address later.
+        """A request is not run by another service that was assigned the engine's address.
 
-        An engine ends and its address goes to an engine of another service; the store still names
-        the first one. Each request says which engine is meant.
+        An engine stops and its address is assigned to an engine of another service, while the store
+        still lists the first one. Each request names the engine that it expects.
         """
         instance = await self.start_instance()
         other_engine = await self.site.add_engine("stranger", "pool")
@@ -241,11 +241,11 @@
         self.assertEqual(self.count_runs(), 1)
 
     async def test_a_revoked_key_stops_working_although_the_store_is_silent(self) -> None:
-        """The caller of a revoked key gets 503 once the instance can't know any more.
+        """A revoked key gets 503 once the instance can no longer tell whether it is valid.
 
-        The store falls silent and the operator takes the key away, which the instance never hears.
-        It accepts the key for a part of the two seconds within which it must stop, and no longer;
-        when the store is back, it says 401.
+        The store stops answering and the operator removes the key, which the instance can't read.
+        It accepts the key for a part of the two seconds of the bound, and no longer; when the store
+        answers again, the key gets 401.
         """
         instance = await self.start_instance()
         self.site.store.fault = StoreFault.SILENT
@@ -281,11 +281,11 @@
         self.assertGreaterEqual(len(third.runs), 9)
 
     async def test_a_paused_instance_sends_nothing_by_an_old_configuration(self) -> None:
-        """A call runs at a service that had lost its route more than the bound before.
+        """No call runs at a service that lost its route more than the bound before.
 
-        The instance stands still for 2.5 s; meanwhile an operator moves the route to another
-        service, which is to be in force after 2 s, and callers send. The instance goes on, takes
-        the requests before it reads the store, and sends them by the version that it has.
+        The instance is paused for 2.5 s; meanwhile an operator moves the route to another service,
+        which must be in force after 2 s, and callers send requests. The resumed instance receives
+        them before it reads the store, and would send them by its stale configuration.
         """
         self.site.bounds["revoke_ms"] = 9000
         instance = await self.start_instance()
@@ -309,11 +309,11 @@
         self.assertEqual(annex.runs[-1].request_id, "last")
 
     async def test_a_paused_instance_sends_nothing_to_an_engine_that_left(self) -> None:
-        """A call reaches an engine more than the bound after it had said that it leaves.
+        """No call reaches an engine more than the bound after its row said that it drains.
 
-        The instance stands still for 2.5 s; meanwhile an engine says that it leaves, after which
-        it is to get nothing more from 2 s on, and callers send. The instance goes on, takes the
-        requests before it reads the store, and chooses among the engines that it knows.
+        The instance is paused for 2.5 s; meanwhile an engine starts to drain, must receive nothing
+        more from 2 s on, and callers send requests. The resumed instance receives them before it
+        reads the store, and would choose among the engines in its stale state.
         """
         self.site.bounds["revoke_ms"] = 9000
         instance = await self.start_instance()
@@ -331,11 +331,11 @@
         self.assertEqual(len(leaving.runs), runs_before)
 
     async def test_an_engine_whose_entry_is_gone_gets_nothing_more(self) -> None:
-        """A call reaches an engine seconds after its entry was removed.
+        """No call reaches an engine seconds after its row was removed.
 
-        The instance stands still for 2.5 s, in which an engine leaves without a word: its entry is
-        removed, after which it is to get nothing more from 2 s on. The instance goes on and reads
-        the store, yet callers that come half a second later are still sent there.
+        The instance is paused for 2.5 s, in which an engine's row is removed without draining; the
+        engine must receive nothing more from 2 s on. The fault: the resumed instance reads the
+        store, yet requests half a second later are still sent there.
         """
         self.site.bounds["revoke_ms"] = 9000
         instance = await self.start_instance()
@@ -352,7 +352,7 @@
         self.assertEqual(len(leaving.runs), runs_before)
 
     async def send_lookups(self, callers: list[Caller], name: str) -> list[Reply]:
-        """Have each caller send a look-up; returns the replies."""
+        """Send a look-up from each caller and return the replies."""
         pending = [
             caller.send_request(LOOKUPS + "x", request_id=f"{name}{number}")
             for number, caller in enumerate(callers)
@@ -361,7 +361,7 @@
 
     @contextmanager
     def pause(self, instance: Instance) -> Iterator[None]:
-        """Have a process stand still."""
+        """Pause a process within the context."""
         instance.process.send_signal(signal.SIGSTOP)
         try:
             yield
@@ -369,11 +369,10 @@
             instance.process.send_signal(signal.SIGCONT)
 
     async def test_a_stopped_instance_answers_what_it_has_and_leaves_the_directory(self) -> None:
-        """Nobody loses an answer when an instance is stopped.
+        """No answer is lost when an instance is stopped.
 
-        SIGTERM comes while a stream is under way. The instance is not ready and not named to
-        callers any more, still answers those that come with an old address, and ends with code 0
-        within its time.
+        SIGTERM arrives while a stream is in progress. The instance is no longer ready or listed to
+        callers, still answers those that use its old address, and exits with code 0 in time.
         """
         first = await self.start_instance("one")
         second = await self.start_instance("two")
@@ -393,10 +392,10 @@
         self.assertEqual(await asyncio.wait_for(first.process.wait(), READY_S), 0)
 
     async def test_a_reload_while_a_process_starts_does_not_end_it(self) -> None:
-        """Callers have the instance after its first start.
+        """The instance becomes ready on its first start.
 
-        The platform says that the settings have changed while the process still loads its modules,
-        when a signal's default action would end it: once early, then until it is ready.
+        SIGHUP, which reports changed settings, arrives while the process still loads its modules,
+        when its default action would end the process: once early, then until it is ready.
         """
         while True:
             settings = self.site.make_settings("one")
@@ -413,7 +412,7 @@
             self.assertIn(b"Address already in use", await process.stderr.read())
 
     async def wait_signal_ignored(self, pid: int) -> None:
-        """Return once a process ignores SIGHUP: its interpreter has run our first line."""
+        """Wait until a process ignores SIGHUP, which the first line of its main function sets."""
         async with asyncio.timeout(READY_S):
             while not handles_signal(pid, signal.SIGHUP):
                 await asyncio.sleep(0.002)
--- a/tests/test_platform_store_client.py
+++ b/tests/test_platform_store_client.py
@@ -1,4 +1,4 @@
-"""Tests of the calls to the store over connections that fail."""
+"""Tests of calls to the store over connections that fail."""
 
 from __future__ import annotations
 
@@ -14,7 +14,7 @@
 
 
 class StoreClientTest(unittest.IsolatedAsyncioTestCase):
-    """The store is taken to be away only when a new connection brings nothing either."""
+    """The store counts as unavailable only when a call on a new connection fails too."""
 
     async def asyncSetUp(self) -> None:
         self.silent_connections: set[int] = set()
@@ -48,9 +48,9 @@
             writer.close()
 
     async def test_a_kept_connection_that_fell_silent_is_replaced(self) -> None:
-        """An instance goes on reading the store, and needs not serve by old knowledge.
+        """The client still reads the store, so the instance need not serve with stale state.
 
-        Its kept connections fall silent without an error, while new ones work.
+        Its idle connections become unresponsive without an error, while new ones work.
         """
         await asyncio.gather(*(self.client.read_endpoints() for _ in range(3)))
         self.silent_connections = {1, 2, 3}
--- a/tests/test_platform_wire.py
+++ b/tests/test_platform_wire.py
@@ -1,4 +1,4 @@
-"""Tests of the adapter: what the platform sends is decoded once, whatever it holds."""
+"""Tests of the adapter's decoders with valid and arbitrary input from the platform."""
 
 from __future__ import annotations
 
@@ -53,7 +53,7 @@
 
 
 class SettingsTest(unittest.TestCase):
-    """Settings are read whole, or all findings are told."""
+    """Settings are decoded completely, or all findings are reported."""
 
     def test_settings_are_decoded(self) -> None:
         settings = decode_settings(SETTINGS, file="f")
@@ -77,7 +77,7 @@
 
 
 class EndpointWireTest(unittest.TestCase):
-    """A row names an endpoint, or none; it never stops the others from being read."""
+    """A row yields one endpoint or none; it never prevents the others from being decoded."""
 
     def test_states(self) -> None:
         for state, ready in (("ready", True), ("draining", False)):
@@ -96,7 +96,7 @@
 
 
 class CatalogWireTest(unittest.TestCase):
-    """The operators' configuration becomes the product's types."""
+    """The operators' configuration is decoded to the relay's types."""
 
     def test_routes_services_and_keys(self) -> None:
         fields = {
@@ -132,7 +132,7 @@
 
 
 class RequestHeadersTest(unittest.TestCase):
-    """What is the relay's to set never comes from a caller, and keys never go on."""
+    """Headers that the relay sets never come from a caller, and keys are never forwarded."""
 
     def setUp(self) -> None:
         self.codec = PlatformHeaders()
@@ -205,7 +205,7 @@
 
 
 class BoundaryTest(unittest.TestCase):
-    """The platform's names stand in the adapter alone."""
+    """Names of the platform occur in the adapter only."""
 
     def list_modules(self) -> list[Path]:
         adapter = SOURCE / "platform"
--- a/tests/test_soak.py
+++ b/tests/test_soak.py
@@ -1,4 +1,4 @@
-"""Tests of the soak: its checks, its faults, and a short run of real processes."""
+"""Tests of the soak: its checks, its faults and a short run with real processes."""
 
 from __future__ import annotations
 
@@ -16,11 +16,11 @@
 from guavamast.relay.http_connection import ConnectionLost, HttpConnection
 
 CI_SEED = 209
-"""Chosen for its kinds: instances killed, frozen and stopped, an engine that crashes."""
+"""Seed whose faults include killed, frozen and stopped instances and an engine crash."""
 LONG_KEYS_SEED = 5552
-"""Chosen for an engine that leaves while an instance stands still."""
+"""Seed in which an engine leaves while an instance is frozen."""
 LONG_REVOKE_S = 9.0
-"""Longer than any freeze: keys are accepted by knowledge of any age that a run brings about."""
+"""Longer than any freeze, so that keys are accepted however old an instance's state gets."""
 CI_LENGTH_S = 9.0
 
 CALL = Asked(
@@ -45,7 +45,7 @@
 
 
 def build_record(asked: list[Asked], ran: list[Ran]) -> Record:
-    """Return what was seen in a run without faults, with a good answer at its end."""
+    """Return the record of a run without faults, with a valid answer at its end."""
     last = replace(CALL, request_id="last", sent=20.0, ended=20.1, answer_id="last")
     last_run = replace(RUN, request_id="last", began=20.05)
     return Record(
@@ -62,7 +62,7 @@
 
 
 class CheckTest(unittest.TestCase):
-    """Each broken promise is found."""
+    """Each violated guarantee is found."""
 
     def assert_broken(self, record: Record, text: str) -> None:
         broken = check(record)
@@ -133,7 +133,7 @@
 
 
 class ScheduleTest(unittest.TestCase):
-    """Faults follow from the seed and leave time to recover."""
+    """Faults are determined by the seed and leave time to recover."""
 
     def test_same_seed_same_faults(self) -> None:
         self.assertEqual(plan_faults(3, length_s=20.0), plan_faults(3, length_s=20.0))
@@ -147,7 +147,7 @@
 
 
 class LinkProxyTest(unittest.IsolatedAsyncioTestCase):
-    """Links do to connections what they are told to."""
+    """Links apply the configured fault to connections."""
 
     async def asyncSetUp(self) -> None:
         self.engine = EngineStandIn(engine_id="e1")
@@ -187,7 +187,7 @@
 
 
 class SoakRunTest(unittest.IsolatedAsyncioTestCase):
-    """Real instances under faults keep what is promised."""
+    """Real instances under faults violate no guarantee."""
 
     async def test_a_short_run_keeps_all_promises(self) -> None:
         with tempfile.TemporaryDirectory() as directory:
@@ -197,10 +197,10 @@
         self.assertGreater(verdict.answered, 0)
 
     async def test_old_knowledge_sends_nothing_while_keys_are_still_accepted(self) -> None:
-        """No engine that left gets anything from instances that stood still.
+        """An instance that was frozen sends nothing to an engine that left meanwhile.
 
-        With the usual short bound on revoked keys, an instance refuses all keys before what it
-        knows of engines is too old, which hides whether it would have sent by that.
+        With the usual short bound on revoked keys, an instance rejects all keys before its state of
+        engines is too old, which hides whether it would have sent requests by that state.
         """
         with tempfile.TemporaryDirectory() as directory:
             run = SoakRun(
