--- a/src/guavamast/platform/request_headers.py
+++ b/src/guavamast/platform/request_headers.py
@@ -114,7 +114,7 @@
             headers=_filter_headers(headers, fields, frozenset()),
             request_id=fields.get(REQUEST_ID.lower()),
             sealed=SIGNATURE.lower() in fields,
-            # 421 comes from another engine at the address and carries no such header.
+            # Another engine at the address answers 421 without the not-executed header.
             refused_unrun=NOT_RUN.lower() in fields or status == 421,
             encoded=encoding not in ("", "identity"),
             event_stream=fields.get("content-type", "").startswith("text/event-stream"),
--- a/src/guavamast/platform/settings.py
+++ b/src/guavamast/platform/settings.py
@@ -14,7 +14,7 @@
 SETTINGS_VARIABLE = "GUAVAMAST_SETTINGS"
 """Environment variable that holds the path of the file."""
 DEFAULT_BOUND_S = 3600.0
-"""Seconds for a bound that is not set: state may be this old, so that an outage is bridged."""
+"""Seconds for which an instance serves by its last state in an outage, if no bound is set."""
 
 
 class _SettingsReader:
--- a/src/guavamast/platform/standins/engine.py
+++ b/src/guavamast/platform/standins/engine.py
@@ -1,4 +1,4 @@
-"""Stand-in for an engine or service: fixed answers, recorded runs and injected faults."""
+"""Stand-in for an engine or service: deterministic answers, recorded runs, injected faults."""
 
 from __future__ import annotations
 
--- a/tests/test_platform_path.py
+++ b/tests/test_platform_path.py
@@ -281,7 +281,7 @@
         self.assertGreaterEqual(len(third.runs), 9)
 
     async def test_a_paused_instance_sends_nothing_by_an_old_configuration(self) -> None:
-        """No call runs at a service that lost its route more than the bound before.
+        """No call runs at a service that lost its route longer ago than the bound.
 
         The instance is paused for 2.5 s; meanwhile an operator moves the route to another service,
         which must be in force after 2 s, and callers send requests. The resumed instance receives
@@ -309,7 +309,7 @@
         self.assertEqual(annex.runs[-1].request_id, "last")
 
     async def test_a_paused_instance_sends_nothing_to_an_engine_that_left(self) -> None:
-        """No call reaches an engine more than the bound after its row said that it drains.
+        """No call reaches an engine that started to drain longer ago than the bound.
 
         The instance is paused for 2.5 s; meanwhile an engine starts to drain, must receive nothing
         more from 2 s on, and callers send requests. The resumed instance receives them before it
--- a/tests/test_platform_wire.py
+++ b/tests/test_platform_wire.py
@@ -96,7 +96,7 @@
 
 
 class CatalogWireTest(unittest.TestCase):
-    """The operators' configuration is decoded to the relay's types."""
+    """The operators' configuration is decoded into the relay's types."""
 
     def test_routes_services_and_keys(self) -> None:
         fields = {
