--- a/src/guavamast/log_report.py
+++ b/src/guavamast/log_report.py
@@ -1,6 +1,6 @@
 """Report of request outcomes from the log lines of all instances.
 
-It shows an engineer on call which routes lost answers, when and for what reason, without a search
+It shows an engineer on call which routes lost responses, when and for what reason, without a search
 for single request ids.
 """
 
@@ -32,7 +32,7 @@
 
     name: str
     outcomes: Counter[str] = field(default_factory=Counter)
-    """Number of requests by outcome; late answers by the cause of their delay."""
+    """Number of requests by outcome; late responses by the cause of their delay."""
     first_events_s: list[float] = field(default_factory=list)
     """Seconds to the first event of streams that were answered."""
     pauses_s: list[float] = field(default_factory=list)
--- a/src/guavamast/platform/demo.py
+++ b/src/guavamast/platform/demo.py
@@ -21,7 +21,7 @@
 
 
 async def ask(address: SocketAddress, target: str, *, request_id: str, body: bytes = b"") -> str:
-    """Send one request as a caller and return the answer's status and body."""
+    """Send one request as a caller and return the response's status and body."""
     connection = await HttpConnection.open(address.ip, address.port, timeout_s=1.0)
     headers = [("Host", HOST), ("Authorization", f"Bearer {KEY}"), ("X-Attempt-Id", request_id)]
     if body:
@@ -48,7 +48,7 @@
 
 
 async def run_demo() -> None:
-    """Start the site, send the requests and print the answers."""
+    """Start the site, send the requests and print the responses."""
     site = Site()
     await site.start()
     settings = decode_settings(site.make_settings("demo"), file="demo")
--- a/src/guavamast/platform/request_headers.py
+++ b/src/guavamast/platform/request_headers.py
@@ -105,7 +105,7 @@
         return headers
 
     def read_answer(self, status: int, headers: list[Header]) -> AnswerHead:
-        """Return the decoded head of an endpoint's answer."""
+        """Return the decoded head of an endpoint's response."""
         fields = {name.lower(): value for name, value in headers}
         connection = fields.get("connection", "").lower()
         encoding = fields.get("content-encoding", "identity").lower()
@@ -123,7 +123,7 @@
         )
 
     def write_refusal(self, request_id: str, retry_after_s: float | None) -> list[Header]:
-        """Return the headers of an answer that the relay generates itself."""
+        """Return the headers of a response that the relay generates itself."""
         headers = [(REQUEST_ID, request_id)] if request_id else []
         if retry_after_s is not None:
             headers.append(("Retry-After", f"{retry_after_s:.3f}"))
--- a/src/guavamast/platform/standins/engine.py
+++ b/src/guavamast/platform/standins/engine.py
@@ -1,4 +1,4 @@
-"""Stand-in for an engine or service: deterministic answers, recorded runs, injected faults."""
+"""Stand-in for an engine or service: deterministic responses, recorded runs, injected faults."""
 
 from __future__ import annotations
 
@@ -26,9 +26,9 @@
     CUT = "cut"
     """Closes the connection in the middle of a stream's third event."""
     LOSE = "lose"
-    """Runs the request and closes the connection without an answer."""
+    """Runs the request and closes the connection without a response."""
     EXTRA = "extra"
-    """Sends a second answer, to another request, after each answer."""
+    """Sends a second response, to another request, after each response."""
     CROSSED = "crossed"
     """Answers with the id of another request."""
     HANG = "hang"
@@ -61,12 +61,12 @@
         self.engine_id = engine_id
         self.fault = EngineFault.NONE
         self.work_s = 0.0
-        """Seconds that a request takes before its answer begins."""
+        """Seconds that a request takes before its response begins."""
         self.events = EVENTS
         """Number of events in each stream."""
         self.runs: list[Run] = []
         self.abandoned = 0
-        """Number of requests whose connection closed before the answer was complete."""
+        """Number of requests whose connection closed before the response was complete."""
         self.connections = 0
         self._server: asyncio.Server | None = None
         self._writers: dict[asyncio.StreamWriter, asyncio.Task[None]] = {}
@@ -130,7 +130,7 @@
             await reader.read()
             self.abandoned += 1
             return False
-        return await self._answer(http, writer, request, body)
+        return await self._respond(http, writer, request, body)
 
     def _record_run(self, request: h11.Request, body: bytes) -> Run:
         headers = {name.decode(): value.decode() for name, value in request.headers}
@@ -145,7 +145,7 @@
         self.runs.append(run)
         return run
 
-    async def _answer(
+    async def _respond(
         self, http: h11.Connection, writer: asyncio.StreamWriter, request: h11.Request, body: bytes
     ) -> bool:
         headers = {name.decode(): value.decode() for name, value in request.headers}
@@ -158,8 +158,8 @@
         await asyncio.sleep(self.work_s)
         if self.fault is EngineFault.LOSE:
             return False
-        answer_id = "other" if self.fault is EngineFault.CROSSED else request_id
-        common = [("X-Attempt-Id", answer_id), ("Keep-Alive", f"timeout={KEEP_ALIVE_S}")]
+        response_id = "other" if self.fault is EngineFault.CROSSED else request_id
+        common = [("X-Attempt-Id", response_id), ("Keep-Alive", f"timeout={KEEP_ALIVE_S}")]
         if self.fault is not EngineFault.UNSEALED:
             common.append(("X-Engine-Seal", f"seal-{self.engine_id}"))
         if self.fault is EngineFault.ERROR:
--- a/src/guavamast/platform/standins/store.py
+++ b/src/guavamast/platform/standins/store.py
@@ -38,7 +38,7 @@
     def __init__(self) -> None:
         self._rows: dict[tuple[str, str], _Row] = {}
         self._version = 0
-        self._server = HTTPServer(self._answer)
+        self._server = HTTPServer(self._handle_request)
         self.fault = StoreFault.NONE
 
     def listen(self) -> int:
@@ -71,19 +71,19 @@
         self._version += 1
         self._rows.pop((table, key), None)
 
-    def _answer(self, request: httputil.HTTPServerRequest) -> None:
+    def _handle_request(self, request: httputil.HTTPServerRequest) -> None:
         if self.fault is StoreFault.SILENT:
             return
         if self.fault is StoreFault.BUSY:
-            _write_answer(request, 503, {})
+            _write_response(request, 503, {})
         elif request.path == "/v1/rows-get":
-            _write_answer(request, 200, self._get(request))
+            _write_response(request, 200, self._get(request))
         elif request.path == "/v1/rows-tx":
-            answer = self._transact(json.loads(request.body))
+            response = self._transact(json.loads(request.body))
             if self.fault is not StoreFault.LOSES_ANSWERS:
-                _write_answer(request, 200, answer)
+                _write_response(request, 200, response)
         else:
-            _write_answer(request, 404, {})
+            _write_response(request, 404, {})
 
     def _get(self, request: httputil.HTTPServerRequest) -> dict[str, Any]:
         table = request.query_arguments["table"][0].decode()
@@ -115,7 +115,9 @@
         return fields | {"ver": self._version, "now_ms": now_ms}
 
 
-def _write_answer(request: httputil.HTTPServerRequest, status: int, fields: dict[str, Any]) -> None:
+def _write_response(
+    request: httputil.HTTPServerRequest, status: int, fields: dict[str, Any]
+) -> None:
     body = json.dumps(fields).encode()
     headers = httputil.HTTPHeaders(
         {"Content-Type": "application/json", "Content-Length": str(len(body))}
--- a/src/guavamast/platform/store_client.py
+++ b/src/guavamast/platform/store_client.py
@@ -46,7 +46,7 @@
 
     Args:
         address: The store's address.
-        clock: Receives the store time of each answer.
+        clock: Receives the store time of each response.
         read_time: Returns the local time in seconds.
     """
 
@@ -67,9 +67,9 @@
     async def read_catalog(self, *, known: Catalog | None) -> CatalogReading:
         """Read the operators' configuration."""
         query = {"table": _OPERATOR_TABLE, "part": "", "from": _CONFIGURATION_KEY, "limit": 1}
-        answer = await self._get("/v1/rows-get", query)
-        store_time = _decode_store_time(answer)
-        rows = [row for row in answer["rows"] if row.get("key") == _CONFIGURATION_KEY]
+        response = await self._get("/v1/rows-get", query)
+        store_time = _decode_store_time(response)
+        rows = [row for row in response["rows"] if row.get("key") == _CONFIGURATION_KEY]
         if not rows:
             return CatalogReading(catalog=None, reading=store_time)
         version = int(rows[0]["ver"])
@@ -153,19 +153,19 @@
         start = ""
         while True:
             query = {"table": table, "part": "", "from": start, "limit": PAGE_ROWS}
-            answer = await self._get("/v1/rows-get", query)
-            store_time = _decode_store_time(answer) if store_time is None else store_time
-            rows.extend(answer["rows"])
-            if not answer.get("more_pages") or not answer["rows"]:
+            response = await self._get("/v1/rows-get", query)
+            store_time = _decode_store_time(response) if store_time is None else store_time
+            rows.extend(response["rows"])
+            if not response.get("more_pages") or not response["rows"]:
                 return rows, store_time
-            start = answer["rows"][-1]["key"] + "\x00"
+            start = response["rows"][-1]["key"] + "\x00"
 
     async def _get(self, path: str, query: dict[str, str | int]) -> dict[str, Any]:
         target = f"{path}?{urlencode(query)}"
-        answer = await self._call("GET", target, b"", timeout_s=CALL_TIMEOUT_S)
-        if not isinstance(answer.get("rows"), list):
-            raise StoreError("answer has no list of rows")
-        return answer
+        response = await self._call("GET", target, b"", timeout_s=CALL_TIMEOUT_S)
+        if not isinstance(response.get("rows"), list):
+            raise StoreError("response has no list of rows")
+        return response
 
     async def _call(
         self, method: str, target: str, body: bytes, *, timeout_s: float
@@ -194,7 +194,7 @@
     async def _call_on(
         self, connection: HttpConnection, method: str, target: str, body: bytes, *, timeout_s: float
     ) -> dict[str, Any]:
-        """Make one call on a connection and keep it for reuse if the answer was complete."""
+        """Make one call on a connection and keep it for reuse if the response was complete."""
         sent = self._read_time()
         exchange = self._exchange(connection, method, target, body)
         try:
@@ -206,12 +206,12 @@
         if status != 200:
             raise StoreError(f"status {status}")
         try:
-            answer = json.loads(data)
+            response = json.loads(data)
         except ValueError as error:
             raise StoreError(f"answer: {error}") from error
-        if "now_ms" in answer:
-            self._clock.record(sent=sent, reading=_decode_store_time(answer))
-        return answer
+        if "now_ms" in response:
+            self._clock.record(sent=sent, reading=_decode_store_time(response))
+        return response
 
     def _pop_idle(self) -> HttpConnection | None:
         while self._idle:
@@ -240,9 +240,9 @@
         return head.status, bytes(data)
 
 
-def _decode_store_time(answer: dict[str, Any]) -> float:
-    """Return the store time of an answer in seconds; it is sent in milliseconds."""
-    return float(answer["now_ms"]) / 1000.0
+def _decode_store_time(response: dict[str, Any]) -> float:
+    """Return the store time of a response in seconds; it is sent in milliseconds."""
+    return float(response["now_ms"]) / 1000.0
 
 
 def _decode_value(row: dict[str, Any]) -> Any:
--- a/tests/_platform_callers.py
+++ b/tests/_platform_callers.py
@@ -18,7 +18,7 @@
 
 @dataclass(frozen=True, slots=True, kw_only=True)
 class Reply:
-    """The answer that a caller received."""
+    """The response that a caller received."""
 
     status: int
     headers: dict[str, str]
--- a/tests/test_platform_path.py
+++ b/tests/test_platform_path.py
@@ -132,10 +132,10 @@
         self.assertEqual(len(self.site.engines["pool-0"].runs), 1)
 
     async def test_a_stream_that_can_not_be_resumed_is_visibly_cut(self) -> None:
-        """The caller sees that the answer is incomplete, and the request is not run again.
+        """The caller sees that the response is incomplete, and the request is not run again.
 
         The engine disconnects in the third event; the caller has received two, and its connection
-        is closed without the end of the answer.
+        is closed without the end of the response.
         """
         instance = await self.start_instance()
         self.set_fault(EngineFault.CUT)
@@ -148,7 +148,7 @@
     async def test_a_call_that_may_have_run_is_not_sent_again(self) -> None:
         """The caller gets 502, which does not say whether the call ran, and the call ran once.
 
-        The engine runs the call and closes the connection without an answer.
+        The engine runs the call and closes the connection without a response.
         """
         instance = await self.start_instance()
         self.set_fault(EngineFault.LOSE)
@@ -180,9 +180,9 @@
         self.assertEqual(self.count_runs(), 1)
 
     async def test_a_second_answer_never_reaches_the_next_caller(self) -> None:
-        """Each caller gets its own answer although engines send a second one after each answer.
+        """Each caller gets its own response although engines send a second one after each.
 
-        The second answer arrives on the idle connection, where the next request would take it for
+        The second response arrives on the idle connection, where the next request would take it for
         its own. The connection is closed instead.
         """
         instance = await self.start_instance()
@@ -369,7 +369,7 @@
             instance.process.send_signal(signal.SIGCONT)
 
     async def test_a_stopped_instance_answers_what_it_has_and_leaves_the_directory(self) -> None:
-        """No answer is lost when an instance is stopped.
+        """No response is lost when an instance is stopped.
 
         SIGTERM arrives while a stream is in progress. The instance is no longer ready or listed to
         callers, still answers those that use its old address, and exits with code 0 in time.
@@ -386,9 +386,9 @@
         late = await (await Caller.open(first.callers)).send_request(CALLS + "x", body=b"pay")
         self.assertEqual((late.status, late.headers.get("connection")), (200, "close"))
         resolver = await Caller.open(second.directory)
-        answer = await resolver.send_request(f"/v1/resolve?name={HOST}&region=r&zone=a")
-        self.assertNotIn(first.callers.encode(), answer.body)
-        self.assertIn(second.callers.encode(), answer.body)
+        response = await resolver.send_request(f"/v1/resolve?name={HOST}&region=r&zone=a")
+        self.assertNotIn(first.callers.encode(), response.body)
+        self.assertIn(second.callers.encode(), response.body)
         self.assertEqual(await asyncio.wait_for(first.process.wait(), READY_S), 0)
 
     async def test_a_reload_while_a_process_starts_does_not_end_it(self) -> None:
--- a/tests/test_soak.py
+++ b/tests/test_soak.py
@@ -45,7 +45,7 @@
 
 
 def build_record(asked: list[Asked], ran: list[Ran]) -> Record:
-    """Return the record of a run without faults, with a valid answer at its end."""
+    """Return the record of a run without faults, with a valid response at its end."""
     last = replace(CALL, request_id="last", sent=20.0, ended=20.1, answer_id="last")
     last_run = replace(RUN, request_id="last", began=20.05)
     return Record(
