--- a/src/guavamast/platform/catalog_wire.py
+++ b/src/guavamast/platform/catalog_wire.py
@@ -11,7 +11,7 @@
     Catalog,
     Route,
     RouteKind,
-    ServiceRule,
+    ServiceSettings,
     WeightedService,
 )
 
@@ -78,13 +78,13 @@
     return min(9, max(0, int(value)))  # type: ignore[call-overload]
 
 
-def _decode_service(entry: dict[str, Any]) -> ServiceRule:
+def _decode_service(entry: dict[str, Any]) -> ServiceSettings:
     engine = entry.get("engine")
-    return ServiceRule(
+    return ServiceSettings(
         name=entry["name"],
         health_path=entry.get("health_path") or "/",
         max_connections=int(entry.get("max_connections") or 64),
-        prompt_cache_tokens=int(engine.get("kv_capacity_tokens") or 0) if engine else None,
+        kv_capacity_tokens=int(engine.get("kv_capacity_tokens") or 0) if engine else None,
     )
 
 
--- a/src/guavamast/platform/endpoint_wire.py
+++ b/src/guavamast/platform/endpoint_wire.py
@@ -41,5 +41,5 @@
         failure_domain=zone if isinstance(zone, str) else "",
         slots=slots if isinstance(slots, int) and slots > 0 else 1,
         ready=state == "ready",
-        born_ms=born if isinstance(born, int) else None,
+        started_ms=born if isinstance(born, int) else None,
     )
--- a/src/guavamast/platform/questions.py
+++ b/src/guavamast/platform/questions.py
@@ -6,10 +6,10 @@
 from typing import TYPE_CHECKING
 from urllib.parse import parse_qs
 
-from guavamast.relay.beats import InstanceState
+from guavamast.relay.heartbeat_messages import InstanceState
 from guavamast.relay.boot_clock import read_boot_time
-from guavamast.relay.caller_addresses import VALIDITY_S, CallerPlace, choose_addresses
-from guavamast.relay.listener import Question
+from guavamast.relay.caller_addresses import VALIDITY_S, CallerLocation, choose_addresses
+from guavamast.relay.listener import QueryHandler
 
 if TYPE_CHECKING:
     from guavamast.relay.node import Node
@@ -18,7 +18,7 @@
 _TEXT = "text/plain"
 
 
-class NodeQueryHandler(Question):
+class NodeQueryHandler(QueryHandler):
     """Base of the handlers of queries about one instance.
 
     Args:
@@ -32,12 +32,12 @@
 class AddressQueryHandler(NodeQueryHandler):
     """``GET /v1/resolve``: addresses for a caller."""
 
-    def answer(self, path: str, query: str) -> tuple[int, str, str] | None:
+    def handle(self, path: str, query: str) -> tuple[int, str, str] | None:
         """Return the addresses for the caller's location."""
         if path != "/v1/resolve":
             return None
         fields = parse_qs(query)
-        location = CallerPlace(
+        location = CallerLocation(
             region=fields.get("region", [""])[0],
             failure_domain=fields.get("zone", [""])[0],
         )
@@ -51,7 +51,7 @@
 class ReadinessQueryHandler(NodeQueryHandler):
     """``GET /v1/ready``: whether this instance accepts new requests."""
 
-    def answer(self, path: str, query: str) -> tuple[int, str, str] | None:
+    def handle(self, path: str, query: str) -> tuple[int, str, str] | None:
         """Return 200 when callers may connect, otherwise 503."""
         del query
         if path != "/v1/ready":
@@ -63,14 +63,14 @@
 class MetricsQueryHandler(NodeQueryHandler):
     """``GET /metrics``."""
 
-    def answer(self, path: str, query: str) -> tuple[int, str, str] | None:
+    def handle(self, path: str, query: str) -> tuple[int, str, str] | None:
         """Return all metrics as text."""
         del query
         if path != "/metrics":
             return None
         now = read_boot_time()
         counters = self._node.counters
-        ages = self._node.knowledge.show_ages(now=now)
+        ages = self._node.fleet_state.round_ages(now=now)
         counters.set("config_age_seconds", ages.config_s)
         counters.set("endpoints_age_seconds", ages.endpoints_s)
         counters.set("instances_live", 1 + len(self._node.peers.list_live(now=now)))
--- a/src/guavamast/platform/request_headers.py
+++ b/src/guavamast/platform/request_headers.py
@@ -5,12 +5,12 @@
 from typing import Final
 
 from guavamast.relay.messages import (
-    AnswerHead,
+    EndpointResponseHead,
     CallerRequest,
     Header,
     HeaderCodec,
     PromptPart,
-    SendTerms,
+    SendParameters,
 )
 
 REQUEST_ID: Final = "X-Attempt-Id"
@@ -61,7 +61,7 @@
 
     __slots__ = ()
 
-    def read_request(
+    def decode_request(
         self,
         *,
         method: str,
@@ -82,14 +82,14 @@
             body=body,
             has_body=bool(body) or "content-length" in fields or "transfer-encoding" in fields,
             api_key=_parse_bearer_key(fields.get("authorization")),
-            patience_s=_parse_timeout_s(fields.get(TIMEOUT.lower())),
+            timeout_s=_parse_timeout_s(fields.get(TIMEOUT.lower())),
             prompt_parts=_parse_prompt_parts(fields.get(PROMPT_PARTS.lower())),
             prompt_tokens=prompt_tokens,
             output_tokens=output_tokens,
-            arrived=arrived,
+            received_at=arrived,
         )
 
-    def write_request(self, request: CallerRequest, terms: SendTerms) -> list[Header]:
+    def encode_request(self, request: CallerRequest, terms: SendParameters) -> list[Header]:
         """Return the headers of a request to an endpoint."""
         headers = list(request.headers)
         if terms.resume_after is not None:
@@ -98,31 +98,31 @@
         headers.append(("X-Expect-Instance", terms.endpoint_id))
         if terms.organisation is not None:
             headers.append(("X-Tenant", terms.organisation))
-        if terms.time_left_s is not None:
-            headers.append((TIMEOUT, str(max(1, int(terms.time_left_s * 1000)))))
+        if terms.remaining_s is not None:
+            headers.append((TIMEOUT, str(max(1, int(terms.remaining_s * 1000)))))
         if terms.urgency is not None:
             headers.append(("X-Request-Urgency", str(terms.urgency)))
         return headers
 
-    def read_answer(self, status: int, headers: list[Header]) -> AnswerHead:
+    def decode_response(self, status: int, headers: list[Header]) -> EndpointResponseHead:
         """Return the decoded head of an endpoint's response."""
         fields = {name.lower(): value for name, value in headers}
         connection = fields.get("connection", "").lower()
         encoding = fields.get("content-encoding", "identity").lower()
-        return AnswerHead(
+        return EndpointResponseHead(
             status=status,
             headers=_filter_headers(headers, fields, frozenset()),
             request_id=fields.get(REQUEST_ID.lower()),
-            sealed=SIGNATURE.lower() in fields,
+            signed=SIGNATURE.lower() in fields,
             # Another engine at the address answers 421 without the not-executed header.
-            refused_unrun=NOT_RUN.lower() in fields or status == 421,
+            not_run=NOT_RUN.lower() in fields or status == 421,
             encoded=encoding not in ("", "identity"),
             event_stream=fields.get("content-type", "").startswith("text/event-stream"),
             keep_alive_s=_parse_keep_alive(fields.get("keep-alive")),
-            closes="close" in connection,
+            closes_connection="close" in connection,
         )
 
-    def write_refusal(self, request_id: str, retry_after_s: float | None) -> list[Header]:
+    def encode_rejection(self, request_id: str, retry_after_s: float | None) -> list[Header]:
         """Return the headers of a response that the relay generates itself."""
         headers = [(REQUEST_ID, request_id)] if request_id else []
         if retry_after_s is not None:
--- a/src/guavamast/platform/settings.py
+++ b/src/guavamast/platform/settings.py
@@ -127,9 +127,9 @@
         # The default bound applies where keys need not stop working at once.
         revocation_s=_read_revocation(reader),
         grace_s=reader.read("bounds.grace_s", _read_positive, 8.0),
-        repeat_ratio=reader.read("bounds.retry_budget_ratio", _read_positive, 0.1),
-        repeat_slack=reader.read("bounds.budget_slack", _read_positive, 10.0),
-        repeat_window_s=reader.read("bounds.budget_window_s", _read_positive, 10.0),
+        retry_ratio=reader.read("bounds.retry_budget_ratio", _read_positive, 0.1),
+        retry_slack=reader.read("bounds.budget_slack", _read_positive, 10.0),
+        retry_window_s=reader.read("bounds.budget_window_s", _read_positive, 10.0),
         link_mbps=_read_optional(reader, "limits.link_mbps"),
         processor_share=_read_optional(reader, "limits.cpu_share")
         * (_read_optional(reader, "limits.cores") or 1.0),
--- a/src/guavamast/platform/store_client.py
+++ b/src/guavamast/platform/store_client.py
@@ -11,10 +11,10 @@
 from guavamast.platform.endpoint_wire import decode_endpoint
 from guavamast.relay.endpoint_table import compute_digest
 from guavamast.relay.http_connection import ConnectionLost, HttpConnection, MalformedAnswer
-from guavamast.relay.loop_timeout import wait_turns
+from guavamast.relay.loop_timeout import wait_in_steps
 from guavamast.relay.store import (
-    CatalogReading,
-    EndpointReading,
+    CatalogSnapshot,
+    EndpointSnapshot,
     InstanceRecord,
     Store,
     StoreError,
@@ -64,23 +64,23 @@
         self._read_time = read_time
         self._idle: list[HttpConnection] = []
 
-    async def read_catalog(self, *, known: Catalog | None) -> CatalogReading:
+    async def read_catalog(self, *, known: Catalog | None) -> CatalogSnapshot:
         """Read the operators' configuration."""
         query = {"table": _OPERATOR_TABLE, "part": "", "from": _CONFIGURATION_KEY, "limit": 1}
         response = await self._get("/v1/rows-get", query)
         store_time = _decode_store_time(response)
         rows = [row for row in response["rows"] if row.get("key") == _CONFIGURATION_KEY]
         if not rows:
-            return CatalogReading(catalog=None, reading=store_time)
+            return CatalogSnapshot(catalog=None, store_time=store_time)
         version = int(rows[0]["ver"])
         if known is not None and known.row_version == version:
-            return CatalogReading(catalog=known, reading=store_time)
+            return CatalogSnapshot(catalog=known, store_time=store_time)
         try:
             text = _decode_text(rows[0])
         except ValueError as error:
             raise StoreError(f"configuration: {error}") from error
         catalog = self.decode_catalog(text, row_version=version)
-        return CatalogReading(catalog=catalog, reading=store_time, text=text)
+        return CatalogSnapshot(catalog=catalog, store_time=store_time, text=text)
 
     def decode_catalog(self, text: bytes, *, row_version: int) -> Catalog:
         """Decode the configuration of a row."""
@@ -90,7 +90,7 @@
             reason = f"configuration: {type(error).__name__}: {error}"
             raise StoreError(reason) from error
 
-    async def read_endpoints(self) -> EndpointReading:
+    async def read_endpoints(self) -> EndpointSnapshot:
         """Read the table of endpoints; rows that can't be decoded are skipped."""
         rows, store_time = await self._get_all(_ENDPOINT_TABLE)
         records = []
@@ -103,7 +103,7 @@
             if record is not None:
                 records.append(record)
         digest = compute_digest((str(row["key"]), int(row["ver"])) for row in rows)
-        return EndpointReading(records=records, digest=digest, reading=store_time)
+        return EndpointSnapshot(records=records, digest=digest, store_time=store_time)
 
     async def read_instances(self) -> list[InstanceRecord]:
         """Read all registered instances."""
@@ -198,7 +198,7 @@
         sent = self._read_time()
         exchange = self._exchange(connection, method, target, body)
         try:
-            status, data = await wait_turns(exchange, timeout_s=timeout_s)
+            status, data = await wait_in_steps(exchange, timeout_s=timeout_s)
         finally:
             if not connection.reusable:
                 connection.close()
@@ -210,7 +210,7 @@
         except ValueError as error:
             raise StoreError(f"answer: {error}") from error
         if "now_ms" in response:
-            self._clock.record(sent=sent, reading=_decode_store_time(response))
+            self._clock.record(sent=sent, store_time=_decode_store_time(response))
         return response
 
     def _pop_idle(self) -> HttpConnection | None:
--- a/tests/test_platform_store_client.py
+++ b/tests/test_platform_store_client.py
@@ -54,7 +54,7 @@
         """
         await asyncio.gather(*(self.client.read_endpoints() for _ in range(3)))
         self.silent_connections = {1, 2, 3}
-        self.assertEqual((await self.client.read_endpoints()).reading, 5.0)
+        self.assertEqual((await self.client.read_endpoints()).store_time, 5.0)
         self.assertEqual(self.accepted, 4)
 
     async def test_a_silent_store_is_an_error(self) -> None:
--- a/tests/test_platform_wire.py
+++ b/tests/test_platform_wire.py
@@ -16,7 +16,7 @@
 from guavamast.platform.request_headers import PlatformHeaders
 from guavamast.platform.settings import decode_settings
 from guavamast.relay.catalog import RouteKind
-from guavamast.relay.messages import PromptPart, SendTerms
+from guavamast.relay.messages import PromptPart, SendParameters
 
 SOURCE = Path(__file__).resolve().parent.parent / "src" / "guavamast"
 SETTINGS = {
@@ -138,17 +138,17 @@
         self.codec = PlatformHeaders()
 
     def forward_headers(self, *headers: tuple[str, str]) -> dict[str, str]:
-        request = self.codec.read_request(
+        request = self.codec.decode_request(
             method="POST", target="/p", headers=list(headers), body=b"x", arrived=0.0
         )
-        terms = SendTerms(
+        terms = SendParameters(
             endpoint_id="i-1",
             organisation="bakery",
-            time_left_s=1.25,
+            remaining_s=1.25,
             urgency=2,
             resume_after=None,
         )
-        return {name.lower(): value for name, value in self.codec.write_request(request, terms)}
+        return {name.lower(): value for name, value in self.codec.encode_request(request, terms)}
 
     def test_callers_cannot_set_the_relays_headers(self) -> None:
         forged = ("X-Tenant", "X-Hold", "X-Pin-Ms", "X-Kv-Backup", "Kv-From", "Kv-Fetch")
@@ -169,7 +169,7 @@
         self.assertEqual(sent["x-model"], "m")
 
     def test_facts_of_a_request(self) -> None:
-        request = self.codec.read_request(
+        request = self.codec.decode_request(
             method="POST",
             target="/p?q=1",
             headers=[
@@ -184,10 +184,10 @@
         parts = (PromptPart(part_id="5c", tokens=800), PromptPart(part_id="91", tokens=410))
         self.assertEqual(request.prompt_parts, parts)
         self.assertEqual((request.prompt_tokens, request.output_tokens), (1210, 80))
-        self.assertEqual((request.api_key, request.patience_s, request.path), ("k", 1.5, "/p"))
+        self.assertEqual((request.api_key, request.timeout_s, request.path), ("k", 1.5, "/p"))
 
     def test_facts_of_an_answer(self) -> None:
-        head = self.codec.read_answer(
+        head = self.codec.decode_response(
             200,
             [
                 ("X-Engine-Seal", "s"),
@@ -196,12 +196,12 @@
                 ("Content-Length", "5"),
             ],
         )
-        self.assertTrue(head.sealed)
+        self.assertTrue(head.signed)
         self.assertEqual((head.request_id, head.keep_alive_s), ("r", 3.0))
         self.assertEqual([name for name, _ in head.headers], ["X-Engine-Seal", "X-Attempt-Id"])
-        self.assertTrue(self.codec.read_answer(421, []).refused_unrun)
-        self.assertFalse(self.codec.read_answer(503, []).refused_unrun)
-        self.assertTrue(self.codec.read_answer(503, [("X-Not-Executed", "1")]).refused_unrun)
+        self.assertTrue(self.codec.decode_response(421, []).not_run)
+        self.assertFalse(self.codec.decode_response(503, []).not_run)
+        self.assertTrue(self.codec.decode_response(503, [("X-Not-Executed", "1")]).not_run)
 
 
 class BoundaryTest(unittest.TestCase):
