--- a/src/guavamast/platform/demo.py
+++ b/src/guavamast/platform/demo.py
@@ -1,4 +1,4 @@
-"""The path on the platform in one process: store, engines, an instance and a few requests."""
+"""Demo of the platform in one process: store, engines, an instance and a few requests."""
 
 from __future__ import annotations
 
@@ -16,12 +16,12 @@
 if TYPE_CHECKING:
     from guavamast.relay.node_settings import SocketAddress
 
-START_S = 10.0
-"""Time for the instance to become ready."""
+READY_TIMEOUT_S = 10.0
+"""Seconds within which the instance must become ready."""
 
 
 async def ask(address: SocketAddress, target: str, *, request_id: str, body: bytes = b"") -> str:
-    """Send one request as a caller does; return the status and the answer's body."""
+    """Send one request as a caller and return the response's status and body."""
     connection = await HttpConnection.open(address.ip, address.port, timeout_s=1.0)
     headers = [("Host", HOST), ("Authorization", f"Bearer {KEY}"), ("X-Attempt-Id", request_id)]
     if body:
@@ -36,8 +36,8 @@
 
 
 async def wait_ready(address: SocketAddress) -> None:
-    """Return when the instance is ready."""
-    async with asyncio.timeout(START_S):
+    """Wait until the instance is ready."""
+    async with asyncio.timeout(READY_TIMEOUT_S):
         while True:
             try:
                 if (await ask(address, "/v1/ready", request_id="")).startswith("200"):
@@ -47,13 +47,13 @@
             await asyncio.sleep(0.05)
 
 
-async def show() -> None:
-    """Start the site, make the requests and print what came back."""
+async def run_demo() -> None:
+    """Start the site, send the requests and print the responses."""
     site = Site()
     await site.start()
     settings = decode_settings(site.make_settings("demo"), file="demo")
     with open(os.devnull, "wb") as log:
-        serving = asyncio.create_task(run_node(settings, log_descriptor=log.fileno()))
+        instance_task = asyncio.create_task(run_node(settings, log_descriptor=log.fileno()))
         assert settings.readiness is not None
         await wait_ready(settings.readiness)
         callers = settings.callers
@@ -70,13 +70,13 @@
         events = (await stream).replace("\n", " ")
         print("stream whose engine broke off:", events)
         os.kill(os.getpid(), signal.SIGTERM)
-        await serving
+        await instance_task
     await site.stop()
 
 
 def main() -> None:
     """Run the demo."""
-    asyncio.run(show())
+    asyncio.run(run_demo())
 
 
 if __name__ == "__main__":
--- a/src/guavamast/platform/store_client.py
+++ b/src/guavamast/platform/store_client.py
@@ -1,4 +1,4 @@
-"""The platform's store over HTTP."""
+"""HTTP client of the platform's store."""
 
 from __future__ import annotations
 
@@ -27,13 +27,13 @@
     from guavamast.relay.freshness import StoreClock
     from guavamast.relay.node_settings import SocketAddress
 
-KEPT_TIMEOUT_S: Final = 0.3
-"""For one call on a kept connection, in seconds: a silent one is given up soon enough for a new one
-before anything gets too old."""
+REUSED_CONNECTION_TIMEOUT_S: Final = 0.3
+"""Seconds for one call on a reused connection; short enough to retry an unresponsive one on a new
+connection before any state gets too old."""
 CALL_TIMEOUT_S: Final = 0.5
-"""For connecting, and for one call on a new connection, in seconds."""
-LONG_TIMEOUT_S: Final = 2.0
-"""For calls that nobody waits for."""
+"""Seconds for connecting, and for one call on a new connection."""
+BACKGROUND_TIMEOUT_S: Final = 2.0
+"""Seconds for calls that no request waits for."""
 INSTANCES_TABLE: Final = "instances"
 PAGE_ROWS: Final = 500
 _OPERATOR_TABLE: Final = "op"
@@ -42,12 +42,12 @@
 
 
 class StoreClient(Store):
-    """Calls the store over connections that are kept.
+    """Calls the store over persistent connections.
 
     Args:
-        address: Where the store listens.
-        clock: Learns from each answer how the store's clock stands.
-        read_time: The local clock.
+        address: The store's address.
+        clock: Receives the store time of each response.
+        read_time: Returns the local time in seconds.
     """
 
     __slots__ = ("_address", "_clock", "_idle", "_read_time")
@@ -67,23 +67,23 @@
     async def read_catalog(self, *, known: Catalog | None) -> CatalogSnapshot:
         """Read the operators' configuration."""
         query = {"table": _OPERATOR_TABLE, "part": "", "from": _CONFIGURATION_KEY, "limit": 1}
-        answer = await self._get("/v1/rows-get", query)
-        reading = _read_clock(answer)
-        rows = [row for row in answer["rows"] if row.get("key") == _CONFIGURATION_KEY]
+        response = await self._get("/v1/rows-get", query)
+        store_time = _decode_store_time(response)
+        rows = [row for row in response["rows"] if row.get("key") == _CONFIGURATION_KEY]
         if not rows:
-            return CatalogSnapshot(catalog=None, store_time=reading)
+            return CatalogSnapshot(catalog=None, store_time=store_time)
         version = int(rows[0]["ver"])
         if known is not None and known.row_version == version:
-            return CatalogSnapshot(catalog=known, store_time=reading)
+            return CatalogSnapshot(catalog=known, store_time=store_time)
         try:
             text = _decode_text(rows[0])
         except ValueError as error:
             raise StoreError(f"configuration: {error}") from error
         catalog = self.decode_catalog(text, row_version=version)
-        return CatalogSnapshot(catalog=catalog, store_time=reading, text=text)
+        return CatalogSnapshot(catalog=catalog, store_time=store_time, text=text)
 
     def decode_catalog(self, text: bytes, *, row_version: int) -> Catalog:
-        """Return the configuration of a row."""
+        """Decode the configuration of a row."""
         try:
             return decode_catalog(json.loads(text), row_version=row_version)
         except (KeyError, TypeError, ValueError) as error:
@@ -91,8 +91,8 @@
             raise StoreError(reason) from error
 
     async def read_endpoints(self) -> EndpointSnapshot:
-        """Read the table of endpoints; rows that can't be read name none."""
-        rows, reading = await self._get_all(_ENDPOINT_TABLE)
+        """Read the table of endpoints; rows that can't be decoded are skipped."""
+        rows, store_time = await self._get_all(_ENDPOINT_TABLE)
         records = []
         for row in rows:
             try:
@@ -103,7 +103,7 @@
             if record is not None:
                 records.append(record)
         digest = compute_digest((str(row["key"]), int(row["ver"])) for row in rows)
-        return EndpointSnapshot(records=records, digest=digest, store_time=reading)
+        return EndpointSnapshot(records=records, digest=digest, store_time=store_time)
 
     async def read_instances(self) -> list[InstanceRecord]:
         """Read all registered instances."""
@@ -138,49 +138,52 @@
         await self._transact({"expect": [], "writes": [row], "remove": []})
 
     async def remove_instance(self, name: str) -> None:
-        """Drop an instance's record."""
+        """Remove an instance's record."""
         row = {"table": INSTANCES_TABLE, "part": "", "key": name}
         await self._transact({"expect": [], "writes": [], "remove": [row]})
 
     async def _transact(self, fields: dict[str, Any]) -> None:
         body = json.dumps(fields).encode()
-        await self._call("POST", "/v1/rows-tx", body, timeout_s=LONG_TIMEOUT_S)
+        await self._call("POST", "/v1/rows-tx", body, timeout_s=BACKGROUND_TIMEOUT_S)
 
     async def _get_all(self, table: str) -> tuple[list[dict[str, Any]], float]:
-        """Return all rows of a table and the reading of the first page, the oldest."""
+        """Return all rows of a table and the store time of the first page, the oldest."""
         rows: list[dict[str, Any]] = []
-        reading: float | None = None
+        store_time: float | None = None
         start = ""
         while True:
             query = {"table": table, "part": "", "from": start, "limit": PAGE_ROWS}
-            answer = await self._get("/v1/rows-get", query)
-            reading = _read_clock(answer) if reading is None else reading
-            rows.extend(answer["rows"])
-            if not answer.get("more_pages") or not answer["rows"]:
-                return rows, reading
-            start = answer["rows"][-1]["key"] + "\x00"
+            response = await self._get("/v1/rows-get", query)
+            store_time = _decode_store_time(response) if store_time is None else store_time
+            rows.extend(response["rows"])
+            if not response.get("more_pages") or not response["rows"]:
+                return rows, store_time
+            start = response["rows"][-1]["key"] + "\x00"
 
     async def _get(self, path: str, query: dict[str, str | int]) -> dict[str, Any]:
         target = f"{path}?{urlencode(query)}"
-        answer = await self._call("GET", target, b"", timeout_s=CALL_TIMEOUT_S)
-        if not isinstance(answer.get("rows"), list):
-            raise StoreError("answer without rows")
-        return answer
+        response = await self._call("GET", target, b"", timeout_s=CALL_TIMEOUT_S)
+        if not isinstance(response.get("rows"), list):
+            raise StoreError("response has no list of rows")
+        return response
 
     async def _call(
         self, method: str, target: str, body: bytes, *, timeout_s: float
     ) -> dict[str, Any]:
-        """Make one call on a kept connection or, if it brings nothing, on a new one.
+        """Make one call on an idle connection or, if that fails, on a new one.
 
-        Failure: a kept connection has fallen silent while new ones work, and the store is taken to
-        be away. Whatever is kept is dropped then, so that only a new connection tells.
+        After a failure, all idle connections are closed, so that only a new one decides whether the
+        store is unavailable. Without this, idle connections that became unresponsive while new ones
+        work would make the store look unavailable.
         """
-        kept = self._take_kept()
-        if kept is not None:
+        idle = self._pop_idle()
+        if idle is not None:
             try:
-                return await self._call_on(kept, method, target, body, timeout_s=KEPT_TIMEOUT_S)
+                return await self._call_on(
+                    idle, method, target, body, timeout_s=REUSED_CONNECTION_TIMEOUT_S
+                )
             except (ConnectionLost, MalformedAnswer, TimeoutError):
-                self._drop_kept()
+                self._close_idle()
         try:
             ip, port = self._address.ip, self._address.port
             connection = await HttpConnection.open(ip, port, timeout_s=timeout_s)
@@ -191,7 +194,7 @@
     async def _call_on(
         self, connection: HttpConnection, method: str, target: str, body: bytes, *, timeout_s: float
     ) -> dict[str, Any]:
-        """Make one call on a connection and keep it if the answer was whole."""
+        """Make one call on a connection and keep it for reuse if the response was complete."""
         sent = self._read_time()
         exchange = self._exchange(connection, method, target, body)
         try:
@@ -203,21 +206,21 @@
         if status != 200:
             raise StoreError(f"status {status}")
         try:
-            answer = json.loads(data)
+            response = json.loads(data)
         except ValueError as error:
             raise StoreError(f"answer: {error}") from error
-        if "now_ms" in answer:
-            self._clock.record(sent=sent, store_time=_read_clock(answer))
-        return answer
+        if "now_ms" in response:
+            self._clock.record(sent=sent, store_time=_decode_store_time(response))
+        return response
 
-    def _take_kept(self) -> HttpConnection | None:
+    def _pop_idle(self) -> HttpConnection | None:
         while self._idle:
             connection = self._idle.pop()
             if connection.reusable:
                 return connection
         return None
 
-    def _drop_kept(self) -> None:
+    def _close_idle(self) -> None:
         for connection in self._idle:
             connection.close()
         self._idle.clear()
@@ -237,29 +240,29 @@
         return head.status, bytes(data)
 
 
-def _read_clock(answer: dict[str, Any]) -> float:
-    """Return the store's clock in seconds; it is sent in milliseconds."""
-    return float(answer["now_ms"]) / 1000.0
+def _decode_store_time(response: dict[str, Any]) -> float:
+    """Return the store time of a response in seconds; it is sent in milliseconds."""
+    return float(response["now_ms"]) / 1000.0
 
 
 def _decode_value(row: dict[str, Any]) -> Any:
-    """Return the value of a row.
+    """Return the decoded value of a row.
 
     Raises:
-        ValueError: It can't be read.
+        ValueError: The value is missing or malformed.
     """
     return json.loads(_decode_text(row))
 
 
 def _decode_text(row: dict[str, Any]) -> bytes:
-    """Return the bytes of a row.
+    """Return the value of a row as bytes.
 
     Raises:
-        ValueError: It holds none.
+        ValueError: The value is missing or not Base64.
     """
     value = row.get("value")
     if not isinstance(value, str):
-        raise ValueError("no value")
+        raise ValueError("row has no value")
     return base64.b64decode(value, validate=True)
 
 
