--- a/src/guavamast/platform/questions.py
+++ b/src/guavamast/platform/questions.py
@@ -6,9 +6,9 @@
 from typing import TYPE_CHECKING
 from urllib.parse import parse_qs
 
-from guavamast.relay.heartbeat_messages import InstanceState
 from guavamast.relay.boot_clock import read_boot_time
 from guavamast.relay.caller_addresses import VALIDITY_S, CallerLocation, choose_addresses
+from guavamast.relay.heartbeat_messages import InstanceState
 from guavamast.relay.listener import QueryHandler
 
 if TYPE_CHECKING:
--- a/src/guavamast/platform/request_headers.py
+++ b/src/guavamast/platform/request_headers.py
@@ -5,7 +5,6 @@
 from typing import Final
 
 from guavamast.relay.messages import (
-    EndpointResponseHead,
     CallerRequest,
     EndpointResponseHead,
     Header,
