--- a/src/guavamast/fleet.py
+++ b/src/guavamast/fleet.py
@@ -1,4 +1,4 @@
-"""The fleet's configuration: read from INI and checked as a whole."""
+"""Schema and parser of the fleet's configuration, an INI text that is checked as a whole."""
 
 from __future__ import annotations
 
@@ -22,7 +22,7 @@
     PairsOf,
     Pattern,
     Url,
-    make_choice,
+    create_choice,
 )
 from guavamast.world import (
     CallRule,
@@ -40,7 +40,7 @@
 if TYPE_CHECKING:
     from collections.abc import Callable, Iterable
 
-    from guavamast.schema import ReadSection
+    from guavamast.schema import ParsedSection
 
 _CALL_NAME: Final = Pattern(
     pattern=re.compile(rf"{NAME_PATTERN.pattern}\.{NAME_PATTERN.pattern}"),
@@ -107,7 +107,7 @@
     kind="endpoint",
     named=True,
     keys=(
-        Key(name="kind", type=make_choice(EndpointKind), meaning="What the endpoint runs."),
+        Key(name="kind", type=create_choice(EndpointKind), meaning="What the endpoint runs."),
         Key(
             name="service",
             type=NAME,
@@ -129,13 +129,13 @@
         ),
         Key(
             name="fencing",
-            type=make_choice(Fencing),
+            type=create_choice(Fencing),
             meaning="Whether it refuses an order that carries an old fencing number.",
             default=Fencing.IGNORED,
         ),
         Key(
             name="state",
-            type=make_choice(EndpointState),
+            type=create_choice(EndpointState),
             meaning="Whether it takes new work or is drained.",
             default=EndpointState.ACTIVE,
         ),
@@ -171,7 +171,7 @@
     keys=(
         Key(
             name="state",
-            type=make_choice(EndpointState),
+            type=create_choice(EndpointState),
             meaning="`leaving` makes the instance of this name shut down gracefully.",
         ),
     ),
@@ -181,18 +181,18 @@
 
 
 def parse_configuration(text: str, *, file: str, version: int) -> Configuration:
-    """Read a fleet configuration.
+    """Parse and check a fleet configuration.
 
     Args:
         text: The INI text.
         file: Name to report in findings.
-        version: Version that the configuration has, or would have once accepted.
+        version: Number of the accepted version, or the number that a plan would get.
 
     Returns:
         The configuration.
 
     Raises:
-        FindingsError: Something is wrong; carries every finding.
+        FindingsError: The text has faults; the error holds every finding.
     """
     reader, configuration = _read(text, file=file, version=version)
     if reader.findings:
@@ -201,7 +201,7 @@
 
 
 def check_configuration(text: str, *, file: str) -> list[Finding]:
-    """Return all findings of a fleet configuration, in order of place."""
+    """Return all findings of a fleet configuration, sorted by line."""
     reader, _ = _read(text, file=file, version=0)
     return FindingsError(reader.findings).findings
 
@@ -209,35 +209,41 @@
 def _read(text: str, *, file: str, version: int) -> tuple[SchemaReader, Configuration]:
     reader = SchemaReader(ini=read_ini(text, file=file), kinds=FLEET_SECTIONS)
     reader.read()
-    parts = [part for section in reader.sections if (part := make_part(section)) is not None]
-    configuration = assemble(parts, text=text, version=version)
+    objects = [
+        section_object
+        for section in reader.sections
+        if (section_object := build_section_object(section)) is not None
+    ]
+    configuration = build_configuration(objects, text=text, version=version)
     check_fleet(reader, configuration)
     return reader, configuration
 
 
 @dataclass(frozen=True, slots=True, kw_only=True)
-class Part:
-    """What one section stands for."""
+class SectionObject:
+    """The object that one section describes."""
 
     kind: str
     name: str
     value: Any
-    """The object, or the state that an ``[instance]`` section asks for."""
+    """The object, or the requested state in case of an ``[instance]`` section."""
 
 
-def make_part(section: ReadSection) -> Part | None:
-    """Return what a section stands for, or None when one of its values could not be read."""
-    if _KEYS[section.kind] != section.values.keys():
+def build_section_object(section: ParsedSection) -> SectionObject | None:
+    """Return the object of a section, or None when one of its values is missing or invalid."""
+    if _KEY_NAMES[section.kind] != section.values.keys():
         return None
-    value = _MAKERS[section.kind](section)
-    return Part(kind=section.kind, name=section.name, value=value)
+    value = _BUILDERS[section.kind](section)
+    return SectionObject(kind=section.kind, name=section.name, value=value)
 
 
-def assemble(parts: Iterable[Part], *, text: str, version: int) -> Configuration:
-    """Return the configuration of these parts."""
+def build_configuration(
+    objects: Iterable[SectionObject], *, text: str, version: int
+) -> Configuration:
+    """Return the configuration that consists of these objects."""
     values: dict[str, dict[str, Any]] = {kind.kind: {} for kind in FLEET_SECTIONS}
-    for part in parts:
-        values[part.kind][part.name] = part.value
+    for section_object in objects:
+        values[section_object.kind][section_object.name] = section_object.value
     rules = {(rule.service, rule.call): rule for rule in values[CALL.kind].values()}
     states = values[INSTANCE.kind].items()
     return Configuration(
@@ -254,44 +260,46 @@
     )
 
 
-def _make_class(read: ReadSection) -> ServiceClass:
-    return ServiceClass(name=read.name, **read.values)
+def _build_class(section: ParsedSection) -> ServiceClass:
+    return ServiceClass(name=section.name, **section.values)
 
 
-def _make_organisation(read: ReadSection) -> Organisation:
+def _build_organisation(section: ParsedSection) -> Organisation:
     contract = Contract(
-        requests_per_second=read.values["requests_per_second"],
-        concurrent=read.values["concurrent"],
-        classes=MappingProxyType(read.values["classes"]),
+        requests_per_second=section.values["requests_per_second"],
+        concurrent=section.values["concurrent"],
+        classes=MappingProxyType(section.values["classes"]),
+    )
+    return Organisation(
+        name=section.name, key_sha256=section.values["key_sha256"], contract=contract
     )
-    return Organisation(name=read.name, key_sha256=read.values["key_sha256"], contract=contract)
 
 
-def _make_endpoint(read: ReadSection) -> Endpoint:
-    values = read.values | {"models": frozenset(read.values["models"])}
-    return Endpoint(name=read.name, **values)
+def _build_endpoint(section: ParsedSection) -> Endpoint:
+    values = section.values | {"models": frozenset(section.values["models"])}
+    return Endpoint(name=section.name, **values)
 
 
-def _make_call_rule(read: ReadSection) -> CallRule:
-    service, _, call = read.name.partition(".")
-    return CallRule(service=service, call=call, **read.values)
+def _build_call_rule(section: ParsedSection) -> CallRule:
+    service, _, call = section.name.partition(".")
+    return CallRule(service=service, call=call, **section.values)
 
 
-def _make_model(read: ReadSection) -> Model:
-    return Model(name=read.name, version=read.values["version"])
+def _build_model(section: ParsedSection) -> Model:
+    return Model(name=section.name, version=section.values["version"])
 
 
-def _get_state(read: ReadSection) -> EndpointState:
-    return read.values["state"]
+def _get_state(section: ParsedSection) -> EndpointState:
+    return section.values["state"]
 
 
-_KEYS: Final = {kind.kind: {key.name for key in kind.keys} for kind in FLEET_SECTIONS}
-_MAKERS: Final[dict[str, Callable[[ReadSection], Any]]] = {
-    CLASS.kind: _make_class,
-    ORGANISATION.kind: _make_organisation,
-    ENDPOINT.kind: _make_endpoint,
-    CALL.kind: _make_call_rule,
-    MODEL.kind: _make_model,
+_KEY_NAMES: Final = {kind.kind: {key.name for key in kind.keys} for kind in FLEET_SECTIONS}
+_BUILDERS: Final[dict[str, Callable[[ParsedSection], Any]]] = {
+    CLASS.kind: _build_class,
+    ORGANISATION.kind: _build_organisation,
+    ENDPOINT.kind: _build_endpoint,
+    CALL.kind: _build_call_rule,
+    MODEL.kind: _build_model,
     INSTANCE.kind: _get_state,
 }
-"""Makes the object of each kind of section."""
+"""Function that builds the object, by kind of section."""
--- a/src/guavamast/fleet_checks.py
+++ b/src/guavamast/fleet_checks.py
@@ -1,4 +1,4 @@
-"""Checks of a fleet configuration that look at several sections."""
+"""Checks of a fleet configuration across sections."""
 
 from __future__ import annotations
 
@@ -13,29 +13,31 @@
     from collections.abc import Iterable
 
     from guavamast.capacity import ClassCapacity
-    from guavamast.schema import ReadSection, SchemaReader
+    from guavamast.schema import ParsedSection, SchemaReader
     from guavamast.world import Configuration
 
 _SHARE_TOLERANCE: Final = 1e-9
-"""Decimal shares that sum to 1 on paper may sum to a little more in floating point."""
+"""Allows for rounding: decimal shares with an exact sum of 1 may sum to slightly more as floats."""
 
 
 def check_fleet(reader: SchemaReader, configuration: Configuration) -> None:
-    """Add the findings about sections that don't fit together.
+    """Add the findings about sections that are inconsistent with each other.
 
     Args:
-        reader: The sections; takes the findings.
-        configuration: What could be built of them.
+        reader: The sections, and the list that findings are added to.
+        configuration: The objects that could be built from them.
     """
     _check_classes(reader)
     _check_organisations(reader)
     _check_endpoints(reader)
     _check_calls(reader)
-    parts = (configuration.classes, configuration.organisations, configuration.endpoints)
-    built = sum(len(part) for part in (*parts, configuration.calls, configuration.models))
-    written = [read for read in reader.sections if read.kind != "instance"]
-    # A section that could not be read would make others look short of capacity.
-    if built == len(written):
+    mappings = (configuration.classes, configuration.organisations, configuration.endpoints)
+    built_count = sum(
+        len(mapping) for mapping in (*mappings, configuration.calls, configuration.models)
+    )
+    parsed_sections = [section for section in reader.sections if section.kind != "instance"]
+    # An invalid section is left out, which would cause false capacity findings about others.
+    if built_count == len(parsed_sections):
         _check_capacity(reader, configuration)
 
 
@@ -47,116 +49,118 @@
         message = f"guaranteed_share of all classes sums to {total:.6g}, above 1"
         line = shares[-1].find_line("guaranteed_share")
         reader.add(line, FindingCode.SHARE_SUM, message)
-    for read in classes:
-        first, whole = read.values.get("first_token_ms"), read.values.get("completion_s")
-        if first is not None and whole is not None and first > whole * 1000.0:
-            message = f"first_token_ms {first:g} is later than completion_s {whole:g}"
-            reader.add(read.find_line("first_token_ms"), FindingCode.OUT_OF_RANGE, message)
+    for section in classes:
+        first_ms, total_s = section.values.get("first_token_ms"), section.values.get("completion_s")
+        if first_ms is not None and total_s is not None and first_ms > total_s * 1000.0:
+            message = f"first_token_ms {first_ms:g} is later than completion_s {total_s:g}"
+            reader.add(section.find_line("first_token_ms"), FindingCode.OUT_OF_RANGE, message)
 
 
 def _check_organisations(reader: SchemaReader) -> None:
     organisations = reader.list_sections("organisation")
     _check_unique(reader, organisations, "key_sha256", "is another organisation's key")
     classes = _list_names(reader, "class")
-    for read in organisations:
-        for kind, name in read.values.get("classes", {}).items():
+    for section in organisations:
+        for kind, name in section.values.get("classes", {}).items():
             if name not in classes:
                 message = f"classes: [class {name}] of kind {kind}{suggest(name, classes)}"
-                reader.add(read.find_line("classes"), FindingCode.UNDEFINED_REFERENCE, message)
+                reader.add(section.find_line("classes"), FindingCode.UNDEFINED_REFERENCE, message)
 
 
 def _check_endpoints(reader: SchemaReader) -> None:
     endpoints = reader.list_sections("endpoint")
     _check_unique(reader, endpoints, "url", "is another endpoint's url")
     models = _list_names(reader, "model")
-    for read in endpoints:
-        kind = read.values.get("kind")
+    for section in endpoints:
+        kind = section.values.get("kind")
         if kind is EndpointKind.ENGINE:
-            _check_needed(reader, read, needed="models", refused="service")
+            _check_kind_keys(reader, section, required="models", rejected="service")
         elif kind is EndpointKind.SERVICE:
-            _check_needed(reader, read, needed="service", refused="models")
-        for name in read.values.get("models", ()):
+            _check_kind_keys(reader, section, required="service", rejected="models")
+        for name in section.values.get("models", ()):
             if name not in models:
                 message = f"models: [model {name}]{suggest(name, models)}"
-                reader.add(read.find_line("models"), FindingCode.UNDEFINED_REFERENCE, message)
+                reader.add(section.find_line("models"), FindingCode.UNDEFINED_REFERENCE, message)
 
 
-def _check_needed(reader: SchemaReader, read: ReadSection, *, needed: str, refused: str) -> None:
-    kind = read.values["kind"]
-    if needed in read.values and not read.values[needed]:
-        message = f"[endpoint {read.name}] of kind {kind} has no {needed}"
-        reader.add(read.find_line(needed), FindingCode.MISSING_KEY, message)
-    if refused in read.lines:
-        message = f"{refused} is not taken by an endpoint of kind {kind}"
-        reader.add(read.find_line(refused), FindingCode.MISPLACED_KEY, message)
+def _check_kind_keys(
+    reader: SchemaReader, section: ParsedSection, *, required: str, rejected: str
+) -> None:
+    kind = section.values["kind"]
+    if required in section.values and not section.values[required]:
+        message = f"[endpoint {section.name}] of kind {kind} has no {required}"
+        reader.add(section.find_line(required), FindingCode.MISSING_KEY, message)
+    if rejected in section.lines:
+        message = f"{rejected} doesn't apply to an endpoint of kind {kind}"
+        reader.add(section.find_line(rejected), FindingCode.MISPLACED_KEY, message)
 
 
 def _check_calls(reader: SchemaReader) -> None:
     services = {read.values.get("service") for read in reader.list_sections("endpoint")}
     services.discard("")
     names = {str(service) for service in services if service}
-    for read in reader.list_sections("call"):
-        service = read.name.partition(".")[0]
+    for section in reader.list_sections("call"):
+        service = section.name.partition(".")[0]
         if service not in names:
-            message = f"service {service} of [call {read.name}]{suggest(service, names)}"
-            reader.add(read.line, FindingCode.UNDEFINED_REFERENCE, message)
+            message = f"service {service} of [call {section.name}]{suggest(service, names)}"
+            reader.add(section.line, FindingCode.UNDEFINED_REFERENCE, message)
 
 
 def _check_capacity(reader: SchemaReader, configuration: Configuration) -> None:
     capacities = compute_capacities(configuration)
-    lines = {read.name: read for read in reader.list_sections("class")}
+    classes = {section.name: section for section in reader.list_sections("class")}
     for name, capacity in capacities.items():
-        if name in lines and not capacity.endpoints:
-            message = f"no endpoint can run what [class {name}] is used for"
-            reader.add(lines[name].line, FindingCode.NO_CAPACITY, message)
-    _check_tiers(reader, lines, capacities)
+        if name in classes and not capacity.endpoints:
+            message = f"no endpoint can run the kinds of request of [class {name}]"
+            reader.add(classes[name].line, FindingCode.NO_CAPACITY, message)
+    _check_tiers(reader, classes, capacities)
     _check_models(reader, configuration)
 
 
 def _check_tiers(
-    reader: SchemaReader, lines: dict[str, ReadSection], capacities: dict[str, ClassCapacity]
+    reader: SchemaReader, classes: dict[str, ParsedSection], capacities: dict[str, ClassCapacity]
 ) -> None:
-    """Report classes of one tier that compete for an endpoint.
+    """Report classes of one tier that share an endpoint.
 
-    Order is strict between tiers and fair among the organisations of a class; between two
-    classes of one tier at one endpoint nothing would say which starts first.
+    Scheduling is by strict priority between tiers and fair among the organisations of a class;
+    it defines no order between two classes of one tier at one endpoint.
     """
-    seen: list[ReadSection] = []
-    for read in lines.values():
-        if read.name not in capacities:
+    seen: list[ParsedSection] = []
+    for section in classes.values():
+        if section.name not in capacities:
             continue
         for other in seen:
-            shared = capacities[read.name].endpoints & capacities[other.name].endpoints
-            if shared and other.values["tier"] == read.values["tier"]:
+            shared = capacities[section.name].endpoints & capacities[other.name].endpoints
+            if shared and other.values["tier"] == section.values["tier"]:
                 message = (
-                    f"[class {read.name}] and [class {other.name}] are both of tier "
-                    f"{read.values['tier']} and share endpoints, such as {min(shared)}"
+                    f"[class {section.name}] and [class {other.name}] are both of tier "
+                    f"{section.values['tier']} and share endpoints, such as {min(shared)}"
                 )
-                reader.add(read.find_line("tier"), FindingCode.DUPLICATE_TIER, message)
-        seen.append(read)
+                reader.add(section.find_line("tier"), FindingCode.DUPLICATE_TIER, message)
+        seen.append(section)
 
 
 def _check_models(reader: SchemaReader, configuration: Configuration) -> None:
     served = {model for endpoint in configuration.endpoints.values() for model in endpoint.models}
-    for read in reader.list_sections("model"):
-        if read.name not in served:
-            message = f"no endpoint serves [model {read.name}]"
-            reader.add(read.line, FindingCode.NO_CAPACITY, message)
+    for section in reader.list_sections("model"):
+        if section.name not in served:
+            message = f"no endpoint serves [model {section.name}]"
+            reader.add(section.line, FindingCode.NO_CAPACITY, message)
 
 
 def _check_unique(
-    reader: SchemaReader, sections: Iterable[ReadSection], key: str, message: str
+    reader: SchemaReader, sections: Iterable[ParsedSection], key: str, message: str
 ) -> None:
     owners: dict[str, str] = {}
-    for read in sections:
-        value = read.values.get(key)
+    for section in sections:
+        value = section.values.get(key)
         if value is None:
             continue
         if value in owners:
-            text = f"{key} {message}: [{read.kind} {owners[value]}]"
-            reader.add(read.find_line(key), FindingCode.DUPLICATE_VALUE, text)
-        owners.setdefault(value, read.name)
+            text = f"{key} {message}: [{section.kind} {owners[value]}]"
+            reader.add(section.find_line(key), FindingCode.DUPLICATE_VALUE, text)
+        owners.setdefault(value, section.name)
 
 
 def _list_names(reader: SchemaReader, kind: str) -> list[str]:
-    return [read.name for read in reader.list_sections(kind)]
+    return [section.name for section in reader.list_sections(kind)]
--- a/src/guavamast/fleet_reader.py
+++ b/src/guavamast/fleet_reader.py
@@ -1,77 +1,82 @@
-"""Reads accepted versions of the fleet's configuration, each from the one before it."""
+"""Incremental reader of accepted versions of the fleet's configuration."""
 
 from __future__ import annotations
 
 import re
 from typing import TYPE_CHECKING, Final
 
-from guavamast.fleet import FLEET_SECTIONS, assemble, make_part, parse_configuration
+from guavamast.fleet import (
+    FLEET_SECTIONS,
+    build_configuration,
+    build_section_object,
+    parse_configuration,
+)
 from guavamast.inifile import read_ini
 from guavamast.schema import SchemaReader
 
 if TYPE_CHECKING:
-    from guavamast.fleet import Part
+    from guavamast.fleet import SectionObject
     from guavamast.world import Configuration
 
 _HEADER: Final = re.compile(r"^(?=\[)", re.MULTILINE)
-"""A line that begins with a bracket in its first column is a section's header: a value goes on
-only over indented lines."""
+"""Start of a section: a line with a bracket in its first column. A value can't contain such a
+line, as its continuation lines are indented."""
 
 
 class AcceptedReader:
-    """Reads one accepted version after the other.
+    """Reads successive accepted versions and parses only the sections that changed.
 
-    Failure: thousands of organisations make reading a text last a second, and each change, however
-    small, holds up every request of the loop for that time. The sections whose text stays keep
-    their objects; only the others are read. The checks across sections are left out, as the whole
-    text was checked when it was proposed. A text that can't be cut into its sections is read as a
-    whole, with all checks.
+    Parsing a text with thousands of organisations takes a second. Without this, each change,
+    however small, blocks every request of the event loop for that time. Sections with unchanged
+    text keep their objects. Checks across sections are skipped, as the whole text was checked
+    when it was proposed. A text that can't be split into sections is parsed as a whole, with all
+    checks.
     """
 
-    __slots__ = ("_parts",)
+    __slots__ = ("_objects",)
 
     def __init__(self) -> None:
-        self._parts: dict[str, Part] = {}
+        self._objects: dict[str, SectionObject] = {}
 
     def read(self, text: str, *, version: int) -> Configuration:
-        """Return an accepted version.
+        """Return the configuration of an accepted version.
 
         Args:
-            text: Its text.
-            version: Its number.
+            text: The INI text.
+            version: Number of the version.
 
         Returns:
-            The configuration, equal to that of `parse_configuration`.
+            The configuration; equal to the result of `parse_configuration`.
 
         Raises:
-            FindingsError: The text is not a configuration of this release.
+            FindingsError: This release doesn't accept the text as a configuration.
         """
-        parts = self._read_parts(text)
-        if parts is None:
-            self._parts = {}
+        objects = self._read_objects(text)
+        if objects is None:
+            self._objects = {}
             return parse_configuration(text, file=f"version {version}", version=version)
-        self._parts = parts
-        return assemble(parts.values(), text=text, version=version)
-
-    def _read_parts(self, text: str) -> dict[str, Part] | None:
-        """Return the parts by the text of their section, or None when it can't be cut."""
-        top, *sections = _HEADER.split(text)
-        above = read_ini(top, file="")
-        if above.findings or above.sections:
+        self._objects = objects
+        return build_configuration(objects.values(), text=text, version=version)
+
+    def _read_objects(self, text: str) -> dict[str, SectionObject] | None:
+        """Return the objects by section text, or None when the text can't be split."""
+        preamble_text, *sections = _HEADER.split(text)
+        preamble = read_ini(preamble_text, file="")
+        if preamble.findings or preamble.sections:
             return None
-        parts: dict[str, Part] = {}
+        objects: dict[str, SectionObject] = {}
         for section in sections:
-            part = self._parts.get(section) or read_part(section)
-            if part is None:
+            section_object = self._objects.get(section) or read_section_object(section)
+            if section_object is None:
                 return None
-            parts[section] = part
-        return parts
+            objects[section] = section_object
+        return objects
 
 
-def read_part(text: str) -> Part | None:
-    """Return the part of one section's text, or None when that isn't one whole section."""
+def read_section_object(text: str) -> SectionObject | None:
+    """Return the object of a section's text, or None when that isn't one valid section."""
     reader = SchemaReader(ini=read_ini(text, file=""), kinds=FLEET_SECTIONS)
     reader.read()
     if reader.findings or len(reader.sections) != 1:
         return None
-    return make_part(reader.sections[0])
+    return build_section_object(reader.sections[0])
--- a/src/guavamast/inifile.py
+++ b/src/guavamast/inifile.py
@@ -1,4 +1,4 @@
-"""INI text with the line of each section and key; faults are collected as findings."""
+"""INI parser that records the line of each section and key and collects faults as findings."""
 
 from __future__ import annotations
 
@@ -12,12 +12,12 @@
     from collections.abc import Iterator
 
 _TOP: Final = "\x00top"
-"""Section that takes the keys above the first header, where configparser would stop reading."""
+"""Section for keys above the first header; without it configparser stops at them."""
 
 
 @dataclass(frozen=True, slots=True, kw_only=True)
 class Entry:
-    """One key's value and where it stands."""
+    """The value of a key and its line."""
 
     value: str
     line: int
@@ -25,7 +25,7 @@
 
 @dataclass(frozen=True, slots=True, kw_only=True)
 class Section:
-    """One section with its keys in order."""
+    """A section with its keys in order."""
 
     name: str
     line: int
@@ -34,7 +34,7 @@
 
 @dataclass(frozen=True, slots=True, kw_only=True)
 class IniFile:
-    """The sections of one text, in order, and what is wrong with its syntax."""
+    """The sections of a text, in order, and its syntax findings."""
 
     file: str
     sections: tuple[Section, ...]
@@ -42,14 +42,14 @@
 
 
 def read_ini(text: str, *, file: str) -> IniFile:
-    """Read INI text.
+    """Parse INI text.
 
     Args:
         text: The whole text.
         file: Name to report in findings.
 
     Returns:
-        Everything that could be read, with all syntax faults and duplicates as findings.
+        Everything that could be parsed, with all syntax faults and duplicates as findings.
     """
     reader = _Reader(text=text, file=file)
     sections = reader.read()
@@ -57,10 +57,10 @@
 
 
 class _LineDict(dict):
-    """The parser's dictionary; reports each section and key at the time it is stored.
+    """Dictionary of the parser that reports each section and key when it is stored.
 
-    The parser stores a section as such a dictionary and a key's value as a list of lines, which
-    it joins to a string only after the last line.
+    The parser stores a section as such a dictionary, and the value of a key as a list of lines
+    that it joins to a string only after the last line.
     """
 
     reader: _Reader
@@ -71,23 +71,23 @@
 
     def __setitem__(self, key: str, value: Any) -> None:
         if self.reader.reading and isinstance(value, _LineDict):
-            self.reader.note_section(key, value)
+            self.reader.record_section(key, value)
         elif self.reader.reading and isinstance(value, list):
-            self.reader.note_key(key, self)
+            self.reader.record_key(key, self)
         super().__setitem__(key, value)
 
     def __getitem__(self, key: str) -> Any:
         value = super().__getitem__(key)
         if self.reader.reading and isinstance(value, _LineDict):
-            self.reader.note_repeated_section(key)
+            self.reader.report_duplicate_section(key)
         return value
 
 
 class _Reader:
-    """Runs configparser over the lines and notes the line at which it stores each thing.
+    """Runs configparser over the lines and records the line of each section and key.
 
-    configparser keeps no line numbers and its strict mode stops at the first duplicate. Its
-    ``dict_type`` sees every store while the line iterator below knows the present line.
+    configparser keeps no line numbers, and its strict mode stops at the first duplicate. A custom
+    ``dict_type`` observes every store, and `_iterate_lines` tracks the current line.
     """
 
     __slots__ = ("_line", "_lines", "_stored", "file", "findings", "reading")
@@ -101,8 +101,8 @@
         self._stored: list[tuple[str, int, _LineDict]] = []
 
     def read(self) -> list[Section]:
-        """Read everything, never raising for a fault of the text."""
-        parser = self._make_parser()
+        """Return all sections; faults of the text become findings and never raise."""
+        parser = self._create_parser()
         self.reading = True
         try:
             parser.read_file(self._iterate_lines(), source=_TOP)
@@ -112,36 +112,36 @@
         finally:
             self.reading = False
         return [
-            self._make_section(name, line, stored)
+            self._build_section(name, line, stored)
             for name, line, stored in self._stored
             if name != _TOP
         ]
 
-    def note_section(self, name: str, stored: _LineDict) -> None:
-        """Take note of a new section's header at the present line."""
+    def record_section(self, name: str, stored: _LineDict) -> None:
+        """Record the header of a new section at the current line."""
         self._stored.append((name, self._line, stored))
         if name != _TOP and not self._lines[self._line - 1].strip().endswith("]"):
             self._add(self._line, FindingCode.SYNTAX, "has text after the section's ]")
 
-    def note_repeated_section(self, name: str) -> None:
-        """Report a header that stands above."""
-        self._add(self._line, FindingCode.DUPLICATE_SECTION, f"[{name}] stands above already")
+    def report_duplicate_section(self, name: str) -> None:
+        """Report a repeated header."""
+        self._add(self._line, FindingCode.DUPLICATE_SECTION, f"[{name}] is already defined above")
 
-    def note_key(self, key: str, section: _LineDict) -> None:
-        """Take note of a key at the present line; report it when it stands above."""
+    def record_key(self, key: str, section: _LineDict) -> None:
+        """Record a key at the current line and report duplicates and keys without a section."""
         if key in section.lines:
-            self._add(self._line, FindingCode.DUPLICATE_KEY, f"{key} stands above already")
+            self._add(self._line, FindingCode.DUPLICATE_KEY, f"{key} is already set above")
         section.lines[key] = self._line
         if self._stored[-1][0] == _TOP:
-            self._add(self._line, FindingCode.SYNTAX, f"{key} stands above the first [section]")
+            self._add(self._line, FindingCode.SYNTAX, f"{key} precedes the first [section]")
 
-    def _make_section(self, name: str, line: int, stored: _LineDict) -> Section:
+    def _build_section(self, name: str, line: int, stored: _LineDict) -> Section:
         entries = {
             key: Entry(value=value, line=stored.lines[key]) for key, value in stored.items() if key
         }
         return Section(name=name, line=line, entries=entries)
 
-    def _make_parser(self) -> configparser.RawConfigParser:
+    def _create_parser(self) -> configparser.RawConfigParser:
         parser = configparser.RawConfigParser(
             dict_type=type("_BoundLineDict", (_LineDict,), {"reader": self}),
             delimiters=("=",),
--- a/src/guavamast/schema.py
+++ b/src/guavamast/schema.py
@@ -1,4 +1,4 @@
-"""Sections and keys of an INI file, read by a schema; faults are collected as findings."""
+"""Schemas of INI files and a reader that applies them and collects faults as findings."""
 
 from __future__ import annotations
 
@@ -16,14 +16,14 @@
     from guavamast.value_types import ValueType
 
 REQUIRED: Final = object()
-"""Marks a key without a default."""
-_NEAR: Final = 0.5
-"""Least likeness of a name that is suggested, of 1 for the same name."""
+"""Default of a key that has to be written."""
+_MIN_SIMILARITY: Final = 0.5
+"""Lowest similarity at which a name is suggested; 1 means equal (difflib's ratio)."""
 
 
 @dataclass(frozen=True, slots=True, kw_only=True)
 class Key:
-    """One key of a kind of section."""
+    """A key that a kind of section may have."""
 
     name: str
     type: ValueType
@@ -33,7 +33,7 @@
 
 @dataclass(frozen=True, slots=True, kw_only=True)
 class SectionKind:
-    """One kind of section: ``[kind]``, or ``[kind NAME]`` any number of times."""
+    """A kind of section: ``[kind]`` once, or ``[kind NAME]`` any number of times."""
 
     kind: str
     keys: tuple[Key, ...]
@@ -44,27 +44,27 @@
 
 
 @dataclass(frozen=True, slots=True, kw_only=True)
-class ReadSection:
-    """A section whose kind, name and values were understood."""
+class ParsedSection:
+    """A section of known kind with a valid name and its parsed values."""
 
     kind: str
     name: str
     line: int
     values: dict[str, Any]
-    """Complete with the defaults; a key whose value was refused, or is missing, isn't there."""
+    """Includes the defaults; lacks keys that are missing or have an invalid value."""
     lines: dict[str, int]
 
     def find_line(self, key: str) -> int:
-        """Return the line of a key, or of the section when the key isn't written."""
+        """Return the line of a key, or that of the section when the key isn't written."""
         return self.lines.get(key, self.line)
 
 
 class SchemaReader:
-    """Reads the sections of one file by a schema and collects the findings.
+    """Reads the sections of a file by a schema and collects the findings.
 
     Args:
-        ini: The file.
-        kinds: The kinds of section that it may have.
+        ini: The parsed file.
+        kinds: Kinds of section that the file may have.
     """
 
     __slots__ = ("_ini", "_kinds", "_names", "findings", "sections")
@@ -73,7 +73,7 @@
         self._ini = ini
         self._kinds = {kind.kind: kind for kind in kinds}
         self.findings: list[Finding] = list(ini.findings)
-        self.sections: list[ReadSection] = []
+        self.sections: list[ParsedSection] = []
         self._names: set[tuple[str, str]] = set()
 
     def read(self) -> None:
@@ -87,7 +87,7 @@
             if kind.required and kind.kind not in present:
                 self.add(0, FindingCode.MISSING_SECTION, f"[{kind.kind}] is missing")
 
-    def list_sections(self, kind: str) -> list[ReadSection]:
+    def list_sections(self, kind: str) -> list[ParsedSection]:
         """Return the sections of one kind, in order."""
         return [section for section in self.sections if section.kind == kind]
 
@@ -96,15 +96,15 @@
         self.findings.append(Finding(file=self._ini.file, line=line, code=code, message=message))
 
     def _read_section(self, section: Section) -> None:
-        word, name = _split_name(section.name)
-        kind = self._kinds.get(word)
+        kind_word, name = _split_header(section.name)
+        kind = self._kinds.get(kind_word)
         if kind is None:
-            hint = suggest(word, self._kinds)
+            hint = suggest(kind_word, self._kinds)
             self.add(section.line, FindingCode.UNKNOWN_SECTION, f"[{section.name}]{hint}")
             return
         if not self._check_name(section, kind, name):
             return
-        read = ReadSection(kind=word, name=name, line=section.line, values={}, lines={})
+        parsed = ParsedSection(kind=kind_word, name=name, line=section.line, values={}, lines={})
         known = {key.name: key for key in kind.keys}
         for key_name, entry in section.entries.items():
             if key_name not in known:
@@ -112,10 +112,10 @@
                 message = f"{key_name} in [{section.name}]{hint}"
                 self.add(entry.line, FindingCode.UNKNOWN_KEY, message)
                 continue
-            read.lines[key_name] = entry.line
-            self._read_value(read, known[key_name], entry.value)
-        self._fill_defaults(read, kind, section)
-        self.sections.append(read)
+            parsed.lines[key_name] = entry.line
+            self._read_value(parsed, known[key_name], entry.value)
+        self._fill_defaults(parsed, kind, section)
+        self.sections.append(parsed)
 
     def _check_name(self, section: Section, kind: SectionKind, name: str) -> bool:
         if not kind.named:
@@ -131,19 +131,19 @@
             self.add(section.line, FindingCode.BAD_NAME, message)
             return False
         if (kind.kind, name) in self._names:
-            message = f"[{kind.kind} {name}] stands above already"
+            message = f"[{kind.kind} {name}] is already defined above"
             self.add(section.line, FindingCode.DUPLICATE_SECTION, message)
             return False
         self._names.add((kind.kind, name))
         return True
 
-    def _read_value(self, read: ReadSection, key: Key, text: str) -> None:
+    def _read_value(self, parsed: ParsedSection, key: Key, text: str) -> None:
         try:
-            read.values[key.name] = key.type.parse(text)
+            parsed.values[key.name] = key.type.parse(text)
         except Fault as fault:
-            self.add(read.lines[key.name], fault.code, f"{key.name}: {fault.message}")
+            self.add(parsed.lines[key.name], fault.code, f"{key.name}: {fault.message}")
 
-    def _fill_defaults(self, read: ReadSection, kind: SectionKind, section: Section) -> None:
+    def _fill_defaults(self, parsed: ParsedSection, kind: SectionKind, section: Section) -> None:
         for key in kind.keys:
             if key.name in section.entries:
                 continue
@@ -151,17 +151,17 @@
                 message = f"[{section.name}] has no {key.name}"
                 self.add(section.line, FindingCode.MISSING_KEY, message)
             else:
-                read.values[key.name] = key.default
+                parsed.values[key.name] = key.default
 
 
-def _split_name(header: str) -> tuple[str, str]:
+def _split_header(header: str) -> tuple[str, str]:
     """Return the kind and the name of a section's header."""
-    word, _, name = header.strip().partition(" ")
-    return word, name.strip()
+    kind_word, _, name = header.strip().partition(" ")
+    return kind_word, name.strip()
 
 
 def suggest(word: str, known: Iterable[str]) -> str:
-    """Return a hint with the nearest known name, or the known names when none is near."""
+    """Return a hint with the most similar known name, or all known names when none is similar."""
     names = sorted(known)
     nearest = find_nearest(word, names)
     if nearest:
@@ -170,6 +170,6 @@
 
 
 def find_nearest(word: str, known: Iterable[str]) -> str:
-    """Return the known name that is spelt most alike; empty when none is near."""
-    near = get_close_matches(word.lower(), sorted(known), n=1, cutoff=_NEAR)
+    """Return the known name with the most similar spelling; empty when none is similar."""
+    near = get_close_matches(word.lower(), sorted(known), n=1, cutoff=_MIN_SIMILARITY)
     return near[0] if near else ""
--- a/src/guavamast/value_types.py
+++ b/src/guavamast/value_types.py
@@ -1,4 +1,4 @@
-"""Types of the values of an INI file: what may be written and what it stands for."""
+"""Types of values in an INI file: their syntax, range and parsed form."""
 
 from __future__ import annotations
 
@@ -14,10 +14,11 @@
     from enum import StrEnum
 
 NAME_PATTERN: Final = re.compile(r"[A-Za-z0-9][A-Za-z0-9_-]*")
-"""Names of sections of a kind; without dots, which part a service from its call."""
+"""Names of sections. A dot isn't allowed, as it separates a service from its call."""
 _VERSION_PATTERN: Final = re.compile(r"[A-Za-z0-9][A-Za-z0-9._:/@+-]*")
 _NUMBER_PATTERN: Final = re.compile(r"[-+]?[0-9.]+(?:[eE][-+]?[0-9]+)?")
-"""Python's own digits of other scripts, underscores, ``nan`` and ``inf`` are not taken."""
+"""Excludes what Python's ``int`` and ``float`` also accept: digits of other scripts, underscores,
+``nan`` and ``inf``."""
 _QUANTITY_PATTERN: Final = re.compile(r"([-+]?[0-9.]+(?:[eE][-+]?[0-9]+)?)\s*([A-Za-z%/µ]+)")
 _UNIT_SECONDS: Final = {
     "us": 1e-6,
@@ -30,16 +31,16 @@
     "h": 3600.0,
     "d": 86400.0,
 }
-"""Units that people write after a number, in seconds."""
+"""Common time units, in seconds, for hints about a number written with one."""
 _MAX_PORT: Final = 65535
 
 
 class Fault(Exception):
-    """A value that can't be taken.
+    """Raised for an invalid value.
 
     Args:
-        code: What is wrong.
-        message: What to write in its place.
+        code: Kind of fault.
+        message: What is wrong and what to write instead.
     """
 
     def __init__(self, code: FindingCode, message: str) -> None:
@@ -49,15 +50,15 @@
 
 
 class ValueType(ABC):
-    """Reads the text of one value."""
+    """Base of the types that parse the text of a value."""
 
     @abstractmethod
     def parse(self, text: str) -> Any:
-        """Return the value, or raise `Fault`."""
+        """Return the value, or raise `Fault` when the text is invalid."""
 
     @abstractmethod
     def describe(self) -> str:
-        """Return what may be written, for the settings page."""
+        """Return a description of the valid values, for messages and the settings page."""
 
 
 class Number(ValueType):
@@ -66,8 +67,8 @@
     Args:
         minimum: Smallest value.
         maximum: Largest value.
-        unit: Unit to name in findings; empty for a plain count.
-        whole: Whether only whole numbers are taken.
+        unit: Unit to show in findings; empty for a number without a unit.
+        whole: Whether only whole numbers are valid.
     """
 
     __slots__ = ("maximum", "minimum", "unit", "whole")
@@ -83,11 +84,11 @@
     def parse(self, text: str) -> float:
         """Return the number."""
         if not _NUMBER_PATTERN.fullmatch(text):
-            raise self._explain(text)
+            raise self._create_fault(text)
         try:
             value = int(text) if self.whole else float(text)
         except ValueError:
-            raise self._explain(text) from None
+            raise self._create_fault(text) from None
         if not self.minimum <= value <= self.maximum:
             raise Fault(FindingCode.OUT_OF_RANGE, f"{text} is not {self.describe()}")
         return value
@@ -98,15 +99,15 @@
         unit = f" {self.unit}" if self.unit else ""
         return f"a {kind} from {self.minimum:.12g} to {self.maximum:.12g}{unit}"
 
-    def _explain(self, text: str) -> Fault:
+    def _create_fault(self, text: str) -> Fault:
         quantity = _QUANTITY_PATTERN.fullmatch(text)
         if quantity is None:
             return Fault(FindingCode.BAD_VALUE, f"{text!r} is not {self.describe()}")
-        hint = self._convert(quantity.group(1), quantity.group(2))
+        hint = self._format_conversion(quantity.group(1), quantity.group(2))
         unit = f"is in {self.unit}" if self.unit else "is a plain number"
-        return Fault(FindingCode.WRONG_UNIT, f"{text!r}: the value {unit}, written alone{hint}")
+        return Fault(FindingCode.WRONG_UNIT, f"{text!r}: the value {unit} and takes no unit{hint}")
 
-    def _convert(self, digits: str, unit: str) -> str:
+    def _format_conversion(self, digits: str, unit: str) -> str:
         if unit not in _UNIT_SECONDS or self.unit not in _UNIT_SECONDS:
             return ""
         try:
@@ -120,7 +121,7 @@
     """One of a few words.
 
     Args:
-        words: Each word with the value it stands for.
+        words: Value by word.
     """
 
     __slots__ = ("words",)
@@ -129,7 +130,7 @@
         self.words = words
 
     def parse(self, text: str) -> Any:
-        """Return what the word stands for."""
+        """Return the value of the word."""
         if text not in self.words:
             raise Fault(FindingCode.BAD_VALUE, f"{text!r} is not {self.describe()}")
         return self.words[text]
@@ -139,17 +140,17 @@
         return " or ".join(f"`{word}`" for word in self.words)
 
 
-def make_choice(enumeration: type[StrEnum]) -> Choice:
-    """Return the choice among an enumeration's members."""
+def create_choice(enumeration: type[StrEnum]) -> Choice:
+    """Return a choice among the members of an enumeration."""
     return Choice({str(member): member for member in enumeration})
 
 
 class Pattern(ValueType):
-    """Text of a stated form.
+    """Text that matches a pattern.
 
     Args:
-        pattern: What the whole text has to match.
-        form: The form in words.
+        pattern: Regular expression that the whole text has to match.
+        form: Description of the valid texts.
     """
 
     __slots__ = ("form", "pattern")
@@ -179,10 +180,10 @@
 
 
 class Address(ValueType):
-    """An IPv4 number and a port.
+    """An IPv4 address and a port.
 
     Args:
-        any_port: Whether port 0, which lets the OS choose, is taken.
+        any_port: Whether port 0, with which the OS chooses one, is valid.
     """
 
     __slots__ = ("any_port",)
@@ -201,7 +202,9 @@
             raise Fault(FindingCode.BAD_VALUE, f"{text!r} is not {self.describe()}")
         lowest = 0 if self.any_port else 1
         if not lowest <= int(port[:9]) <= _MAX_PORT:
-            raise Fault(FindingCode.OUT_OF_RANGE, f"port {port} is not {lowest} to {_MAX_PORT}")
+            raise Fault(
+                FindingCode.OUT_OF_RANGE, f"port {port} is not in the range {lowest} to {_MAX_PORT}"
+            )
         return text
 
     def describe(self) -> str:
@@ -211,10 +214,10 @@
 
 
 class Url(ValueType):
-    """The URL below which a server's paths stand."""
+    """The base URL of a server."""
 
     def parse(self, text: str) -> str:
-        """Return the URL without a closing slash."""
+        """Return the URL without trailing slashes."""
         try:
             parts = urlsplit(text)
             valid = parts.scheme in ("http", "https") and bool(parts.hostname)
@@ -231,7 +234,7 @@
 
 
 def split_list(text: str) -> list[str]:
-    """Return the items of a list written with commas or on lines of their own."""
+    """Return the items of a list that are separated by commas or line breaks."""
     items = text.replace("\n", ",").split(",")
     return [item.strip() for item in items if item.strip()]
 
@@ -240,7 +243,7 @@
     """Several values of one type, separated by commas.
 
     Args:
-        item: Type of each.
+        item: Type of each value.
     """
 
     __slots__ = ("item",)
@@ -249,11 +252,11 @@
         self.item = item
 
     def parse(self, text: str) -> tuple[Any, ...]:
-        """Return the values, which have to differ."""
+        """Return the values; duplicates are a fault."""
         values = tuple(self.item.parse(item) for item in split_list(text))
         for position, value in enumerate(values):
             if value in values[:position]:
-                raise Fault(FindingCode.DUPLICATE_VALUE, f"{value} stands twice")
+                raise Fault(FindingCode.DUPLICATE_VALUE, f"{value} is listed twice")
         return values
 
     def describe(self) -> str:
@@ -265,17 +268,17 @@
     """Pairs ``left:right`` of names, separated by commas, as a mapping."""
 
     def parse(self, text: str) -> dict[str, str]:
-        """Return right by left; each left stands once."""
+        """Return right by left; a repeated left is a fault."""
         pairs: dict[str, str] = {}
         for item in split_list(text):
             left, colon, right = (part.strip() for part in item.partition(":"))
             if not (colon and NAME_PATTERN.fullmatch(left) and NAME_PATTERN.fullmatch(right)):
                 raise Fault(FindingCode.BAD_VALUE, f"{item!r} is not `kind:class`")
             if left in pairs:
-                raise Fault(FindingCode.DUPLICATE_VALUE, f"kind {left} stands twice")
+                raise Fault(FindingCode.DUPLICATE_VALUE, f"kind {left} is listed twice")
             pairs[left] = right
         if not pairs:
-            raise Fault(FindingCode.BAD_VALUE, "names no `kind:class`")
+            raise Fault(FindingCode.BAD_VALUE, "has no `kind:class` pair")
         return pairs
 
     def describe(self) -> str:
--- a/tests/test_fleet.py
+++ b/tests/test_fleet.py
@@ -74,7 +74,7 @@
 
 
 class FleetTest(unittest.TestCase):
-    """A whole configuration is read, a faulty one is refused with everything that is wrong."""
+    """A valid configuration is parsed; an invalid one is rejected with all of its findings."""
 
     def test_reads_every_section(self) -> None:
         fleet = parse_configuration(GOOD, file="fleet.ini", version=7)
@@ -94,7 +94,7 @@
         self.assertEqual(fleet.leaving_instances, frozenset({"entry-04"}))
 
     def test_classes_of_one_tier_are_refused_only_where_they_share_endpoints(self) -> None:
-        # drafting and payment are both of tier 1, one at the engine, one at the service.
+        # drafting and payment are both of tier 1, but one runs at the engine, one at the service.
         self.assertEqual(list_codes(GOOD), [])
         shared = GOOD.replace("pay:payment", "pay:payment, mail:payment")
         self.assertEqual(list_codes(shared), [(16, FindingCode.DUPLICATE_TIER)])
--- a/tests/test_fleet_properties.py
+++ b/tests/test_fleet_properties.py
@@ -1,4 +1,4 @@
-"""Property tests of the checkers: whatever the text, findings and nothing else."""
+"""Property tests of the checkers: an invalid text gives findings and no other exception."""
 
 from __future__ import annotations
 
@@ -15,24 +15,26 @@
 from tests.test_settings import GOOD as SETTINGS
 
 LINES = st.sampled_from([*FLEET.splitlines(), *SETTINGS.splitlines(), "", "  tail", "=", "[", "[]"])
-NOISE = st.text(alphabet=st.characters(codec="utf-8"), max_size=40)
-TEXTS = st.lists(LINES | NOISE, max_size=60).map("\n".join)
+ARBITRARY_TEXT = st.text(alphabet=st.characters(codec="utf-8"), max_size=40)
+TEXTS = st.lists(LINES | ARBITRARY_TEXT, max_size=60).map("\n".join)
 
 
 @st.composite
 def edit_fleets(draw: st.DrawFn) -> str:
-    """Return the good configuration with a few values, keys or lines replaced."""
+    """Return the valid configuration with up to 4 values, keys or lines replaced."""
     lines = FLEET.splitlines()
     for _ in range(draw(st.integers(0, 4))):
-        place = draw(st.integers(0, len(lines) - 1))
-        key = lines[place].partition("=")[0]
-        value = draw(NOISE | st.sampled_from(["0", "-1", "1e999", "9" * 5000, "nan", "²", "a:b"]))
-        lines[place] = draw(st.sampled_from([f"{key}= {value}", value, "", lines[place - 1]]))
+        index = draw(st.integers(0, len(lines) - 1))
+        key = lines[index].partition("=")[0]
+        value = draw(
+            ARBITRARY_TEXT | st.sampled_from(["0", "-1", "1e999", "9" * 5000, "nan", "²", "a:b"])
+        )
+        lines[index] = draw(st.sampled_from([f"{key}= {value}", value, "", lines[index - 1]]))
     return "\n".join(lines)
 
 
 class CheckerProperties(unittest.TestCase):
-    """The parsers and checkers end in an object or in findings with a line of the text."""
+    """The parsers and checkers return an object, or findings with a line of the text."""
 
     @given(TEXTS | edit_fleets())
     def test_fleet_ends_in_findings_or_a_configuration(self, text: str) -> None:
@@ -56,7 +58,7 @@
             self.assertTrue(error.findings)
 
     def test_a_text_without_a_file_name(self) -> None:
-        # configparser raises ValueError for a syntax error in a source without a name.
+        # configparser raises ValueError for a syntax error in a source with an empty name.
         self.assertEqual(len(read_ini("junk\n", file="").findings), 1)
 
     @given(TEXTS | edit_fleets())
--- a/tests/test_fleet_reader_properties.py
+++ b/tests/test_fleet_reader_properties.py
@@ -1,4 +1,4 @@
-"""Property test: reading a version from the one before gives what reading it whole gives."""
+"""Property test: incremental reading of a version equals parsing its whole text."""
 
 from __future__ import annotations
 
@@ -21,7 +21,7 @@
 
 @st.composite
 def shuffle_fleets(draw: st.DrawFn) -> str:
-    """Return the good configuration with its sections in another order, some left out or twice."""
+    """Return the valid configuration with sections reordered, left out or repeated."""
     first, *others = [SECTIONS[0], *(f"[{section}" for section in SECTIONS[1:])]
     indented = [f" {section}" for section in others]
     start = draw(st.sampled_from(["# remark", "", " [model tiny]", first]))
@@ -29,27 +29,29 @@
 
 
 class AcceptedReaderProperties(unittest.TestCase):
-    """The short way and the long way agree on every text that can be accepted."""
+    """Incremental and full parsing agree on every text that can be accepted."""
 
     @given(st.lists(edit_fleets() | shuffle_fleets() | st.just(GOOD), min_size=1, max_size=6))
     def test_agrees_with_reading_the_whole(self, texts: list[str]) -> None:
         reader = AcceptedReader()
         for version, text in enumerate(texts, start=1):
             try:
-                whole = parse_configuration(text, file="f", version=version)
+                full = parse_configuration(text, file="f", version=version)
             except FindingsError:
-                # Such a text is never accepted; reading it must not harm the next one.
+                # Such a text is never accepted; reading it must not affect the next version.
                 with contextlib.suppress(FindingsError):
                     reader.read(text, version=version)
                 continue
             read = reader.read(text, version=version)
-            self.assertEqual(read, whole)
-            self.assertEqual(list(read.endpoints), list(whole.endpoints))
+            self.assertEqual(read, full)
+            self.assertEqual(list(read.endpoints), list(full.endpoints))
 
     def test_reads_only_what_changed(self) -> None:
         reader = AcceptedReader()
         before = reader.read(GOOD, version=1)
-        with mock.patch.object(fleet_reader, "read_part", wraps=fleet_reader.read_part) as read:
+        with mock.patch.object(
+            fleet_reader, "read_section_object", wraps=fleet_reader.read_section_object
+        ) as read:
             after = reader.read(GOOD.replace("slots = 8", "slots = 9"), version=2)
         self.assertEqual(read.call_count, 1)
         self.assertEqual(after.endpoints["engine-1"].slots, 9)
