--- a/src/guavamast/changes.py
+++ b/src/guavamast/changes.py
@@ -16,7 +16,7 @@
 
 
 class ChangeKind(StrEnum):
-    """What happens to a section or to one of its keys."""
+    """Kind of change of a section or of one of its keys."""
 
     ADDED = "added"
     REMOVED = "removed"
@@ -31,7 +31,7 @@
     section: str
     """Header without brackets, such as ``class drafting``."""
     key: str = ""
-    """The key that changed; empty when the whole section came or went."""
+    """The changed key; empty when the whole section was added or removed."""
     before: str = ""
     after: str = ""
 
@@ -42,7 +42,7 @@
 
 
 def compute_changes(before: Configuration, after: Configuration) -> list[Change]:
-    """Return the differences of two configurations, in order of section and key."""
+    """Return the differences between two configurations, sorted by section and key order."""
     old, new = _list_sections(before), _list_sections(after)
     changes: list[Change] = []
     for section in sorted(old.keys() | new.keys()):
@@ -56,7 +56,7 @@
 
 
 def list_drains(before: Configuration, after: Configuration) -> list[str]:
-    """Return the sections of the endpoints and instances that begin to leave."""
+    """Return the sections of the endpoints and instances whose state becomes ``leaving``."""
     endpoints = [
         f"endpoint {endpoint.name}"
         for endpoint in after.endpoints.values()
@@ -69,16 +69,16 @@
 
 
 def _list_sections(configuration: Configuration) -> dict[str, Any]:
-    """Return the objects of a configuration by the header of their section."""
+    """Return the objects of a configuration by section header."""
     sections: dict[str, Any] = {}
-    parts = {
+    objects_by_kind = {
         "class": configuration.classes,
         "organisation": configuration.organisations,
         "endpoint": configuration.endpoints,
         "model": configuration.models,
     }
-    for kind, part in parts.items():
-        sections.update({f"{kind} {name}": value for name, value in part.items()})
+    for kind, objects in objects_by_kind.items():
+        sections.update({f"{kind} {name}": value for name, value in objects.items()})
     for (service, call), rule in configuration.calls.items():
         sections[f"call {service}.{call}"] = rule
     for name in configuration.leaving_instances:
@@ -100,7 +100,7 @@
 
 
 def _list_values(value: Any) -> Iterator[tuple[str, str]]:
-    """Yield the keys of an object with their values as the INI file writes them."""
+    """Yield the keys of an object with their values, formatted as in the INI file."""
     if not is_dataclass(value):
         return
     for field in fields(value):
--- a/src/guavamast/checks.py
+++ b/src/guavamast/checks.py
@@ -1,4 +1,4 @@
-"""Checks of files that are instances' settings or fleet configurations."""
+"""Checks of files with instance settings or fleet configurations."""
 
 from __future__ import annotations
 
@@ -13,17 +13,17 @@
 if TYPE_CHECKING:
     from collections.abc import Iterator, Sequence
 
-_FLEET_WORDS: Final = frozenset(kind.kind for kind in FLEET_SECTIONS) - {"instance"}
-_OWN_KEYS: Final = (("instance", "name"), ("listen", "callers"), ("listen", "peers"))
-"""Section and key of what each instance has for itself."""
-_SETTINGS_WORDS: Final = frozenset(kind.kind for kind in SETTINGS_SECTIONS) - {"instance"}
+_FLEET_KINDS: Final = frozenset(kind.kind for kind in FLEET_SECTIONS) - {"instance"}
+_UNIQUE_KEYS: Final = (("instance", "name"), ("listen", "callers"), ("listen", "peers"))
+"""Section and key of the values that no two instances may share."""
+_SETTINGS_KINDS: Final = frozenset(kind.kind for kind in SETTINGS_SECTIONS) - {"instance"}
 
 
 def check_files(paths: Sequence[str]) -> list[Finding]:
-    """Return all findings of some files, by file and in order of place.
+    """Return all findings of some files, in the order of the files and sorted by line.
 
-    Settings of several instances are also compared: two of one name would be taken for one
-    instance that keeps restarting.
+    Settings of several instances are also compared. Without this, two with one name would look like
+    one instance that keeps restarting.
     """
     findings: list[Finding] = []
     owners: dict[tuple[str, str, str], str] = {}
@@ -33,17 +33,17 @@
         except FindingsError as error:
             findings += error.findings
             continue
-        found = [*check_text(text, file=path), *_check_owners(text, path, owners)]
-        findings += sorted(found, key=lambda finding: finding.line)
+        file_findings = [*check_text(text, file=path), *_check_unique(text, path, owners)]
+        findings += sorted(file_findings, key=lambda finding: finding.line)
     return findings
 
 
-def _check_owners(
+def _check_unique(
     text: str, path: str, owners: dict[tuple[str, str, str], str]
 ) -> Iterator[Finding]:
-    """Yield a finding for each name and address that an earlier file has."""
+    """Yield a finding for each name or address that an earlier file has too."""
     sections = {section.name: section for section in read_ini(text, file=path).sections}
-    for section, key in _OWN_KEYS:
+    for section, key in _UNIQUE_KEYS:
         entry = sections[section].entries.get(key) if section in sections else None
         if entry is None or entry.value.endswith(":0"):
             continue
@@ -58,15 +58,15 @@
     """Return all findings of a text.
 
     Args:
-        text: Instance settings or a fleet configuration; its sections tell which.
-        file: Name to report.
+        text: Instance settings or a fleet configuration; the sections decide which.
+        file: Name to report in findings.
 
     Returns:
-        Findings in order of place.
+        Findings sorted by line.
     """
     ini = read_ini(text, file=file)
     if not ini.sections and not ini.findings:
-        message = "has no section"
+        message = "has no sections"
         return [Finding(file=file, line=0, code=FindingCode.SYNTAX, message=message)]
     if is_fleet(ini):
         return check_configuration(text, file=file)
@@ -78,13 +78,13 @@
 
 
 def is_fleet(ini: IniFile) -> bool:
-    """Return whether a file's sections, misspelt ones included, are those of a fleet."""
-    votes = 0
+    """Return whether the sections, misspelt ones included, are mostly of a fleet configuration."""
+    balance = 0
     for section in ini.sections:
-        word, _, name = section.name.strip().partition(" ")
-        if word == "instance":
-            votes += 1 if name else -1
+        kind, _, name = section.name.strip().partition(" ")
+        if kind == "instance":
+            balance += 1 if name else -1
             continue
-        nearest = find_nearest(word, _FLEET_WORDS | _SETTINGS_WORDS)
-        votes += (nearest in _FLEET_WORDS) - (nearest in _SETTINGS_WORDS)
-    return votes > 0
+        nearest = find_nearest(kind, _FLEET_KINDS | _SETTINGS_KINDS)
+        balance += (nearest in _FLEET_KINDS) - (nearest in _SETTINGS_KINDS)
+    return balance > 0
--- a/src/guavamast/findings.py
+++ b/src/guavamast/findings.py
@@ -1,4 +1,4 @@
-"""Findings of a check: each with its place, collected and reported together."""
+"""Findings of a check, each with file and line, that are reported together."""
 
 from __future__ import annotations
 
@@ -9,7 +9,7 @@
 
 
 class FindingCode(StrEnum):
-    """What is wrong at a place of a file; ``docs/errors.md`` says what to do for each."""
+    """Kind of fault in a file; ``docs/errors.md`` lists the remedy for each."""
 
     UNREADABLE = "unreadable"
     SYNTAX = "syntax"
@@ -33,7 +33,7 @@
 
 @dataclass(frozen=True, slots=True, kw_only=True)
 class Finding:
-    """One thing that is wrong at one place of a file."""
+    """A fault at a line of a file."""
 
     file: str
     line: int
@@ -46,7 +46,7 @@
 
 
 class FindingsError(GuavamastError):
-    """A file was refused as a whole; carries every finding, in order of place."""
+    """Raised when a file is rejected as a whole; holds every finding, sorted by file and line."""
 
     def __init__(self, findings: list[Finding]) -> None:
         ordered = sorted(findings, key=lambda finding: (finding.file, finding.line))
--- a/src/guavamast/settings.py
+++ b/src/guavamast/settings.py
@@ -1,4 +1,4 @@
-"""Settings of one instance, shared by its entry and its dispatcher."""
+"""Settings of an instance, shared by its entry and its dispatcher."""
 
 from __future__ import annotations
 
@@ -26,30 +26,30 @@
 
 @dataclass(frozen=True, slots=True, kw_only=True)
 class InstanceSettings:
-    """What a process learns from its settings file."""
+    """Values of the settings file of an instance."""
 
     instance: Instance
-    """Its listeners' ports may be 0; the OS chooses then."""
+    """Its ports may be 0; the OS chooses one then."""
     tables_url: str
     objects_url: str
     seeds: tuple[str, ...]
-    """Peer addresses of dispatchers to ask first."""
+    """Peer addresses of the dispatchers to query first."""
     operator_token_file: Path | None
     statsd: str
-    """``ip:port``; empty sends no metrics."""
+    """``ip:port``; no metrics are sent when empty."""
     log_level: str = "info"
     log_format: str = "text"
     max_body_bytes: int = 1_048_576
     drain_wait_s: float = 600.0
-    """Longest time a leaving daemon waits for work in flight."""
+    """Longest time for which a leaving daemon waits for work in flight."""
     address_validity_s: float = 10.0
-    """Time for which callers may keep an answer of ``/v1/addresses``."""
+    """Time for which callers may cache a response of ``/v1/addresses``."""
     operation_retention_s: float = 604_800.0
     """Age at which a finished operation's row may be deleted."""
 
 
 _DEFAULTS: Final = {field.name: field.default for field in fields(InstanceSettings)}
-_LEVELS: Final = ("debug", "info", "warning", "error")
+_LOG_LEVELS: Final = ("debug", "info", "warning", "error")
 SETTINGS_SECTIONS: Final = (
     SectionKind(
         kind="instance",
@@ -123,7 +123,7 @@
         keys=(
             Key(
                 name="level",
-                type=Choice({level: level for level in _LEVELS}),
+                type=Choice({level: level for level in _LOG_LEVELS}),
                 meaning="Least level that is logged.",
                 default=_DEFAULTS["log_level"],
             ),
@@ -174,16 +174,16 @@
 
 
 def load_settings(path: Path | str) -> InstanceSettings:
-    """Read and check one instance's settings file.
+    """Read and check the settings file of an instance.
 
     Args:
-        path: The file.
+        path: Path of the file.
 
     Returns:
         The settings.
 
     Raises:
-        FindingsError: The file can't be read or something in it is wrong; carries every finding.
+        FindingsError: The file is unreadable or has faults; the error holds every finding.
     """
     return parse_settings(read_text(path), file=str(path))
 
@@ -192,7 +192,7 @@
     """Return a file's text.
 
     Raises:
-        FindingsError: It can't be read or isn't UTF-8.
+        FindingsError: The file is unreadable or not UTF-8.
     """
     try:
         return Path(path).read_text(encoding="utf-8")
@@ -204,44 +204,44 @@
 
 
 def parse_settings(text: str, *, file: str) -> InstanceSettings:
-    """Read and check the text of one instance's settings.
+    """Parse and check the settings of an instance.
 
     Args:
         text: The INI text.
-        file: Its path, for findings and for paths relative to it.
+        file: Path of the file, for findings and as the base of relative paths.
 
     Returns:
         The settings.
 
     Raises:
-        FindingsError: Something is wrong; carries every finding.
+        FindingsError: The text has faults; the error holds every finding.
     """
     reader = SchemaReader(ini=read_ini(text, file=file), kinds=SETTINGS_SECTIONS)
     reader.read()
     _check_listeners(reader)
     if reader.findings:
         raise FindingsError(reader.findings)
-    return _make_settings(_collect_values(reader), directory=Path(file).parent)
+    return _build_settings(_collect_values(reader), directory=Path(file).parent)
 
 
 def _check_listeners(reader: SchemaReader) -> None:
-    """Report two listeners on one address; port 0 is another port for each."""
+    """Report two listeners with one address; with port 0 each gets a port of its own."""
     for section in reader.list_sections("listen"):
         callers, peers = section.values.get("callers"), section.values.get("peers", "")
         if callers == peers and not peers.endswith(":0"):
-            message = f"peers: {peers} is the address of callers too"
+            message = f"peers: {peers} is also the address of callers"
             reader.add(section.find_line("peers"), FindingCode.DUPLICATE_VALUE, message)
 
 
 def _collect_values(reader: SchemaReader) -> dict[str, dict[str, Any]]:
-    """Return the values of each kind of section, the defaults when it isn't written."""
+    """Return the values by kind of section; defaults for a section that isn't written."""
     values = {kind.kind: {key.name: key.default for key in kind.keys} for kind in SETTINGS_SECTIONS}
     for section in reader.sections:
         values[section.kind] = section.values
     return values
 
 
-def _make_settings(values: dict[str, dict[str, Any]], *, directory: Path) -> InstanceSettings:
+def _build_settings(values: dict[str, dict[str, Any]], *, directory: Path) -> InstanceSettings:
     instance = values["instance"]
     token_file = values["operators"]["token_file"]
     domain = FailureDomain(name=instance["failure_domain"], region=instance["region"])
--- a/src/guavamast/states.py
+++ b/src/guavamast/states.py
@@ -1,4 +1,4 @@
-"""Stating in a fleet configuration's text that an endpoint or instance leaves, or is back."""
+"""Edits the ``state`` of an endpoint or instance in the text of a fleet configuration."""
 
 from __future__ import annotations
 
@@ -13,25 +13,25 @@
 
 
 def set_state(text: str, *, kind: str, name: str, state: EndpointState) -> str:
-    """Return the text with one section's ``state`` set; all other lines stay as they are.
+    """Return the text with the ``state`` of one section set; other lines don't change.
 
     Args:
         text: A checked fleet configuration.
-        kind: ``endpoint`` or ``instance``; an instance's section is added when it has none.
-        name: The endpoint or instance.
+        kind: ``endpoint`` or ``instance``; a missing section of an instance is added.
+        name: Name of the endpoint or instance.
         state: The state to set.
 
     Returns:
         The new text.
 
     Raises:
-        GuavamastError: With code ``not_found``: there is no such endpoint.
+        GuavamastError: The endpoint doesn't exist; code ``not_found``.
     """
     lines = text.split("\n")
     section = _find_section(text, f"{kind} {name}")
     if section is not None and "state" in section.entries:
-        place = section.entries["state"].line - 1
-        lines[place] = f"state = {state}"
+        index = section.entries["state"].line - 1
+        lines[index] = f"state = {state}"
     elif section is not None:
         lines.insert(section.line, f"state = {state}")
     elif kind == "instance":
--- a/src/guavamast/world.py
+++ b/src/guavamast/world.py
@@ -1,4 +1,4 @@
-"""The objects of the world that a configuration describes, and the configuration itself.
+"""The fleet's configuration and the objects that it describes.
 
 All are immutable; durations are in seconds unless a name says otherwise.
 """
@@ -24,7 +24,7 @@
 
 @dataclass(frozen=True, slots=True, kw_only=True)
 class Instance:
-    """One machine that runs an entry and a dispatcher."""
+    """A machine that runs an entry and a dispatcher."""
 
     name: str
     failure_domain: FailureDomain
@@ -34,11 +34,11 @@
     """``ip:port`` of the dispatcher's gRPC listener."""
 
     def with_peer_address(self, address: str) -> Instance:
-        """Return the instance with its dispatcher's address as bound."""
+        """Return a copy with the bound address of the dispatcher's listener."""
         return replace(self, peer_address=address)
 
     def with_caller_address(self, address: str) -> Instance:
-        """Return the instance with its entry's address as bound."""
+        """Return a copy with the bound address of the entry's listener."""
         return replace(self, caller_address=address)
 
 
@@ -50,14 +50,14 @@
 
 
 class EndpointState(StrEnum):
-    """What the operators want of an endpoint."""
+    """State that the operators request for an endpoint or instance."""
 
     ACTIVE = "active"
     LEAVING = "leaving"
 
 
 class Fencing(StrEnum):
-    """Whether an endpoint refuses an order that carries an old fencing number."""
+    """Whether an endpoint rejects an order with an outdated fencing number."""
 
     CHECKED = "checked"
     IGNORED = "ignored"
@@ -72,7 +72,7 @@
     url: str
     failure_domain: str
     slots: int
-    """Requests that it runs at the same time."""
+    """Requests that it runs concurrently."""
     service: str = ""
     """Name of the service; empty for an engine."""
     models: frozenset[str] = frozenset()
@@ -82,7 +82,7 @@
 
 @dataclass(frozen=True, slots=True, kw_only=True)
 class ServiceClass:
-    """A tier with its targets. Tier 1 is the highest."""
+    """A tier with its latency targets, share and queue limit. Tier 1 is the highest."""
 
     name: str
     tier: int
@@ -90,19 +90,19 @@
     token_interval_ms: float
     completion_s: float
     guaranteed_share: float
-    """Share of starts, 0 to 1, that the class gets while it has waiting work."""
+    """Share of request starts, 0 to 1, that the class gets while it has waiting requests."""
     queue_limit: int
-    """Requests that may wait at one endpoint's keeper."""
+    """Requests of the class that may wait at one endpoint's keeper."""
 
 
 @dataclass(frozen=True, slots=True, kw_only=True)
 class Contract:
-    """What one organisation may use: its limits and the class of each kind of request."""
+    """Limits of an organisation and the class of each kind of request it may send."""
 
     requests_per_second: float
     concurrent: int
     classes: Mapping[str, str]
-    """Kind of request to name of class."""
+    """Name of the class by kind of request."""
 
 
 @dataclass(frozen=True, slots=True, kw_only=True)
@@ -116,7 +116,7 @@
 
 @dataclass(frozen=True, slots=True, kw_only=True)
 class CallRule:
-    """How one call of a plain service may be treated."""
+    """Retry and timeout rules of one call of a plain service."""
 
     service: str
     call: str
@@ -126,7 +126,7 @@
 
 @dataclass(frozen=True, slots=True, kw_only=True)
 class Model:
-    """A language model and the version that engines are to run."""
+    """A language model and the version that engines have to run."""
 
     name: str
     version: str
@@ -138,17 +138,17 @@
 
 @dataclass(frozen=True, slots=True, kw_only=True)
 class Configuration:
-    """One accepted version of the fleet's configuration."""
+    """A version of the fleet's configuration."""
 
     version: int
-    """0 stands for no configuration yet; each accepted plan adds one."""
+    """0 means that there is no configuration yet; each accepted plan adds 1."""
     text: str = ""
-    """The INI text this was read from."""
+    """The INI text that it was parsed from."""
     classes: Mapping[str, ServiceClass] = field(default_factory=_empty)
     organisations: Mapping[str, Organisation] = field(default_factory=_empty)
     endpoints: Mapping[str, Endpoint] = field(default_factory=_empty)
     calls: Mapping[tuple[str, str], CallRule] = field(default_factory=_empty)
-    """Keyed by service and call."""
+    """Rules by service and call."""
     models: Mapping[str, Model] = field(default_factory=_empty)
     leaving_instances: frozenset[str] = frozenset()
-    """Instances that the operators drain; each shuts down gracefully when it reads its own name."""
+    """Instances that the operators drain; each shuts down gracefully when it finds its own name."""
--- a/tests/test_examples.py
+++ b/tests/test_examples.py
@@ -1,4 +1,4 @@
-"""Tests that the example files pass the checks and fit together."""
+"""Tests that the example files pass the checks and are consistent with each other."""
 
 from __future__ import annotations
 
@@ -13,11 +13,11 @@
 
 EXAMPLES = Path(__file__).resolve().parent.parent / "examples"
 SIZES = {"agence": (13, 4, 9, 4, 10), "cotopaxi": (14, 3, 6, 3, 10)}
-"""Instances, failure domains, engines, service endpoints and organisations of each."""
+"""Numbers of instances, failure domains, engines, service endpoints and organisations."""
 
 
 class ExamplesTest(unittest.TestCase):
-    """Both deployments can be taken as they stand."""
+    """Both example deployments are valid without changes."""
 
     def test_every_file_is_without_findings(self) -> None:
         files = sorted(EXAMPLES.glob("**/*.ini"))
@@ -57,6 +57,6 @@
             self.assertEqual(codes, {WarningCode.FENCING_IGNORED}, name)
 
     def load_fleet(self, name: str) -> Configuration:
-        """Return a deployment's configuration."""
+        """Return the fleet configuration of a deployment."""
         text = (EXAMPLES / name / "fleet.ini").read_text(encoding="utf-8")
         return parse_configuration(text, file=name, version=1)
--- a/tests/test_settings.py
+++ b/tests/test_settings.py
@@ -1,4 +1,4 @@
-"""Tests of reading one instance's settings."""
+"""Tests of reading the settings of an instance."""
 
 from __future__ import annotations
 
@@ -24,7 +24,7 @@
 
 
 class SettingsTest(unittest.TestCase):
-    """Settings are taken as a whole or refused with everything that is wrong."""
+    """Valid settings are parsed; invalid ones are rejected with all of their findings."""
 
     def test_fills_defaults(self) -> None:
         settings = parse_settings(GOOD, file="a.ini")
