--- a/src/guavamast/__main__.py
+++ b/src/guavamast/__main__.py
@@ -1,4 +1,4 @@
-"""Runs the command line as ``python -m guavamast``."""
+"""Entry point of ``python -m guavamast``."""
 
 from __future__ import annotations
 
--- a/src/guavamast/commands.py
+++ b/src/guavamast/commands.py
@@ -1,7 +1,7 @@
-"""What each command of the command line does.
+"""Implementation of the commands of the command line.
 
-Each function returns a `Task` and does nothing by itself. Imports stand inside the tasks: a
-daemon would otherwise hold the modules of every other command in memory.
+Each function only returns a `Task`. Modules are imported inside the tasks; a daemon would
+otherwise hold the modules of every other command in memory.
 """
 
 from __future__ import annotations
@@ -28,11 +28,11 @@
 
 
 class Task:
-    """A parsed command that has not begun.
+    """A parsed command that has not started.
 
-    Failure: fire calls a command's function before it finds that a later word is one too many;
-    ``confirm PLAN WORD`` would confirm, and then report a usage error. As the functions only
-    return a task, it begins after the whole command line was understood.
+    Failure: fire calls a command's function before it detects a surplus argument, so
+    ``confirm PLAN WORD`` would confirm the plan and then report a usage error. The functions
+    only return a task, which runs after the whole command line is parsed.
 
     Args:
         act: Runs the command and returns its exit code.
@@ -49,10 +49,10 @@
     return task._act()
 
 
-def read_switch(text: str) -> bool:
-    """Return a switch's value; fire gives ``True`` for one without a value."""
+def parse_flag(text: str) -> bool:
+    """Return the value of a flag; fire passes ``True`` for a flag without a value."""
     if text not in ("True", "False"):
-        raise GuavamastError(ErrorCode.USAGE, f"a switch takes no value, not {text!r}")
+        raise GuavamastError(ErrorCode.USAGE, f"a flag takes no value, got {text!r}")
     return text == "True"
 
 
@@ -104,7 +104,7 @@
 
 
 @SetParseFn(str)
-@SetParseFn(read_switch, "json")
+@SetParseFn(parse_flag, "json")
 def check(*files: str, json: bool = False) -> Task:
     """Check settings and fleet configurations: check FILE... [--json]."""
 
@@ -114,7 +114,7 @@
         from guavamast.checks import check_files
 
         if not files:
-            raise GuavamastError(ErrorCode.USAGE, "check needs a file")
+            raise GuavamastError(ErrorCode.USAGE, "check requires at least one file")
         findings = check_files(files)
         if json:
             print(json_codec.dumps([asdict(finding) for finding in findings]))
@@ -126,7 +126,7 @@
 
 
 @SetParseFn(str)
-@SetParseFn(read_switch, "json")
+@SetParseFn(parse_flag, "json")
 def plan(file: str, *, via: str, token_file: str, json: bool = False) -> Task:
     """Propose a fleet configuration: plan FILE --via URL --token-file F [--json]."""
 
@@ -135,11 +135,11 @@
 
         return await client.propose(read_text(file))
 
-    return make_client_task(call, _show_new_plan, via=via, token_file=token_file, json=json)
+    return build_client_task(call, _format_new_plan, via=via, token_file=token_file, json=json)
 
 
 @SetParseFn(str)
-@SetParseFn(read_switch, "json")
+@SetParseFn(parse_flag, "json")
 def confirm(plan: str, *, via: str, token_file: str, json: bool = False) -> Task:
     """Put a plan in force: confirm PLAN --via URL --token-file F [--json]."""
 
@@ -150,7 +150,7 @@
             if error.code is not ErrorCode.OUTCOME_UNKNOWN:
                 raise
             message = (
-                f"{error.message}; to learn whether plan {plan} is in force, run "
+                f"{error.message}; to find out whether plan {plan} is in force, run "
                 f"`guavamast confirm {plan} --via {via} --token-file {token_file}` again: "
                 "it is never applied twice"
             )
@@ -159,84 +159,84 @@
     def show(answer: dict[str, Any]) -> str:
         return f"version {answer['version']}"
 
-    return make_client_task(call, show, via=via, token_file=token_file, json=json)
+    return build_client_task(call, show, via=via, token_file=token_file, json=json)
 
 
 @SetParseFn(str)
-@SetParseFn(read_switch, "json", "undo")
+@SetParseFn(parse_flag, "json", "undo")
 def drain(
     what: str, name: str, *, via: str, token_file: str, undo: bool = False, json: bool = False
 ) -> Task:
     """Plan a drain: drain endpoint|instance NAME --via URL --token-file F [--undo] [--json]."""
 
     async def call(client: OperatorClient) -> dict[str, Any]:
-        from guavamast.plans import make_remark
+        from guavamast.plans import build_version_comment
         from guavamast.states import set_state
         from guavamast.world import EndpointState
 
         if what not in ("endpoint", "instance"):
-            raise GuavamastError(ErrorCode.USAGE, f"drain endpoint or instance, not {what!r}")
+            raise GuavamastError(ErrorCode.USAGE, f"expected endpoint or instance, got {what!r}")
         if what == "instance":
-            await _check_instance(client, name)
+            await _require_instance(client, name)
         state = EndpointState.ACTIVE if undo else EndpointState.LEAVING
         shown = await client.read_configuration()
         text = set_state(shown["text"], kind=what, name=name, state=state)
-        # An instance cut off from the platform may show an older version.
-        return await client.propose(make_remark(shown["version"]) + text)
+        # An instance without a connection to the platform may return an older version.
+        return await client.propose(build_version_comment(shown["version"]) + text)
 
-    return make_client_task(call, _show_new_plan, via=via, token_file=token_file, json=json)
+    return build_client_task(call, _format_new_plan, via=via, token_file=token_file, json=json)
 
 
-async def _check_instance(client: OperatorClient, name: str) -> None:
-    """Refuse a name that no instance has: a plan for a misspelt one would drain nothing."""
+async def _require_instance(client: OperatorClient, name: str) -> None:
+    """Reject unknown instance names; a plan with a misspelt name would drain nothing."""
     status = await client.read_status()
     names = [instance["name"] for instance in status["instances"]]
     if name not in names:
-        message = f"there is no instance {name}; there are {', '.join(names) or 'none'}"
+        message = f"there is no instance {name}; known instances: {', '.join(names) or 'none'}"
         raise GuavamastError(ErrorCode.NOT_FOUND, message)
 
 
 @SetParseFn(str)
-@SetParseFn(read_switch, "json")
+@SetParseFn(parse_flag, "json")
 def status(*, via: str, token_file: str, json: bool = False) -> Task:
     """Show instances with version and state: status --via URL --token-file F [--json]."""
 
     def show(answer: dict[str, Any]) -> str:
-        from guavamast.text_output import show_status
+        from guavamast.text_output import format_status
 
-        return show_status(answer)
+        return format_status(answer)
 
-    return make_client_task(
+    return build_client_task(
         lambda client: client.read_status(), show, via=via, token_file=token_file, json=json
     )
 
 
 @SetParseFn(str)
-@SetParseFn(read_switch, "json")
+@SetParseFn(parse_flag, "json")
 def audit(*, via: str, token_file: str, limit: str = "50", json: bool = False) -> Task:
     """Show the audit trail: audit --via URL --token-file F [--limit N] [--json]."""
 
     def show(answer: dict[str, Any]) -> str:
-        from guavamast.text_output import show_audit
+        from guavamast.text_output import format_audit
 
-        return show_audit(answer)
+        return format_audit(answer)
 
-    return make_client_task(
+    return build_client_task(
         lambda client: client.read_audit(limit), show, via=via, token_file=token_file, json=json
     )
 
 
 @SetParseFn(str)
-@SetParseFn(read_switch, "json")
+@SetParseFn(parse_flag, "json")
 def show(*, via: str, token_file: str, version: str = "", json: bool = False) -> Task:
     """Show the configuration: show --via URL --token-file F [--version N] [--json]."""
 
     def write(answer: dict[str, Any]) -> str:
-        from guavamast.plans import make_remark
+        from guavamast.plans import build_version_comment
 
-        return make_remark(answer["version"]) + answer["text"]
+        return build_version_comment(answer["version"]) + answer["text"]
 
-    return make_client_task(
+    return build_client_task(
         lambda client: client.read_configuration(version),
         write,
         via=via,
@@ -251,14 +251,16 @@
 
     def act() -> int:
         if not (port.isascii() and port.isdigit() and int(port[:9]) <= 65535):
-            raise GuavamastError(ErrorCode.USAGE, f"--port: {port!r} is not from 0 to 65535")
-        asyncio.run(_serve_standin(_make_standin(kind), int(port)))
+            raise GuavamastError(
+                ErrorCode.USAGE, f"--port: {port!r} is not an integer from 0 to 65535"
+            )
+        asyncio.run(_serve_standin(_build_standin(kind), int(port)))
         return EXIT_OK
 
     return Task(act)
 
 
-def _make_standin(kind: str) -> Standin:
+def _build_standin(kind: str) -> Standin:
     if kind == "platform":
         from guavamast.standins.platform import PlatformStandin
 
@@ -271,7 +273,7 @@
         from guavamast.standins.service import ServiceStandin
 
         return ServiceStandin()
-    raise GuavamastError(ErrorCode.USAGE, f"platform, engine or service, not {kind!r}")
+    raise GuavamastError(ErrorCode.USAGE, f"expected platform, engine or service, got {kind!r}")
 
 
 async def _serve_standin(standin: Standin, port: int) -> None:
@@ -304,7 +306,7 @@
     return Task(act)
 
 
-@SetParseFn(read_switch, "serve")
+@SetParseFn(parse_flag, "serve")
 def demo(*, serve: bool = False) -> Task:
     """Run the whole path in one process: demo [--serve]."""
 
@@ -316,7 +318,7 @@
     return Task(act)
 
 
-def make_client_task(
+def build_client_task(
     call: Callable[[OperatorClient], Awaitable[dict[str, Any]]],
     show: Callable[[dict[str, Any]], str],
     *,
@@ -324,33 +326,33 @@
     token_file: str,
     json: bool,
 ) -> Task:
-    """Return a task that calls an instance and prints its answer.
+    """Return a task that calls an instance and prints the response.
 
     Args:
         call: Calls the instance.
-        show: Makes the answer readable.
+        show: Formats the response as text.
         via: Base URL of the instance.
         token_file: File with the operator's token.
-        json: Whether to print the answer's JSON instead.
+        json: Whether to print the response as JSON instead.
     """
 
     def act() -> int:
-        from guavamast.operator_client import OperatorClient, read_token, read_url
+        from guavamast.operator_client import OperatorClient, parse_url, read_token
 
-        client = OperatorClient(url=read_url(via), token=read_token(token_file))
+        client = OperatorClient(url=parse_url(via), token=read_token(token_file))
         answer = asyncio.run(_await(call(client)))
-        print(json_codec.dumps(answer) if json else _show_checked(show, answer))
+        print(json_codec.dumps(answer) if json else _format_checked(show, answer))
         return EXIT_OK
 
     return Task(act)
 
 
-def _show_checked(show: Callable[[dict[str, Any]], str], answer: dict[str, Any]) -> str:
-    """Return an answer made readable; another server than an instance may have given it."""
+def _format_checked(show: Callable[[dict[str, Any]], str], answer: dict[str, Any]) -> str:
+    """Format a response, which may come from a server that is not an instance."""
     try:
         return show(answer)
     except (AttributeError, KeyError, TypeError, ValueError):
-        message = f"the answer is not that of an instance: {json_codec.dumps(answer)[:200]}"
+        message = f"unexpected response from the instance: {json_codec.dumps(answer)[:200]}"
         raise GuavamastError(ErrorCode.INTERNAL, message) from None
 
 
@@ -358,10 +360,10 @@
     return await call
 
 
-def _show_new_plan(answer: dict[str, Any]) -> str:
-    from guavamast.text_output import show_plan
+def _format_new_plan(answer: dict[str, Any]) -> str:
+    from guavamast.text_output import format_plan
 
-    return f"{show_plan(answer)}\n\nnothing has changed yet; to accept: confirm {answer['id']}"
+    return f"{format_plan(answer)}\n\nnothing has changed yet; to accept: confirm {answer['id']}"
 
 
 COMMANDS: Final = {
--- a/src/guavamast/demo.py
+++ b/src/guavamast/demo.py
@@ -1,4 +1,4 @@
-"""The whole path in one process: a plan, a streamed chat, a plain chat and a service call."""
+"""Demo in one process: a plan, a streamed chat, a plain chat and a service call."""
 
 from __future__ import annotations
 
@@ -24,7 +24,7 @@
     key: str,
     headers: dict[str, str] | None = None,
 ) -> HTTPResponse:
-    """Send one request with a bearer key and return its answer, whatever its status."""
+    """Send one request with a bearer key and return the response, whatever its status."""
     request = HTTPRequest(
         url,
         method="POST",
@@ -40,7 +40,7 @@
 
 
 def make_chat(prompt: str, *, stream: bool) -> bytes:
-    """Return the body of a chat."""
+    """Return the request body of a chat."""
     body: dict[str, Any] = {
         "model": "small",
         "messages": [{"role": "user", "content": prompt}],
@@ -50,7 +50,7 @@
 
 
 async def confirm_text(url: str, text: str) -> int:
-    """Plan and confirm a configuration; return its version."""
+    """Propose and confirm a configuration; return its version."""
     planned = await post(f"{url}/v1/plans", text.encode(), key=OPERATOR_TOKEN)
     if planned.code != 201:
         raise RuntimeError(planned.body.decode())
@@ -61,8 +61,8 @@
     return json.loads(confirmed.body)["version"]
 
 
-async def show(fleet: LocalFleet) -> None:
-    """Make one request of each kind and print its answer."""
+async def run_requests(fleet: LocalFleet) -> None:
+    """Send one request of each kind and print the responses."""
     chats = f"{fleet.url}/v1/chat/completions"
     print("streamed chat:")
     streamed = await post(chats, make_chat("Is a van eligible?", stream=True), key=CALLER_KEY)
@@ -88,7 +88,7 @@
         version = await confirm_text(fleet.url, fleet.make_text())
         await fleet.wait_for_version(version)
         print(f"configuration {version} is in force")
-        await show(fleet)
+        await run_requests(fleet)
         if serve:
             print(f"entry: {fleet.url}\ncaller key: {CALLER_KEY}\noperator: {OPERATOR_TOKEN}")
             await asyncio.Event().wait()
--- a/src/guavamast/fleet_handlers.py
+++ b/src/guavamast/fleet_handlers.py
@@ -1,4 +1,4 @@
-"""HTTP handlers that tell callers of the fleet: addresses, models and health."""
+"""HTTP handlers that inform callers about the fleet: addresses, models and health."""
 
 from __future__ import annotations
 
@@ -24,12 +24,12 @@
 
 
 class AddressesHandler(CallerHandler):
-    """``GET /v1/addresses``: which entries callers may use, without a key."""
+    """``GET /v1/addresses``: entries that callers may use; requires no key."""
 
     def get(self) -> None:
-        """List instances to use, with the time for which the answer may be kept.
+        """List the instances to use and for how long the list may be cached.
 
-        The query's ``failure_domain`` names the caller's own, or its region.
+        The query's ``failure_domain`` is the caller's failure domain or region.
         """
         answer = choose_addresses(
             self.services.state.view,
@@ -39,11 +39,11 @@
             seed=next(self.services.address_seeds),
             validity_s=self.services.address_validity_s,
         )
-        addresses = [_show_address(member.instance) for member in answer.members]
+        addresses = [_format_address(member.instance) for member in answer.members]
         self.finish({"addresses": addresses, "valid_for_s": round(answer.valid_for_s, 3)})
 
 
-def _show_address(instance: Instance) -> dict[str, str]:
+def _format_address(instance: Instance) -> dict[str, str]:
     return {
         "instance": instance.name,
         "failure_domain": instance.failure_domain.name,
@@ -55,14 +55,14 @@
     """``GET /healthz``: the process is alive."""
 
     def get(self) -> None:
-        """Answer."""
+        """Report that the process is alive."""
         self.finish({"status": "alive"})
 
 
 class ReadyHandler(CallerHandler):
-    """``GET /readyz``: callers are served."""
+    """``GET /readyz``: the instance can serve callers."""
 
     def get(self) -> None:
-        """Answer 200, or 503 without a configuration or while leaving."""
+        """Send 200, or 503 without a configuration or while leaving."""
         self.require_ready()
         self.finish({"status": "ready", "version": self.services.state.configuration.version})
--- a/src/guavamast/operator_client.py
+++ b/src/guavamast/operator_client.py
@@ -1,4 +1,4 @@
-"""The operators' interface of one instance, as the command line calls it."""
+"""HTTP client for the operators' interface of an instance."""
 
 from __future__ import annotations
 
@@ -14,16 +14,16 @@
 from guavamast.value_types import Fault, Url
 
 REQUEST_TIMEOUT_S: Final = 30.0
-"""Longest wait for an answer; settling a lost answer of the platform takes up to 20 s."""
+"""Request timeout; resolving a lost response of the platform takes up to 20 s."""
 
 
 class RemoteError(GuavamastError):
-    """An error that the instance answered.
+    """An error response of the instance.
 
     Args:
-        code: Its code, which may be one that this version does not know.
-        message: Its message.
-        details: The whole error object.
+        code: The error code; may be unknown to this version.
+        message: The error message.
+        details: The complete error object.
     """
 
     def __init__(self, code: str, message: str, *, details: dict[str, Any]) -> None:
@@ -33,7 +33,7 @@
 
 
 class OperatorClient:
-    """Calls the operators' interface; sends each request once.
+    """Client for the operators' interface; never retries a request.
 
     Args:
         url: Base URL of an instance.
@@ -51,7 +51,7 @@
         return await self._call("POST", "/v1/plans", text)
 
     async def confirm(self, plan_id: str) -> dict[str, Any]:
-        """Confirm a plan and return its version."""
+        """Confirm a plan and return the version created by it."""
         return await self._call("POST", f"/v1/plans/{quote(plan_id, safe='')}/confirm", "")
 
     async def read_plan(self, plan_id: str) -> dict[str, Any]:
@@ -83,17 +83,19 @@
         try:
             response = await fetch_once(request)
         except NotSent as error:
-            message = f"{self._url} can't be reached: {error}"
+            message = f"cannot connect to {self._url}: {error}"
             raise GuavamastError(ErrorCode.UNREACHABLE, message) from None
         except AnswerLost as error:
-            raise _make_lost(method, f"{self._url} gave no whole answer: {error}") from None
-        answer = _parse(response.body)
+            raise _build_lost_response_error(
+                method, f"incomplete response from {self._url}: {error}"
+            ) from None
+        answer = _parse_json_object(response.body)
         if 200 <= response.code < 300 and answer is not None:
             return answer
-        raise _read_error(method, response.code, answer or {})
+        raise _parse_error(method, response.code, answer or {})
 
 
-def _parse(body: bytes) -> dict[str, Any] | None:
+def _parse_json_object(body: bytes) -> dict[str, Any] | None:
     try:
         answer = json.loads(body)
     except ValueError:
@@ -101,24 +103,26 @@
     return answer if isinstance(answer, dict) else None
 
 
-def _make_lost(method: str, message: str) -> GuavamastError:
-    """Return the error of an answer that did not come: a write may have taken effect."""
+def _build_lost_response_error(method: str, message: str) -> GuavamastError:
+    """Return the error for a lost response: unknown outcome for writes, unreachable for reads."""
     code = ErrorCode.UNREACHABLE if method == "GET" else ErrorCode.OUTCOME_UNKNOWN
     return GuavamastError(code, message)
 
 
-def _read_error(method: str, status: int, answer: dict[str, Any]) -> GuavamastError:
+def _parse_error(method: str, status: int, answer: dict[str, Any]) -> GuavamastError:
     details = answer.get("error")
     if not isinstance(details, dict):
-        return _make_lost(method, f"the instance answered {status} without an error's JSON")
+        return _build_lost_response_error(
+            method, f"the instance returned status {status} without a JSON error object"
+        )
     code, message = str(details.get("code", "")), str(details.get("message", ""))
     if details.get("outcome") == Outcome.OUTCOME_UNKNOWN:
         code = ErrorCode.OUTCOME_UNKNOWN
     return RemoteError(code, message, details=details)
 
 
-def read_url(text: str) -> str:
-    """Return the base URL of an instance.
+def parse_url(text: str) -> str:
+    """Validate and return the base URL of an instance.
 
     Raises:
         GuavamastError: With code ``usage``.
@@ -130,7 +134,7 @@
 
 
 def read_token(path: str) -> str:
-    """Return the token of a file with one line ``token`` or ``name token``.
+    """Return the token from a file with one line ``token`` or ``name token``.
 
     Raises:
         GuavamastError: With code ``usage``.
@@ -142,6 +146,6 @@
         raise GuavamastError(ErrorCode.USAGE, f"--token-file {path}: {reason}") from None
     words = [line.split() for line in lines if line.strip() and not line.startswith("#")]
     if len(words) != 1 or len(words[0]) > 2 or not words[0][-1].isascii():
-        message = f"--token-file {path}: has not one line `token` or `name token`"
+        message = f"--token-file {path}: must have exactly one line `token` or `name token`"
         raise GuavamastError(ErrorCode.USAGE, message)
     return words[0][-1]
--- a/src/guavamast/operator_tokens.py
+++ b/src/guavamast/operator_tokens.py
@@ -1,4 +1,4 @@
-"""Who an operator is, by the token that a request carries."""
+"""Authentication of operators by bearer token."""
 
 from __future__ import annotations
 
@@ -17,7 +17,7 @@
 
 
 class OperatorAuthenticator(ABC):
-    """Finds the operator that sent a request."""
+    """Identifies the operator that sent a request."""
 
     @abstractmethod
     def identify(self, authorization: str) -> str:
@@ -32,22 +32,22 @@
 
 
 class CallerKeys(ABC):
-    """The keys of the organisations' callers."""
+    """Lookup of the API keys of the organisations' callers."""
 
     @abstractmethod
     def knows_key(self, key_sha256: str) -> bool:
-        """Return whether a key of this digest belongs to an organisation."""
+        """Return whether the key with this digest belongs to an organisation."""
 
 
 class TokenFileAuthenticator(OperatorAuthenticator):
     """Reads tokens from a file with one line ``name token`` for each operator.
 
-    The file is read at each request, so a token is replaced without a restart; operators' requests
-    are few.
+    The file is read for every request, so that tokens can be replaced without a restart.
+    Operators send few requests.
 
     Args:
-        path: The file; None lets no operator in.
-        callers: Tells a caller's key from a token that nobody has.
+        path: The file; None rejects all tokens.
+        callers: Distinguishes callers' keys from unknown tokens.
     """
 
     __slots__ = ("_callers", "_path")
@@ -58,17 +58,17 @@
 
     def identify(self, authorization: str) -> str:
         """Return the operator's name."""
-        token = read_bearer(authorization)
+        token = parse_bearer_token(authorization)
         if not token:
-            message = "an operator's token is needed: Authorization: Bearer TOKEN"
+            message = "an operator's token is required: Authorization: Bearer TOKEN"
             raise GuavamastError(ErrorCode.UNAUTHENTICATED, message)
-        name = find_operator(token, self._read_lines())
+        name = look_up_operator(token, self._read_lines())
         if name:
             return name
         if self._callers.knows_key(hashlib.sha256(token.encode()).hexdigest()):
-            message = "a caller's key does not open the operators' part"
+            message = "a caller's key gives no access to the operators' interface"
             raise GuavamastError(ErrorCode.FORBIDDEN, message)
-        raise GuavamastError(ErrorCode.UNAUTHENTICATED, "the token is not an operator's")
+        raise GuavamastError(ErrorCode.UNAUTHENTICATED, "the token belongs to no operator")
 
     def _read_lines(self) -> list[str]:
         if self._path is None:
@@ -76,27 +76,28 @@
         try:
             return self._path.read_text(encoding="utf-8").splitlines()
         except (OSError, ValueError) as error:
-            get_logger().error("the operators' token file can't be read: %s", error)
+            get_logger().error("cannot read the operators' token file: %s", error)
             return []
 
 
-def read_bearer(authorization: str) -> str:
-    """Return the token of an ``Authorization: Bearer`` header; empty when there is none."""
+def parse_bearer_token(authorization: str) -> str:
+    """Return the token of an ``Authorization: Bearer`` header, or an empty string."""
     if authorization[: len(_SCHEME)].lower() != _SCHEME:
         return ""
     return authorization[len(_SCHEME) :].strip()
 
 
-def find_operator(token: str, lines: list[str]) -> str:
-    """Return the name on the line that has this token; empty when none has.
+def look_up_operator(token: str, lines: list[str]) -> str:
+    """Return the name of the operator with this token, or an empty string.
 
-    Failure: a comparison that ends at the first wrong byte, or at the first right line, lets an
-    attacker measure how much of a guess was right. All lines are compared, each by the digests
-    of both tokens in constant time.
+    Failure: a comparison that stops at the first wrong byte or the first matching line lets an
+    attacker measure how much of a guess is right. The digests of the tokens are compared in
+    constant time, and always for all lines.
 
     Args:
-        token: What the request carries.
-        lines: Lines ``name token``; empty ones and those that start with ``#`` are skipped.
+        token: The token of the request.
+        lines: Lines ``name token``; empty lines, comments that start with ``#`` and lines with
+            another number of words are skipped.
 
     Returns:
         The operator's name.
--- a/src/guavamast/operators.py
+++ b/src/guavamast/operators.py
@@ -28,7 +28,7 @@
 MAX_AUDIT_RECORDS: Final = 1000
 _DEFAULT_AUDIT_RECORDS: Final = 50
 _RETRY_AFTER_S: Final = 2
-"""When to come back after the platform failed."""
+"""``Retry-After`` of responses with status 503."""
 _STATUSES: Final = {
     ErrorCode.BAD_REQUEST: 400,
     ErrorCode.CONFIGURATION_INVALID: 400,
@@ -41,19 +41,19 @@
     ErrorCode.PLATFORM_UNAVAILABLE: 503,
     ErrorCode.OUTCOME_UNKNOWN: 503,
 }
-"""HTTP status of each code that these handlers answer; any other is 500."""
+"""HTTP status of each error code; any other code maps to 500."""
 
 
 @dataclass(frozen=True, slots=True, kw_only=True)
 class OperatorServices:
-    """What the handlers need."""
+    """Dependencies of the handlers."""
 
     store: PlanStore
     authenticator: OperatorAuthenticator
     status: StatusSource
     clock: Clock
     on_accepted: Callable[[Configuration], None]
-    """Told of each configuration that this instance had accepted, to spread it at once."""
+    """Called with each configuration accepted via this instance, to distribute it at once."""
 
 
 def make_operator_routes(
@@ -66,14 +66,14 @@
 ) -> list[tuple[str, type[RequestHandler], dict[str, Any]]]:
     """Return the routes of the operators' interface, for a tornado application.
 
-    They work without a configuration, so that the first plan can be made.
+    They work without a configuration, so that the first one can be planned.
 
     Args:
         store: Plans and accepted versions.
-        authenticator: Finds the operator of a request.
+        authenticator: Identifies the operator of a request.
         status: The daemon's view of the fleet.
-        clock: Gives the time of proposals and confirmations.
-        on_accepted: Called with each configuration that was accepted here.
+        clock: Source of the time of proposals and confirmations.
+        on_accepted: Called with each configuration accepted via this instance.
 
     Returns:
         Routes for ``tornado.web.Application``.
@@ -98,56 +98,56 @@
 
 @stream_request_body
 class OperatorHandler(RequestHandler):
-    """Authenticates an operator and turns errors into their JSON.
+    """Authenticates operators and formats errors as JSON.
 
-    Failure: somebody without a token sends an endless body and it is kept in memory before the
-    handler runs. Bodies come in chunks, the token is looked at before the first, and each handler
-    has its own limit, whatever the listener's is.
+    Failure: a client without a token sends an endless body, which is buffered before the handler
+    runs. Bodies are read in chunks, the token is checked before the first one, and each handler
+    sets its own size limit regardless of the listener's.
     """
 
     services: OperatorServices
     operator: str
     max_body_bytes = 4096
-    """Largest body; all but a proposal are empty."""
+    """Largest request body; only proposals have one."""
 
     def initialize(self, services: OperatorServices) -> None:
-        """Keep what the handlers need."""
+        """Store the dependencies of the handlers."""
         self.services = services
 
     def prepare(self) -> None:
-        """Find the operator before any body is read."""
+        """Authenticate the operator before any of the body is read."""
         self._chunks: list[bytes] = []
         self.request.connection.set_max_body_size(self.max_body_bytes)
         authorization = self.request.headers.get("Authorization", "")
         self.operator = self.services.authenticator.identify(authorization)
 
     def data_received(self, chunk: bytes) -> None:
-        """Keep a part of the body."""
+        """Buffer a chunk of the body."""
         self._chunks.append(chunk)
 
     def write_error(self, status_code: int, **kwargs: Any) -> None:
-        """Answer an error as JSON."""
+        """Send an error as JSON."""
         error = kwargs.get("exc_info", (None, None, None))[1]
         if not isinstance(error, GuavamastError):
-            error = _translate(status_code)
+            error = _build_status_error(status_code)
         self.set_status(_STATUSES.get(error.code, 500))
         if self.get_status() == 503:
             self.set_header("Retry-After", str(_RETRY_AFTER_S))
-        self.finish({"error": show_error(error)})
+        self.finish({"error": format_error(error)})
 
     def log_exception(self, typ: Any, value: Any, tb: Any) -> None:
-        """Log what is not the operator's mistake."""
+        """Log unexpected exceptions; client errors are not logged."""
         if not isinstance(value, GuavamastError | HTTPError):
-            get_logger().error("%s failed", self.request.path, exc_info=(typ, value, tb))
+            get_logger().error("request to %s failed", self.request.path, exc_info=(typ, value, tb))
 
 
 class PlansHandler(OperatorHandler):
-    """Takes proposals."""
+    """``POST /v1/plans``."""
 
     max_body_bytes = MAX_PLAN_BYTES
 
     async def post(self) -> None:
-        """Compute a plan; nothing is changed."""
+        """Compute and store a plan; nothing takes effect yet."""
         try:
             text = b"".join(self._chunks).decode()
         except UnicodeDecodeError:
@@ -155,51 +155,54 @@
         now = self.services.clock.read_wall()
         plan = await self.services.store.propose(text, who=self.operator, now=now)
         self.set_status(201)
-        self.write(show_plan(plan))
+        self.write(format_plan(plan))
 
 
 class PlanHandler(OperatorHandler):
-    """Shows one plan."""
+    """``GET /v1/plans/ID``."""
 
     async def get(self, plan_id: str) -> None:
-        """Answer the plan, and the version that it became."""
+        """Send the plan and the version created by it, if any."""
         plan = await self.services.store.read_plan(plan_id)
         if plan is None:
             raise GuavamastError(ErrorCode.NOT_FOUND, f"there is no plan {plan_id}")
         accepted = await self.services.store.read_accepted_version(plan_id)
-        self.write(show_plan(plan) | {"accepted_version": accepted})
+        self.write(format_plan(plan) | {"accepted_version": accepted})
 
 
 class ConfirmHandler(OperatorHandler):
-    """Takes confirmations."""
+    """``POST /v1/plans/ID/confirm``."""
 
     async def post(self, plan_id: str) -> None:
         """Put the plan in force."""
         now = self.services.clock.read_wall()
         accepted = await self.services.store.confirm(plan_id, who=self.operator, now=now)
-        get_logger().info("plan %s of %s is version %d", plan_id, self.operator, accepted.version)
+        get_logger().info(
+            "plan %s confirmed by %s is version %d", plan_id, self.operator, accepted.version
+        )
         if accepted.configuration is not None:
-            self._spread(accepted.configuration)
+            self._apply_locally(accepted.configuration)
         self.write({"version": accepted.version})
 
-    def _spread(self, configuration: Configuration) -> None:
-        """Tell the daemon of an accepted configuration.
+    def _apply_locally(self, configuration: Configuration) -> None:
+        """Pass an accepted configuration to the daemon.
 
-        Failure: the daemon can't take it and the operator is told of an error, although the plan
-        is in force. The answer stays "accepted"; the poll of the head brings it to the daemon.
+        Failure: the daemon fails to apply it, and the operator gets an error although the plan
+        is in force. The response still reports success; the daemon's poll of the head picks the
+        version up later.
         """
         try:
             self.services.on_accepted(configuration)
         except Exception:
-            get_logger().exception("version %d was not spread at once", configuration.version)
+            get_logger().exception("version %d could not be applied at once", configuration.version)
 
 
 class ConfigurationHandler(OperatorHandler):
-    """Shows the configuration in force, or an earlier version."""
+    """``GET /v1/configuration``: the version in force, or an earlier one."""
 
     async def get(self) -> None:
-        """Answer the platform's version or, when that is down, this instance's own."""
-        wanted = read_count(self.get_query_argument("version", ""), default=0, highest=10**9)
+        """Send the platform's version or, while the platform is down, this instance's own."""
+        wanted = parse_count(self.get_query_argument("version", ""), default=0, highest=10**9)
         store = self.services.store
         source = "platform"
         if wanted:
@@ -217,62 +220,64 @@
 
 
 class StatusHandler(OperatorHandler):
-    """Shows the instances and endpoints."""
+    """``GET /v1/status``: the instances and endpoints."""
 
     def get(self) -> None:
-        """Answer this instance's view; works while the platform is down."""
+        """Send this instance's view of the fleet; works while the platform is down."""
         status = self.services.status.read_status()
         self.write(asdict(status) | {"behind": status.list_behind()})
 
 
 class AuditHandler(OperatorHandler):
-    """Shows the audit trail."""
+    """``GET /v1/audit``."""
 
     async def get(self) -> None:
-        """Answer the latest records, newest first."""
+        """Send the latest audit records, newest first."""
         argument = self.get_query_argument("limit", "")
-        limit = read_count(argument, default=_DEFAULT_AUDIT_RECORDS, highest=MAX_AUDIT_RECORDS)
+        limit = parse_count(argument, default=_DEFAULT_AUDIT_RECORDS, highest=MAX_AUDIT_RECORDS)
         records = await self.services.store.list_audit(limit=limit)
         self.write({"records": [asdict(record) for record in records]})
 
 
-def read_count(text: str, *, default: int, highest: int) -> int:
-    """Return a query argument that is a whole number from 1."""
+def parse_count(text: str, *, default: int, highest: int) -> int:
+    """Return a query argument that must be an integer from 1 to ``highest``."""
     if not text:
         return default
     if not (text.isascii() and text.isdigit() and len(text) < 12 and 1 <= int(text) <= highest):
-        raise GuavamastError(ErrorCode.BAD_REQUEST, f"{text!r} is not from 1 to {highest}")
+        raise GuavamastError(
+            ErrorCode.BAD_REQUEST, f"{text!r} is not an integer from 1 to {highest}"
+        )
     return int(text)
 
 
-def show_plan(plan: Plan) -> dict[str, Any]:
-    """Return a plan's JSON."""
+def format_plan(plan: Plan) -> dict[str, Any]:
+    """Return a plan as a JSON object."""
     return asdict(plan)
 
 
-def show_error(error: GuavamastError) -> dict[str, Any]:
-    """Return an error's JSON."""
+def format_error(error: GuavamastError) -> dict[str, Any]:
+    """Return an error as a JSON object."""
     outcome = Outcome.NOT_RUN
     if isinstance(error, ConfirmationUnknown) or error.code is ErrorCode.INTERNAL:
         outcome = Outcome.OUTCOME_UNKNOWN
-    shown: dict[str, Any] = {"code": error.code, "message": error.message, "outcome": outcome}
+    formatted: dict[str, Any] = {"code": error.code, "message": error.message, "outcome": outcome}
     if _STATUSES.get(error.code) == 503:
-        shown["retry_after_s"] = _RETRY_AFTER_S
+        formatted["retry_after_s"] = _RETRY_AFTER_S
     if isinstance(error, FindingsError):
-        shown["message"] = f"{len(error.findings)} findings; nothing was taken"
-        shown["findings"] = [asdict(finding) for finding in error.findings]
+        formatted["message"] = f"{len(error.findings)} findings; nothing was stored"
+        formatted["findings"] = [asdict(finding) for finding in error.findings]
     if isinstance(error, PlanConflict):
-        shown["base_version"] = error.base_version
-        shown["head_version"] = error.head_version
-        shown["difference"] = [asdict(change) for change in error.difference]
-        shown["accepted"] = [asdict(record) for record in error.accepted]
-    return shown
+        formatted["base_version"] = error.base_version
+        formatted["head_version"] = error.head_version
+        formatted["difference"] = [asdict(change) for change in error.difference]
+        formatted["accepted"] = [asdict(record) for record in error.accepted]
+    return formatted
 
 
-def _translate(status_code: int) -> GuavamastError:
-    """Return the error of an HTTP status that tornado itself answers."""
+def _build_status_error(status_code: int) -> GuavamastError:
+    """Return the error for an HTTP status that tornado itself raises."""
     codes = {404: ErrorCode.NOT_FOUND, 413: ErrorCode.BODY_TOO_LARGE}
     if 400 <= status_code < 500:
         code = codes.get(status_code, ErrorCode.BAD_REQUEST)
-        return GuavamastError(code, f"the request was refused with status {status_code}")
-    return GuavamastError(ErrorCode.INTERNAL, "the request failed; the log says why")
+        return GuavamastError(code, f"the request was rejected with status {status_code}")
+    return GuavamastError(ErrorCode.INTERNAL, "the request failed; see the log of the instance")
--- a/src/guavamast/plan_rows.py
+++ b/src/guavamast/plan_rows.py
@@ -1,8 +1,8 @@
 """Rows of plans, accepted versions and the audit trail in the platform's tables.
 
-``configuration/head`` names the version in force; ``snapshots/VERSION`` each accepted version;
-``audit/VERSION`` who confirmed it; ``confirmations/PLAN`` the version that a plan became;
-``plans/PLAN`` what was proposed. The texts are objects named by their digest.
+``configuration/head`` holds the version in force, ``snapshots/VERSION`` each accepted version,
+``audit/VERSION`` its audit record, ``confirmations/PLAN`` the version created by a plan and
+``plans/PLAN`` the proposal. The configuration texts are objects named by their digest.
 """
 
 from __future__ import annotations
@@ -25,26 +25,26 @@
 PLAN_TABLE: Final = "plans"
 _OBJECT_PREFIX: Final = "configurations/"
 _VERSION_DIGITS: Final = 10
-"""Digits of a version in a row's key, so that keys sort by version."""
+"""Digits of a zero-padded version in a row's key; makes keys sort by version."""
 _PAGE_DIGITS: Final = 2
-"""A prefix without these last digits finds a page of a hundred versions."""
+"""Digits cut from a version key to scan by prefix; a page has a hundred versions."""
 _MAX_AUDITED_CHANGES: Final = 100
-"""Changes written out in one audit row; the two snapshots give the rest."""
+"""Most changes listed in one audit row; the two snapshots hold the full difference."""
 
 
 @dataclass(frozen=True, slots=True, kw_only=True)
 class Head:
-    """The version in force as the platform has it."""
+    """The version in force, as stored on the platform."""
 
     version: int
-    """0 when nothing was accepted yet."""
+    """0 before the first version is accepted."""
     digest: str
     row_version: int
 
 
 @dataclass(frozen=True, slots=True, kw_only=True)
 class PlanRecord:
-    """A plan as it was proposed."""
+    """A stored plan, as proposed."""
 
     id: str
     base_version: int
@@ -53,12 +53,12 @@
     proposed_by: str
     proposed_at: float
     taken_from: int | None
-    """Version that the text was edited from, if it said so."""
+    """Version that the text was edited from; None when its version comment is missing."""
 
 
 @dataclass(frozen=True, slots=True, kw_only=True)
 class AuditRecord:
-    """One accepted version: who confirmed which plan, when, and what it replaced."""
+    """The record of one accepted version: operator, plan, time and replaced version."""
 
     version: int
     plan: str
@@ -70,52 +70,52 @@
     after_digest: str
     change_count: int
     changes: tuple[str, ...]
-    """The first changes in words."""
+    """Descriptions of the first changes."""
 
 
 def compute_digest(text: str) -> str:
-    """Return the name of a text; empty for the text of no configuration."""
+    """Return the SHA-256 hex digest of a configuration text; empty for an empty text."""
     return hashlib.sha256(text.encode()).hexdigest() if text else ""
 
 
-def make_object_name(digest: str) -> str:
-    """Return the name of the object that holds a text."""
+def build_object_name(digest: str) -> str:
+    """Return the name of the object that holds the text with this digest."""
     return f"{_OBJECT_PREFIX}{digest}"
 
 
-def make_version_key(version: int) -> str:
+def build_version_key(version: int) -> str:
     """Return the key of the rows of one version."""
     return f"{version:0{_VERSION_DIGITS}d}"
 
 
-def make_page_prefix(version: int) -> str:
-    """Return the prefix of the keys of a version and its neighbours."""
-    return make_version_key(version)[:-_PAGE_DIGITS]
+def build_page_prefix(version: int) -> str:
+    """Return the common key prefix of the page of versions that contains this one."""
+    return build_version_key(version)[:-_PAGE_DIGITS]
 
 
-def read_head_row(row: Row) -> Head:
-    """Return what a head row says."""
+def parse_head_row(row: Row) -> Head:
+    """Return the head from its row."""
     value = row.value or {"version": 0, "digest": ""}
     return Head(version=value["version"], digest=value["digest"], row_version=row.version)
 
 
-def read_plan_row(row: Row) -> PlanRecord | None:
-    """Return what a plan's row says, or None when it is absent."""
+def parse_plan_row(row: Row) -> PlanRecord | None:
+    """Return the plan record from its row, or None when the row is absent."""
     return None if row.value is None else PlanRecord(**row.value)
 
 
-def read_audit_row(row: Row) -> AuditRecord:
-    """Return what an audit row says."""
+def parse_audit_row(row: Row) -> AuditRecord:
+    """Return the audit record from its row."""
     value = row.value or {}
     return AuditRecord(**(value | {"changes": tuple(value["changes"])}))
 
 
-def make_plan_write(record: PlanRecord) -> Write:
-    """Return the write of a new plan."""
+def build_plan_write(record: PlanRecord) -> Write:
+    """Return the write that stores a new plan."""
     return Write(table=PLAN_TABLE, key=record.id, value=asdict(record))
 
 
-def make_audit_record(record: PlanRecord, plan: Plan, *, who: str, now: float) -> AuditRecord:
+def build_audit_record(record: PlanRecord, plan: Plan, *, who: str, now: float) -> AuditRecord:
     """Return the audit record of a plan's confirmation."""
     return AuditRecord(
         version=record.base_version + 1,
@@ -130,22 +130,22 @@
     )
 
 
-def make_confirmation(audit: AuditRecord, head: Head) -> tuple[list[Check], list[Write]]:
-    """Return the one transaction that puts a version in force and records it.
+def build_confirmation(audit: AuditRecord, head: Head) -> tuple[list[Check], list[Write]]:
+    """Return the transaction that puts a version in force and records it.
 
-    Failure: two operators confirm plans of one base at the same moment, or one confirmation is
-    sent twice because its answer was lost; without a check the later write would silently undo
-    the earlier, or the version would rise twice. The head row's own version is checked and each
-    confirmation writes that row, so of all copies of all plans of one base only one is written.
+    Failure: two operators confirm plans with the same base concurrently, or a confirmation is
+    sent twice because its response was lost. Without a check, the later write would silently
+    undo the earlier one or the version would rise twice. The transaction checks the head row's
+    version and writes that row, so only one confirmation for each base is applied.
 
     Args:
-        audit: What is to be recorded.
+        audit: The audit record to store.
         head: The head that the plan was computed from.
 
     Returns:
         The checks and the writes.
     """
-    key = make_version_key(audit.version)
+    key = build_version_key(audit.version)
     row = {"version": audit.version, "digest": audit.after_digest}
     checks = [Check(table=HEAD_TABLE, key=HEAD_KEY, version=head.row_version)]
     writes = [
--- a/src/guavamast/plan_store.py
+++ b/src/guavamast/plan_store.py
@@ -1,4 +1,4 @@
-"""Proposing, confirming and reading plans and configurations over the platform."""
+"""Store of plans and accepted configurations on the platform."""
 
 from __future__ import annotations
 
@@ -18,18 +18,18 @@
     PLAN_TABLE,
     SNAPSHOT_TABLE,
     PlanRecord,
+    build_audit_record,
+    build_confirmation,
+    build_object_name,
+    build_page_prefix,
+    build_plan_write,
+    build_version_key,
     compute_digest,
-    make_audit_record,
-    make_confirmation,
-    make_object_name,
-    make_page_prefix,
-    make_plan_write,
-    make_version_key,
-    read_audit_row,
-    read_head_row,
-    read_plan_row,
+    parse_audit_row,
+    parse_head_row,
+    parse_plan_row,
 )
-from guavamast.plans import compute_plan, split_remark
+from guavamast.plans import compute_plan, split_version_comment
 from guavamast.platform_client import (
     Check,
     PlatformAnswerLost,
@@ -47,30 +47,30 @@
     from guavamast.plans import Plan
     from guavamast.platform_client import PlatformClient, Write
 
-_SETTLE_ATTEMPTS: Final = 4
-"""Writes of one confirmation before its outcome is given up as unknown."""
-_SETTLE_PAUSE_S: Final = 0.25
+_CONFIRM_ATTEMPTS: Final = 4
+"""Most writes of one confirmation before its outcome is reported as unknown."""
+_CONFIRM_RETRY_DELAY_S: Final = 0.25
 _MAX_CONFLICT_RECORDS: Final = 100
 
 
 @dataclass(frozen=True, slots=True, kw_only=True)
 class Acceptance:
-    """A plan that is in force, or was before later plans."""
+    """An accepted plan; later plans may have replaced it."""
 
     version: int
     configuration: Configuration | None
-    """The accepted configuration; None when an earlier call had it accepted."""
+    """The accepted configuration; None when an earlier call accepted the plan."""
 
 
 class PlanConflict(GuavamastError):
     """Another plan was accepted since this one was computed; nothing was written.
 
     Args:
-        plan_id: The plan that was refused.
-        base_version: What it was computed from.
-        head_version: What is in force.
-        difference: What the plans accepted since have changed.
-        accepted: The audit records of these plans, newest first.
+        plan_id: The rejected plan.
+        base_version: The version it was computed from.
+        head_version: The version in force.
+        difference: The changes from the base version to the version in force.
+        accepted: The audit records of the plans accepted since, newest first.
     """
 
     def __init__(
@@ -94,45 +94,45 @@
 
 
 class ConfirmationUnknown(GuavamastError):
-    """A plan may or may not have been accepted; confirming it again settles it."""
+    """It is unknown whether a plan was accepted; confirming it again resolves this."""
 
     def __init__(self, *, plan_id: str) -> None:
         message = (
-            f"plan {plan_id} may have been accepted; confirm it again to learn, "
+            f"plan {plan_id} may have been accepted; confirm it again to find out, "
             "it is never applied twice"
         )
         super().__init__(ErrorCode.OUTCOME_UNKNOWN, message)
 
 
 class PlanStore:
-    """Proposes and confirms plans, and reads what was accepted.
+    """Proposes and confirms plans, and reads accepted versions.
 
     Args:
         platform: The platform.
-        make_id: Makes the id of a new plan, never the same twice.
-        settle_pause_s: Pause before a confirmation whose answer was lost is written again.
+        make_id: Returns a unique id for a new plan.
+        confirm_retry_delay_s: Delay before retrying a confirmation whose response was lost.
     """
 
-    __slots__ = ("_make_id", "_platform", "_reader", "_settle_pause_s")
+    __slots__ = ("_make_id", "_platform", "_reader", "_confirm_retry_delay_s")
 
     def __init__(
         self,
         *,
         platform: PlatformClient,
         make_id: Callable[[], str],
-        settle_pause_s: float = _SETTLE_PAUSE_S,
+        confirm_retry_delay_s: float = _CONFIRM_RETRY_DELAY_S,
     ) -> None:
         self._platform = platform
         self._make_id = make_id
         self._reader = AcceptedReader()
-        self._settle_pause_s = settle_pause_s
+        self._confirm_retry_delay_s = confirm_retry_delay_s
 
     async def read_head(self) -> Head:
         """Return the version in force."""
-        return read_head_row(await self._platform.read(HEAD_TABLE, HEAD_KEY))
+        return parse_head_row(await self._platform.read(HEAD_TABLE, HEAD_KEY))
 
     async def load_configuration(self) -> Configuration:
-        """Return the configuration in force; of version 0 when none was accepted yet."""
+        """Return the configuration in force; an empty version 0 before the first is accepted."""
         head = await self.read_head()
         return await self._load(head.version, head.digest)
 
@@ -143,11 +143,11 @@
 
     async def read_text(self, version: int) -> str | None:
         """Return the text of one accepted version, or None when there is no such version."""
-        row = await self._platform.read(SNAPSHOT_TABLE, make_version_key(version))
-        return None if row.value is None else await self._fetch(version, row.value["digest"])
+        row = await self._platform.read(SNAPSHOT_TABLE, build_version_key(version))
+        return None if row.value is None else await self._fetch_text(version, row.value["digest"])
 
     async def propose(self, text: str, *, who: str, now: float) -> Plan:
-        """Compute a plan against the version in force and keep it; nothing is changed.
+        """Compute a plan against the version in force and store it; nothing takes effect yet.
 
         Args:
             text: The proposed configuration as INI.
@@ -158,11 +158,11 @@
             The plan.
 
         Raises:
-            FindingsError: The text is not a configuration.
-            PlatformUnavailable: No plan was made.
+            FindingsError: The text is not a valid configuration.
+            PlatformUnavailable: No plan was stored.
         """
         parse_configuration(text, file="configuration", version=0)
-        taken_from, text = split_remark(text)
+        taken_from, text = split_version_comment(text)
         head = await self.read_head()
         record = PlanRecord(
             id=self._make_id(),
@@ -173,27 +173,27 @@
             proposed_at=now,
             taken_from=taken_from,
         )
-        # Read once more, now with the objects of the base, which are then not compared by value.
-        plan = await self._compute(record, self._parse(0, text))
-        await self._keep(record, text)
+        # Parses again to reuse the objects of the base, which spares comparing them by value.
+        plan = await self._compute_plan(record, self._parse(0, text))
+        await self._store_plan(record, text)
         return plan
 
     async def read_plan(self, plan_id: str) -> Plan | None:
-        """Return a plan, or None when there is none of this id."""
-        record = read_plan_row(await self._platform.read(PLAN_TABLE, plan_id))
+        """Return a plan, or None when there is no plan with this id."""
+        record = parse_plan_row(await self._platform.read(PLAN_TABLE, plan_id))
         if record is None:
             return None
-        return await self._compute(record, await self._load(0, record.digest))
+        return await self._compute_plan(record, await self._load(0, record.digest))
 
     async def read_accepted_version(self, plan_id: str) -> int | None:
-        """Return the version that a plan became, or None while it isn't accepted."""
+        """Return the version created by a plan, or None while the plan is not accepted."""
         row = await self._platform.read(CONFIRMATION_TABLE, plan_id)
         return None if row.value is None else row.value["version"]
 
     async def confirm(self, plan_id: str, *, who: str, now: float) -> Acceptance:
         """Put a plan in force, unless another was accepted since it was computed.
 
-        Confirming a plan again is harmless: the answer is the version that it became.
+        Confirming an accepted plan again returns the version that it created.
 
         Args:
             plan_id: The plan.
@@ -201,31 +201,31 @@
             now: Seconds since the epoch.
 
         Returns:
-            The version that the plan became.
+            The version created by the plan.
 
         Raises:
-            PlanConflict: Another plan was accepted; this one never will be.
-            ConfirmationUnknown: It may have been accepted; confirm again to learn.
-            PlatformUnavailable: This call wrote nothing.
+            PlanConflict: Another plan was accepted; this one can no longer be.
+            ConfirmationUnknown: It may have been accepted; confirm again to find out.
+            PlatformUnavailable: Nothing was written by this call.
             GuavamastError: With code ``not_found``: there is no such plan.
         """
         accepted = await self.read_accepted_version(plan_id)
         if accepted is not None:
             return Acceptance(version=accepted, configuration=None)
-        record = read_plan_row(await self._platform.read(PLAN_TABLE, plan_id))
+        record = parse_plan_row(await self._platform.read(PLAN_TABLE, plan_id))
         if record is None:
             raise GuavamastError(ErrorCode.NOT_FOUND, f"there is no plan {plan_id}")
         proposed = await self._load(record.base_version + 1, record.digest)
-        plan = await self._compute(record, proposed)
+        plan = await self._compute_plan(record, proposed)
         head = await self.read_head()
         if head.version != record.base_version:
-            return await self._settle_conflict(record)
-        audit = make_audit_record(record, plan, who=who, now=now)
-        checks, writes = make_confirmation(audit, head)
+            return await self._resolve_conflict(record)
+        audit = build_audit_record(record, plan, who=who, now=now)
+        checks, writes = build_confirmation(audit, head)
         return await self._write_confirmation(record, proposed, checks, writes)
 
     async def list_audit(self, *, limit: int) -> list[AuditRecord]:
-        """Return the latest audit records, newest first, ``limit`` at most."""
+        """Return at most ``limit`` of the latest audit records, newest first."""
         head = await self.read_head()
         return await self._list_audit_since(0, head.version, limit=limit)
 
@@ -236,22 +236,22 @@
         checks: list[Check],
         writes: list[Write],
     ) -> Acceptance:
-        """Write the transaction until it is known to be applied or refused.
+        """Retry the transaction until it is known to be applied or rejected.
 
-        Failure: the platform applies the write and its answer is lost, or it was cut off right
-        after; the operator is told of an error although the plan is in force. The very same
-        transaction is sent again, which can't apply twice, and a conflict is settled by reading
-        what became of this plan's id.
+        Failure: the platform applies the write, but its response is lost or the connection
+        breaks right after; the operator gets an error although the plan is in force. The same
+        transaction is sent again, which cannot apply twice, and a conflict is resolved by
+        reading the confirmation row of this plan's id.
         """
         lost = False
-        for attempt in range(_SETTLE_ATTEMPTS):
+        for attempt in range(_CONFIRM_ATTEMPTS):
             if attempt:
-                await asyncio.sleep(self._settle_pause_s)
+                await asyncio.sleep(self._confirm_retry_delay_s)
             try:
                 await self._platform.transact(checks, writes)
             except TransactionConflict:
-                settled = await self._settle_conflict(record)
-                return replace(settled, configuration=proposed)
+                resolved = await self._resolve_conflict(record)
+                return replace(resolved, configuration=proposed)
             except PlatformAnswerLost:
                 lost = True
             except PlatformError:
@@ -261,20 +261,20 @@
                 return Acceptance(version=proposed.version, configuration=proposed)
         raise ConfirmationUnknown(plan_id=record.id)
 
-    async def _settle_conflict(self, record: PlanRecord) -> Acceptance:
-        """Return the version of a plan whose base is no longer in force, if it became one.
+    async def _resolve_conflict(self, record: PlanRecord) -> Acceptance:
+        """Return the version of a plan whose base is no longer in force, if it was accepted.
 
-        The head only rises, so a plan that isn't accepted by now never will be.
+        The head version only rises, so a plan that is not accepted by now can never be.
         """
         try:
             accepted = await self.read_accepted_version(record.id)
             if accepted is not None:
                 return Acceptance(version=accepted, configuration=None)
-            raise await self._make_conflict(record)
+            raise await self._build_conflict(record)
         except PlatformError:
             raise ConfirmationUnknown(plan_id=record.id) from None
 
-    async def _make_conflict(self, record: PlanRecord) -> PlanConflict:
+    async def _build_conflict(self, record: PlanRecord) -> PlanConflict:
         head = await self.read_head()
         base = await self._load(record.base_version, record.base_digest)
         accepted = await self._list_audit_since(
@@ -289,28 +289,31 @@
         )
 
     async def _list_audit_since(self, after: int, until: int, *, limit: int) -> list[AuditRecord]:
-        """Return the records of the versions above ``after`` and up to ``until``, newest first."""
+        """Return the audit records of versions after ``after``, up to ``until``, newest first."""
         records: list[AuditRecord] = []
         version = until
         while version > after and len(records) < limit:
-            rows = await self._platform.scan(AUDIT_TABLE, make_page_prefix(version))
-            page = [read_audit_row(row) for row in reversed(rows)]
+            rows = await self._platform.scan(AUDIT_TABLE, build_page_prefix(version))
+            page = [parse_audit_row(row) for row in reversed(rows)]
             records.extend(record for record in page if after < record.version <= version)
             version = min((record.version for record in page), default=1) - 1
         return records[:limit]
 
-    async def _keep(self, record: PlanRecord, text: str) -> None:
-        """Store a new plan; a lost answer counts as no plan, whose row then does no harm."""
+    async def _store_plan(self, record: PlanRecord, text: str) -> None:
+        """Store a new plan.
+
+        After a lost response the plan counts as not stored; a row left behind is harmless.
+        """
         check = Check(table=PLAN_TABLE, key=record.id, version=0)
         try:
             if text:
-                await self._platform.put_object(make_object_name(record.digest), text.encode())
-            await self._platform.transact([check], [make_plan_write(record)])
+                await self._platform.put_object(build_object_name(record.digest), text.encode())
+            await self._platform.transact([check], [build_plan_write(record)])
         except PlatformAnswerLost as error:
-            message = "the plan may not have been kept; propose it again"
+            message = "the plan may not have been stored; propose it again"
             raise PlatformUnavailable(message) from error
 
-    async def _compute(self, record: PlanRecord, proposed: Configuration) -> Plan:
+    async def _compute_plan(self, record: PlanRecord, proposed: Configuration) -> Plan:
         return compute_plan(
             plan_id=record.id,
             base=await self._load(record.base_version, record.base_digest),
@@ -321,21 +324,21 @@
         )
 
     async def _load(self, version: int, digest: str) -> Configuration:
-        return self._parse(version, await self._fetch(version, digest))
+        return self._parse(version, await self._fetch_text(version, digest))
 
-    async def _fetch(self, version: int, digest: str) -> str:
-        """Return the text of a digest, checked against it."""
+    async def _fetch_text(self, version: int, digest: str) -> str:
+        """Return the text with this digest and verify it."""
         if not digest:
             return ""
-        body = await self._platform.get_object(make_object_name(digest))
+        body = await self._platform.get_object(build_object_name(digest))
         text = "" if body is None else body.decode(errors="replace")
         if compute_digest(text) != digest:
             raise PlatformUnavailable(f"the text of version {version} is missing or damaged")
         return text
 
     def _parse(self, version: int, text: str) -> Configuration:
-        """Return a text that was checked as a whole when it was proposed."""
+        """Parse a text that was validated when it was proposed."""
         if not text:
-            # Reading no text would make the reader forget all that it knows.
+            # Reading an empty text would clear the reader's cached objects.
             return Configuration(version=version)
         return self._reader.read(text, version=version)
--- a/src/guavamast/plans.py
+++ b/src/guavamast/plans.py
@@ -1,4 +1,4 @@
-"""Plans: what a proposed configuration changes, and what that does to the fleet."""
+"""Plans: the changes of a proposed configuration and their effects on the fleet."""
 
 from __future__ import annotations
 
@@ -19,11 +19,11 @@
     from guavamast.world import Configuration, Endpoint
 
 
-_REMARK: Final = re.compile(r"# version ([0-9]{1,10})\r?\n")
+_VERSION_COMMENT: Final = re.compile(r"# version ([0-9]{1,10})\r?\n")
 
 
 class WarningCode(StrEnum):
-    """What an operator should weigh before confirming."""
+    """Kinds of warnings to review before confirming a plan."""
 
     NOTHING_CHANGES = "nothing_changes"
     OLDER_TEXT = "older_text"
@@ -41,7 +41,7 @@
 
 @dataclass(frozen=True, slots=True, kw_only=True)
 class PlanWarning:
-    """One warning, about one section."""
+    """A warning about one section of the proposal."""
 
     code: WarningCode
     message: str
@@ -63,7 +63,7 @@
 
 @dataclass(frozen=True, slots=True, kw_only=True)
 class Plan:
-    """A proposed configuration against the version that it was computed from."""
+    """The comparison of a proposed configuration with its base version."""
 
     id: str
     base_version: int
@@ -75,23 +75,23 @@
     changes: tuple[Change, ...]
     warnings: tuple[PlanWarning, ...]
     capacities: tuple[CapacityChange, ...]
-    """Of each class that is used before or after, in order of name."""
+    """For each class used by the base or the proposal, sorted by name."""
     drains: tuple[str, ...]
-    """Sections of the endpoints and instances that begin to leave."""
+    """Sections of the endpoints and instances whose drain begins."""
     fencing_ignored: tuple[str, ...]
-    """Engines of the proposal that don't refuse an order with an old fencing number."""
+    """Engines of the proposal that do not reject orders with an old fencing number."""
 
 
-def split_remark(text: str) -> tuple[int | None, str]:
-    """Return the version that a text was taken from, if its first line says so, and the rest."""
-    remark = _REMARK.match(text)
-    if remark is None:
+def split_version_comment(text: str) -> tuple[int | None, str]:
+    """Return the version from the text's leading comment, or None, and the remaining text."""
+    comment = _VERSION_COMMENT.match(text)
+    if comment is None:
         return None, text
-    return int(remark.group(1)), text[remark.end() :]
+    return int(comment.group(1)), text[comment.end() :]
 
 
-def make_remark(version: int) -> str:
-    """Return the first line of a version's text that is given out to be edited."""
+def build_version_comment(version: int) -> str:
+    """Return the comment line that marks a text with the version it was edited from."""
     return f"# version {version}\n"
 
 
@@ -104,18 +104,18 @@
     now: float,
     taken_from: int | None = None,
 ) -> Plan:
-    """Return what a proposal does to the configuration in force.
+    """Compare a proposal with the configuration in force.
 
     Args:
-        plan_id: Name of the plan; settles a confirmation whose answer was lost.
+        plan_id: The plan's id; resolves a confirmation whose response was lost.
         base: The configuration in force.
-        proposed: The proposal, checked.
+        proposed: The validated proposal.
         proposed_by: The operator's name.
         now: Seconds since the epoch.
         taken_from: Version that the proposal's text was edited from, if it is known.
 
     Returns:
-        The plan; nothing is changed by it.
+        The plan; computing it has no effect on the fleet.
     """
     changes = compute_changes(base, proposed)
     before, after = compute_capacities(base), compute_capacities(proposed)
@@ -148,16 +148,16 @@
 
 
 def _warn_of_older_text(base: Configuration, taken_from: int | None) -> Iterator[PlanWarning]:
-    """Warn when a text was edited while others were accepted.
+    """Warn when the text was edited from a version that is not in force.
 
-    Failure: an operator edits version 5, another's version 6 is accepted, and the plan made of
-    the edited text is computed against 6: it silently undoes the other's change. It may be meant,
-    as the way back to an earlier version, so it is a warning.
+    Failure: an operator edits version 5 while version 6 of another operator is accepted. The
+    plan is computed against version 6 and would silently undo its change. This can be intended,
+    as a rollback to an earlier version, so it is only a warning.
     """
     if taken_from is not None and taken_from != base.version:
         message = (
-            f"the text was taken from version {taken_from}, version {base.version} is in force; "
-            "what was accepted since is undone"
+            f"the text was edited from version {taken_from}, version {base.version} is in force; "
+            "this plan undoes the changes between them"
         )
         yield _warn(WarningCode.OLDER_TEXT, message)
 
@@ -185,7 +185,7 @@
             continue
         new, old = after[name], before.get(name)
         if not new.active:
-            message = f"[class {name}] is left without an active endpoint; its requests are refused"
+            message = f"[class {name}] has no active endpoint left; its requests are rejected"
             yield _warn(WarningCode.CLASS_WITHOUT_ENDPOINTS, message)
         elif old and new.slots < old.slots:
             message = f"[class {name}] goes from {old.slots} to {new.slots} slots"
@@ -197,7 +197,7 @@
             and capacity.endpoints & new.endpoints
         ]
         if above and not service_class.guaranteed_share:
-            message = f"[class {name}] has no guaranteed_share; [class {above[0]}] can hold it back"
+            message = f"[class {name}] has no guaranteed_share; [class {above[0]}] can starve it"
             yield _warn(WarningCode.CLASS_WITHOUT_SHARE, message)
 
 
@@ -213,29 +213,29 @@
 def _warn_of_models(base: Configuration, proposed: Configuration) -> Iterator[PlanWarning]:
     served = _list_active_models(proposed)
     for name in sorted(_list_active_models(base) - served):
-        message = f"no active endpoint serves model {name} any more; requests for it are refused"
+        message = f"no active endpoint serves model {name} any more; requests for it are rejected"
         yield _warn(WarningCode.MODEL_WITHOUT_ENDPOINTS, message)
 
 
 def _warn_of_endpoints(base: Configuration, proposed: Configuration) -> Iterator[PlanWarning]:
     for section in list_drains(base, proposed):
-        message = f"[{section}] takes no new work; its running work finishes"
+        message = f"[{section}] accepts no new work; running work finishes"
         yield _warn(WarningCode.DRAIN, message)
     for name, endpoint in base.endpoints.items():
         if name not in proposed.endpoints and endpoint.state is EndpointState.ACTIVE:
-            message = f"[endpoint {name}] goes while active; drain it first and remove it later"
+            message = f"[endpoint {name}] is removed while active; drain it before removing it"
             yield _warn(WarningCode.REMOVED_WITHOUT_DRAIN, message)
     for endpoint in proposed.endpoints.values():
-        if endpoint.fencing is Fencing.IGNORED and gets_orders(endpoint, base, proposed):
+        if endpoint.fencing is Fencing.IGNORED and receives_orders(endpoint, base, proposed):
             message = (
-                f"[endpoint {endpoint.name}] gets orders and ignores fencing numbers; "
-                "they go out one at a time and are checked afterwards"
+                f"[endpoint {endpoint.name}] receives orders and ignores fencing numbers; "
+                "orders are sent one at a time and verified afterwards"
             )
             yield _warn(WarningCode.FENCING_IGNORED, message)
 
 
-def gets_orders(endpoint: Endpoint, base: Configuration, proposed: Configuration) -> bool:
-    """Return whether an endpoint of the proposal has models to load or to drop."""
+def receives_orders(endpoint: Endpoint, base: Configuration, proposed: Configuration) -> bool:
+    """Return whether a proposed engine must load or unload models."""
     if endpoint.kind is not EndpointKind.ENGINE or endpoint.state is not EndpointState.ACTIVE:
         return False
     old = base.endpoints.get(endpoint.name)
@@ -247,10 +247,10 @@
 def _warn_of_callers(base: Configuration, proposed: Configuration) -> Iterator[PlanWarning]:
     for name in base.organisations:
         if name not in proposed.organisations:
-            message = f"[organisation {name}] goes; its callers get 401"
+            message = f"[organisation {name}] is removed; its callers get status 401"
             yield _warn(WarningCode.ORGANISATION_REMOVED, message)
     for (service, call), rule in proposed.calls.items():
         old = base.calls.get((service, call))
         if rule.idempotent and base.version and not (old and old.idempotent):
-            message = f"[call {service}.{call}] may be repeated from now on"
+            message = f"[call {service}.{call}] becomes idempotent; it may be retried"
             yield _warn(WarningCode.CALL_MADE_IDEMPOTENT, message)
--- a/src/guavamast/routes.py
+++ b/src/guavamast/routes.py
@@ -1,4 +1,4 @@
-"""The routes of an entry's HTTP listener."""
+"""Routes of an entry's HTTP listener."""
 
 from __future__ import annotations
 
@@ -20,7 +20,7 @@
 
 
 def make_caller_routes(services: CallerServices) -> list[tuple[str, type, dict[str, Any]]]:
-    """Return the routes of this module."""
+    """Return the callers' routes for chats, addresses, models and health."""
     arguments = {"services": services}
     return [
         ("/v1/chat/completions", ChatHandler, arguments),
@@ -32,7 +32,7 @@
 
 
 def make_application(routes: list[Any], services: CallerServices) -> Application:
-    """Return the application of all routes, unknown paths answered as coded errors."""
+    """Return an application with these routes; unknown paths get an error with a code."""
     return Application(
         routes,
         default_handler_class=UnknownPathHandler,
--- a/src/guavamast/text_output.py
+++ b/src/guavamast/text_output.py
@@ -1,4 +1,4 @@
-"""Tables and texts that the command line prints."""
+"""Formatting of tables and texts for the command line."""
 
 from __future__ import annotations
 
@@ -12,7 +12,7 @@
 
 
 def make_table(header: Sequence[str], rows: Sequence[Sequence[Any]]) -> str:
-    """Return rows in aligned columns under a header; a line says so when there are none."""
+    """Return rows in aligned columns under a header, or ``none`` without rows."""
     if not rows:
         return "none"
     cells = [list(header), *([str(cell) for cell in row] for row in rows)]
@@ -25,14 +25,14 @@
 
 
 def format_time(seconds: float) -> str:
-    """Return a time since the epoch as UTC."""
+    """Return seconds since the epoch as a UTC timestamp."""
     return time.strftime("%Y-%m-%dT%H:%M:%SZ", time.gmtime(seconds))
 
 
-def show_plan(plan: dict[str, Any]) -> str:
-    """Return a plan for people."""
+def format_plan(plan: dict[str, Any]) -> str:
+    """Return a plan as readable text."""
     parts = [f"plan {plan['id']} against version {plan['base_version']}"]
-    parts += ["", "changes:", _show_changes(plan["changes"])]
+    parts += ["", "changes:", _format_changes(plan["changes"])]
     capacities = [
         (
             item["class_name"],
@@ -49,33 +49,33 @@
     return "\n".join(parts)
 
 
-def _show_changes(changes: list[dict[str, str]]) -> str:
-    shown = [_show_change(change) for change in changes[:_MAX_SHOWN_CHANGES]]
+def _format_changes(changes: list[dict[str, str]]) -> str:
+    shown = [_format_change(change) for change in changes[:_MAX_SHOWN_CHANGES]]
     if len(changes) > len(shown):
         shown.append(f"  and {len(changes) - len(shown)} more; --json prints all")
     return "\n".join(shown) or "  none"
 
 
-def _show_change(change: dict[str, str]) -> str:
+def _format_change(change: dict[str, str]) -> str:
     if change["kind"] == "changed":
         values = f"{change['before'] or '-'} -> {change['after'] or '-'}"
         return f"  [{change['section']}] {change['key']}: {values}"
     return f"  [{change['section']}] {change['kind']}"
 
 
-def show_conflict(details: dict[str, Any]) -> str:
-    """Return what was accepted since a plan was computed."""
+def format_conflict(details: dict[str, Any]) -> str:
+    """Return the versions accepted since a plan was computed and their changes."""
     accepted = [
         (record["version"], record["who"], format_time(record["at"]), record["plan"])
         for record in details.get("accepted", [])
     ]
     table = make_table(("VERSION", "WHO", "WHEN", "PLAN"), accepted)
-    changes = _show_changes(details.get("difference", []))
+    changes = _format_changes(details.get("difference", []))
     return f"accepted since:\n{table}\nwhat it changed:\n{changes}"
 
 
-def show_status(status: dict[str, Any]) -> str:
-    """Return the instances and endpoints for people."""
+def format_status(status: dict[str, Any]) -> str:
+    """Return the instances and endpoints as readable text."""
     instances = [
         (
             item["name"],
@@ -101,8 +101,8 @@
     return "\n".join(parts)
 
 
-def show_audit(answer: dict[str, Any]) -> str:
-    """Return the audit trail for people, newest first."""
+def format_audit(answer: dict[str, Any]) -> str:
+    """Return the audit trail as a table, newest first."""
     rows = [
         (
             record["version"],
--- a/tests/test_cli.py
+++ b/tests/test_cli.py
@@ -29,24 +29,24 @@
 
 
 @dataclass(frozen=True, slots=True, kw_only=True)
-class Ended:
-    """What a command left behind."""
+class CommandResult:
+    """Exit code and output of a command."""
 
     code: int
     out: str
     err: str
 
 
-def run_command(*words: str) -> Ended:
+def run_command(*words: str) -> CommandResult:
     """Run one command in this process."""
     out, err = io.StringIO(), io.StringIO()
     with contextlib.redirect_stdout(out), contextlib.redirect_stderr(err):
         code = run(words)
-    return Ended(code=code, out=out.getvalue(), err=err.getvalue())
+    return CommandResult(code=code, out=out.getvalue(), err=err.getvalue())
 
 
 class OperatorCommandsTest(unittest.IsolatedAsyncioTestCase):
-    """Plan, confirm, drain and read, with the exit codes that scripts rely on."""
+    """Operators' commands and the exit codes that scripts rely on."""
 
     def setUp(self) -> None:
         directory = tempfile.TemporaryDirectory()
@@ -76,101 +76,107 @@
         path.write_text(text)
         return str(path)
 
-    async def operate(self, *words: str) -> Ended:
-        """Run an operator's command in another thread, as the server needs this one's loop."""
+    async def run_operator_command(self, *words: str) -> CommandResult:
+        """Run an operator's command in a thread, since the server uses the event loop."""
         options = ["--via", self.url, "--token-file", self.tokens]
         return await asyncio.to_thread(run_command, *words, *options)
 
     async def plan(self, text: str) -> str:
-        """Plan and return the id."""
-        ended = await self.operate("plan", "--json", self.write("fleet.ini", text))
+        """Propose a configuration and return the plan's id."""
+        ended = await self.run_operator_command("plan", "--json", self.write("fleet.ini", text))
         self.assertEqual(ended.code, 0, ended.err)
         return json.loads(ended.out)["id"]
 
     async def test_plan_confirm_and_read(self) -> None:
         path = self.write("fleet.ini", GOOD)
-        shown = await self.operate("plan", path)
+        shown = await self.run_operator_command("plan", path)
         self.assertEqual((shown.code, shown.err), (0, ""))
         self.assertIn("plan p1 against version 0", shown.out)
         self.assertIn("[class drafting] added", shown.out)
-        confirmed = await self.operate("confirm", "p1")
+        confirmed = await self.run_operator_command("confirm", "p1")
         self.assertEqual((confirmed.code, confirmed.out), (0, "version 1\n"))
-        show = await self.operate("show")
+        show = await self.run_operator_command("show")
         self.assertEqual(show.out, f"# version 1\n{GOOD}\n")
-        audit = await self.operate("audit")
+        audit = await self.run_operator_command("audit")
         self.assertRegex(audit.out, r"1 +\d{4}-\d\d-\d\dT\d\d:\d\d:\d\dZ +anna +p1 +10 ")
-        status = await self.operate("status")
+        status = await self.run_operator_command("status")
         self.assertRegex(status.out, r"entry-02 +liege-a +live +0 ")
         self.assertIn("not yet at the latest version: entry-02", status.out)
         for command in ("status", "audit", "show"):
-            self.assertIsInstance(json.loads((await self.operate(command, "--json")).out), dict)
+            self.assertIsInstance(
+                json.loads((await self.run_operator_command(command, "--json")).out), dict
+            )
 
     async def test_findings_carry_the_operators_file(self) -> None:
         path = self.write("fleet.ini", "[class a]\ntier = 0\n")
-        ended = await self.operate("plan", path)
+        ended = await self.run_operator_command("plan", path)
         self.assertEqual((ended.code, ended.out), (2, ""))
         self.assertIn(f"{path}:2: out_of_range tier: 0 is not", ended.err)
         self.assertEqual(len(ended.err.splitlines()), 4)
 
     async def test_conflict_and_unknown_have_their_exit_codes(self) -> None:
         first, second = await self.plan(GOOD), await self.plan(FASTER)
-        self.assertEqual((await self.operate("confirm", second)).code, 0)
-        conflict = await self.operate("confirm", first)
+        self.assertEqual((await self.run_operator_command("confirm", second)).code, 0)
+        conflict = await self.run_operator_command("confirm", first)
         self.assertEqual(conflict.code, 3)
         self.assertTrue(conflict.err.startswith("plan_conflict plan p1 "))
         self.assertIn("anna", conflict.err)
         third = await self.plan(GOOD)
         self.platform.faults.append("lost_then_down")
-        unknown = await self.operate("confirm", third)
+        unknown = await self.run_operator_command("confirm", third)
         self.assertEqual(unknown.code, 4)
         self.assertIn(f"`guavamast confirm {third} --via {self.url}", unknown.err)
-        again = await self.operate("confirm", third)
+        again = await self.run_operator_command("confirm", third)
         self.assertEqual((again.code, again.out), (0, "version 2\n"))
 
     async def test_confirm_whose_instance_dies_is_unknown(self) -> None:
-        # The instance takes the confirmation and its connection closes without an answer. The
-        # plan may be in force, so the command must not say that it failed.
+        # The connection closes without a response after the confirmation is sent. The plan may
+        # be in force, so the command must not report a failure.
         server = await asyncio.start_server(lambda _, writer: writer.close(), "127.0.0.1", 0)
         self.addCleanup(server.close)
         self.url = f"http://127.0.0.1:{server.sockets[0].getsockname()[1]}"
-        self.assertEqual((await self.operate("confirm", "p1")).code, 4)
-        self.assertEqual((await self.operate("status")).code, 1)
+        self.assertEqual((await self.run_operator_command("confirm", "p1")).code, 4)
+        self.assertEqual((await self.run_operator_command("status")).code, 1)
         server.close()
-        refused = await self.operate("confirm", "p1")
+        refused = await self.run_operator_command("confirm", "p1")
         self.assertEqual(refused.code, 1)
         self.assertTrue(refused.err.startswith("unreachable "))
 
     async def test_drain_is_a_plan(self) -> None:
-        await self.operate("confirm", await self.plan(GOOD))
-        drained = json.loads((await self.operate("drain", "endpoint", "engine-1", "--json")).out)
+        await self.run_operator_command("confirm", await self.plan(GOOD))
+        drained = json.loads(
+            (await self.run_operator_command("drain", "endpoint", "engine-1", "--json")).out
+        )
         self.assertEqual(drained["drains"], ["endpoint engine-1"])
         self.assertEqual([change["key"] for change in drained["changes"]], ["state"])
         back = json.loads(
-            (await self.operate("drain", "endpoint", "portal-1", "--undo", "--json")).out
+            (
+                await self.run_operator_command("drain", "endpoint", "portal-1", "--undo", "--json")
+            ).out
         )
         self.assertEqual([change["after"] for change in back["changes"]], ["active"])
-        ended = await self.operate("drain", "instance", "entry-02")
+        ended = await self.run_operator_command("drain", "instance", "entry-02")
         self.assertIn("[instance entry-02] added", ended.out)
         for what, name in (("endpoint", "engine-9"), ("instance", "entry-9")):
-            ended = await self.operate("drain", what, name)
+            ended = await self.run_operator_command("drain", what, name)
             self.assertEqual(ended.code, 1)
             self.assertTrue(ended.err.startswith("not_found "), ended.err)
-        self.assertEqual((await self.operate("drain", "cluster", "x")).code, 2)
+        self.assertEqual((await self.run_operator_command("drain", "cluster", "x")).code, 2)
 
     async def test_token_of_nobody(self) -> None:
         self.tokens = self.write("other", "wrong\n")
-        ended = await self.operate("status")
+        ended = await self.run_operator_command("status")
         self.assertEqual(ended.code, 1)
         self.assertTrue(ended.err.startswith("unauthenticated "))
 
 
 class LocalCommandsTest(unittest.TestCase):
-    """Wrong command lines and files end in one coded line, never in a traceback."""
+    """Invalid command lines and files yield one line with an error code, no traceback."""
 
     def test_a_word_too_many_runs_nothing(self) -> None:
-        # fire finds the word that is one too many only after it has called the function. A
-        # confirmation would then be in force although the operator is told of a usage error.
-        # Nothing listens on port 1, so "unreachable" would show that the command had begun.
+        # fire detects a surplus argument only after calling the function, so a plan could be
+        # confirmed although a usage error is reported. Nothing listens on port 1: the error
+        # "unreachable" would show that the command had started.
         options = ["--via", "http://127.0.0.1:1", "--token-file", __file__]
         ended = run_command("confirm", "p1", "p2", *options)
         self.assertEqual(ended.code, 2)
@@ -236,7 +242,7 @@
 
 
 class StatesTest(unittest.TestCase):
-    """A state is set in place; every other line stays as it was."""
+    """`set_state` changes a state in place and leaves all other lines unchanged."""
 
     def test_sets_and_adds(self) -> None:
         changed = set_state(GOOD, kind="endpoint", name="engine-1", state=EndpointState.LEAVING)
--- a/tests/test_operators.py
+++ b/tests/test_operators.py
@@ -15,7 +15,7 @@
 from guavamast.clocks import SystemClock
 from guavamast.fleet import parse_configuration
 from guavamast.fleet_status import FleetStatus, InstanceStatus, StatusSource
-from guavamast.operator_tokens import CallerKeys, TokenFileAuthenticator, find_operator
+from guavamast.operator_tokens import CallerKeys, TokenFileAuthenticator, look_up_operator
 from guavamast.operators import make_operator_routes
 from guavamast.world import Configuration
 from tests.fake_platform import FakePlatform
@@ -27,11 +27,11 @@
 
 
 class FakeDaemon(StatusSource, CallerKeys):
-    """Stands in for the entry daemon."""
+    """Test double of the entry daemon."""
 
     def __init__(self) -> None:
         self.configuration = Configuration(version=0)
-        self.fails = False
+        self.fails_to_accept = False
 
     def read_status(self) -> FleetStatus:
         behind = InstanceStatus(
@@ -53,7 +53,7 @@
         return self.configuration
 
     def accept(self, configuration: Configuration) -> None:
-        if self.fails:
+        if self.fails_to_accept:
             raise RuntimeError("not now")
         self.configuration = configuration
 
@@ -62,7 +62,7 @@
 
 
 class OperatorsTest(AsyncHTTPTestCase):
-    """Operators plan, confirm and read; everybody else is kept out."""
+    """Operators can plan, confirm and read; all other clients are rejected."""
 
     def get_httpserver_options(self) -> dict[str, Any]:
         return {"max_body_size": 100_000_000}
@@ -92,7 +92,7 @@
         return self.fetch(path, method=method, body=body, headers=headers)
 
     def read(self, response: HTTPResponse, status: int) -> Any:
-        """Return the answer's JSON."""
+        """Check the status and return the response's JSON."""
         self.assertEqual(response.code, status, response.body)
         return json.loads(response.body)
 
@@ -142,10 +142,10 @@
         self.assertEqual(self.read(self.call("/v1/audit"), 503)["error"]["outcome"], "not_run")
 
     def test_accepted_stays_accepted_when_spreading_fails(self) -> None:
-        # The version is in force on the platform; an error here would make the operator think
-        # that it isn't. The answer names the version, and polling brings it to the instances.
+        # The version is in force on the platform, so an error response would mislead the
+        # operator. The response names the version; instances pick it up by polling.
         plan = self.read(self.call("/v1/plans", GOOD), 201)["id"]
-        self.daemon.fails = True
+        self.daemon.fails_to_accept = True
         with self.assertLogs("absl", "ERROR"):
             answer = self.call(f"/v1/plans/{plan}/confirm", "")
         self.assertEqual(self.read(answer, 200), {"version": 1})
@@ -181,8 +181,8 @@
         self.assertEqual(self.call("/v1/plans", GOOD + "#" * 2_000_000).code, 201)
 
     def test_large_bodies_are_not_kept(self) -> None:
-        # A body without end would fill the entry's memory, even without a token. The connection
-        # ends at the handler's own limit although this listener takes a hundred megabytes.
+        # An endless body would exhaust the entry's memory, even without a token. The connection
+        # is closed at the handler's own limit, although this listener accepts 100 megabytes.
         for path, size, token in (
             ("/v1/plans", 9_000_000, "secret-a"),
             ("/v1/plans", 9_000_000, ""),
@@ -192,10 +192,10 @@
 
 
 class TokensTest(TestCase):
-    """A token file's odd lines let nobody in."""
+    """Malformed lines of a token file authenticate nobody."""
 
     def test_lines_that_are_not_name_and_token(self) -> None:
         lines = ["", "anna", "# x", "#anna secret", "a b c", "bert right"]
-        self.assertEqual(find_operator("right", lines), "bert")
+        self.assertEqual(look_up_operator("right", lines), "bert")
         for token in ("", "anna", "secret", "b", "c", "x", "ри"):
-            self.assertEqual(find_operator(token, lines), "")
+            self.assertEqual(look_up_operator(token, lines), "")
--- a/tests/test_plan_store.py
+++ b/tests/test_plan_store.py
@@ -1,4 +1,4 @@
-"""Tests of proposing and confirming plans over a platform that fails."""
+"""Tests of proposing and confirming plans on a platform that fails."""
 
 from __future__ import annotations
 
@@ -19,25 +19,27 @@
 
 
 def make_store(platform: FakePlatform) -> PlanStore:
-    """Return a store that names its plans p1, p2 and so on."""
+    """Return a store with the plan ids p1, p2 and so on."""
     numbers = itertools.count(1)
-    return PlanStore(platform=platform, make_id=lambda: f"p{next(numbers)}", settle_pause_s=0.0)
+    return PlanStore(
+        platform=platform, make_id=lambda: f"p{next(numbers)}", confirm_retry_delay_s=0.0
+    )
 
 
 class PlanStoreTest(unittest.IsolatedAsyncioTestCase):
-    """A plan is applied once or not at all, and its caller learns which."""
+    """A plan is applied at most once, and the caller learns whether it was."""
 
     def setUp(self) -> None:
         self.platform = FakePlatform()
         self.store = make_store(self.platform)
 
     async def accept(self, text: str, *, who: str = "anna") -> int:
-        """Propose and confirm."""
+        """Propose and confirm a configuration and return its version."""
         plan = await self.store.propose(text, who=who, now=10.0)
         return await self.confirm(plan.id, who=who, now=11.0)
 
     async def confirm(self, plan_id: str, *, who: str, now: float) -> int:
-        """Confirm and return the version."""
+        """Confirm a plan and return its version."""
         return (await self.store.confirm(plan_id, who=who, now=now)).version
 
     async def test_first_plan_becomes_version_1_with_its_audit_record(self) -> None:
@@ -69,8 +71,8 @@
 
     async def test_racing_plans_one_accepted_the_other_shown_the_difference(self) -> None:
         # Two operators compute plans from version 1 and confirm them one after the other. The
-        # second would undo the first without having seen it. It gets a conflict that shows what
-        # was accepted and by whom, and the first stays in force.
+        # second would silently undo the first. It gets a conflict that shows the accepted
+        # change and its operator, and the first stays in force.
         await self.accept(GOOD)
         mine = await self.store.propose(DRAINED, who="anna", now=12.0)
         other = await self.store.propose(FASTER, who="bert", now=12.0)
@@ -83,9 +85,9 @@
         self.assertEqual((await self.store.load_configuration()).text, FASTER)
 
     async def test_text_edited_while_another_was_accepted(self) -> None:
-        # Two operators take version 1 to edit. The first has version 2 accepted. The second's
-        # plan is computed from 2 and would undo it unseen, so the plan warns. The remark that
-        # tells the version is not kept in the text.
+        # Two operators edit version 1, and the first one's version 2 is accepted. The second
+        # plan is computed from version 2 and would silently undo it, so it carries a warning.
+        # The version comment is not stored with the text.
         await self.accept(GOOD)
         await self.accept("# version 1\n" + FASTER)
         self.assertEqual((await self.store.load_configuration()).text, FASTER)
@@ -97,9 +99,9 @@
             self.assertEqual(await self.store.read_plan(plan.id), plan)
 
     async def test_lost_answer_is_settled_by_the_plans_id(self) -> None:
-        # The platform writes the version and the answer is lost, so the instance sees an error
-        # for a plan that is in force. It writes the same transaction again, gets a conflict,
-        # and finds its own plan's id: accepted, once.
+        # The platform applies the write but its response is lost, so the instance sees an error
+        # for a plan that is in force. It retries the transaction, gets a conflict and finds its
+        # plan's id in the confirmations: the plan was accepted once.
         await self.accept(GOOD)
         for fault in ("lost", "cut", "late"):
             plan = await self.store.propose(FASTER, who="anna", now=12.0)
@@ -110,9 +112,9 @@
         self.assertEqual(len(await self.platform.scan(AUDIT_TABLE, "")), 4)
 
     async def test_cut_right_after_the_write_is_unknown_until_asked_again(self) -> None:
-        # The write takes effect, its answer is lost, and the platform goes down before the
-        # instance can read what happened. The operator hears "unknown", never "not accepted",
-        # and confirming again after the outage gives the version without a second write.
+        # The write takes effect, its response is lost, and the platform goes down before the
+        # instance can read the outcome. The operator gets "unknown", never "not accepted";
+        # confirming again after the outage returns the version without a second write.
         plan = await self.store.propose(GOOD, who="anna", now=10.0)
         self.platform.faults.append("lost_then_down")
         with self.assertRaises(ConfirmationUnknown):
--- a/tests/test_plan_store_properties.py
+++ b/tests/test_plan_store_properties.py
@@ -1,4 +1,4 @@
-"""Property test of racing confirmations over a platform that loses answers."""
+"""Property test of concurrent confirmations on a platform that loses responses."""
 
 from __future__ import annotations
 
@@ -24,14 +24,14 @@
 )
 
 
-class Operators:
-    """Drives several operators' calls and keeps what each of them was told."""
+class SimulatedOperators:
+    """Runs the calls of several operators and records their results."""
 
     def __init__(self) -> None:
         self.platform = FakePlatform()
         numbers = itertools.count(1)
         self.store = PlanStore(
-            platform=self.platform, make_id=lambda: f"p{next(numbers)}", settle_pause_s=0.0
+            platform=self.platform, make_id=lambda: f"p{next(numbers)}", confirm_retry_delay_s=0.0
         )
         self.plans: list[str] = []
         self.accepted: dict[str, set[int]] = {}
@@ -39,7 +39,7 @@
         self.heads: list[int] = []
 
     async def take_step(self, action: str, number: int, fault: str) -> None:
-        """Propose, or confirm a plan once or from two instances at the same time."""
+        """Propose a plan, or confirm one once or several times concurrently."""
         if action == "propose" or not self.plans:
             await self.propose(number)
         else:
@@ -55,7 +55,7 @@
         self.heads.append(row.value["version"] if row.value else 0)
 
     async def propose(self, number: int) -> None:
-        """Propose a change."""
+        """Propose a changed number of slots."""
         text = GOOD.replace("slots = 8", f"slots = {number + 1}")
         try:
             self.plans.append((await self.store.propose(text, who="anna", now=0.0)).id)
@@ -63,7 +63,7 @@
             return
 
     async def confirm(self, plan: str) -> None:
-        """Confirm a plan and keep the answer."""
+        """Confirm a plan and record the result."""
         try:
             version = (await self.store.confirm(plan, who="anna", now=0.0)).version
         except PlanConflict as conflict:
@@ -76,7 +76,7 @@
 
 
 class ConfirmationProperties(unittest.TestCase):
-    """At most one plan becomes a version, a plan becomes one version, versions never go back."""
+    """Each version comes from one plan, each plan gives one version, versions never decrease."""
 
     @given(STEPS)
     def test_one_plan_a_version_and_one_version_a_plan(
@@ -85,8 +85,8 @@
         asyncio.run(self.check(steps))
 
     async def check(self, steps: list[tuple[str, int, str]]) -> None:
-        """Run the steps and compare what was told with what was written."""
-        operators = Operators()
+        """Run the steps and compare the reported results with the stored rows."""
+        operators = SimulatedOperators()
         for step in steps:
             await operators.take_step(*step)
         operators.platform.down_calls = 0
@@ -105,8 +105,8 @@
         self.assertFalse(operators.conflicts & set(written), "told a conflict, yet applied")
         await self.check_snapshots(operators, audit)
 
-    async def check_snapshots(self, operators: Operators, audit: list[dict]) -> None:
-        """Compare each audit record with the two versions that it names."""
+    async def check_snapshots(self, operators: SimulatedOperators, audit: list[dict]) -> None:
+        """Compare the changes of each audit record with the two versions it refers to."""
         for value in audit:
             after = await operators.store.load_version(value["version"])
             before = await operators.store.load_version(value["before_version"])
--- a/tests/test_plans.py
+++ b/tests/test_plans.py
@@ -1,4 +1,4 @@
-"""Tests of what a plan shows."""
+"""Tests of the contents of a plan."""
 
 from __future__ import annotations
 
@@ -16,17 +16,17 @@
 
 
 def plan(before: str, after: str) -> Plan:
-    """Return the plan from one text to another."""
+    """Return the plan that changes one text into another."""
     base = parse_configuration(before, file="f", version=4)
     proposed = parse_configuration(after, file="f", version=0)
     return compute_plan(plan_id="p", base=base, proposed=proposed, proposed_by="anna", now=5.0)
 
 
 class PlansTest(unittest.TestCase):
-    """A plan names each change, and what an operator has to weigh."""
+    """A plan lists all changes and the warnings to review."""
 
     def list_warnings(self, shown: Plan) -> dict[WarningCode, str]:
-        """Return the messages by code."""
+        """Return the warnings' messages by code."""
         return {warning.code: warning.message for warning in shown.warnings}
 
     def test_first_plan_adds_everything(self) -> None:
