--- a/src/guavamast/cli.py
+++ b/src/guavamast/cli.py
@@ -116,8 +116,8 @@
     for finding in details.get("findings", []):
         # The instance calls the text "configuration"; the operator needs the file's name.
         file = argv[1] if argv[0] == "plan" else finding.get("file")
-        place = f"{file}:{finding.get('line')}"
-        _print_error(f"{place}: {finding.get('code')} {finding.get('message')}")
+        location = f"{file}:{finding.get('line')}"
+        _print_error(f"{location}: {finding.get('code')} {finding.get('message')}")
     if not details.get("findings"):
         _print_error(f"{error.code} {error.message}")
     if error.code is ErrorCode.PLAN_CONFLICT and details:
--- a/src/guavamast/commands.py
+++ b/src/guavamast/commands.py
@@ -24,7 +24,7 @@
 EXIT_OK: Final = 0
 EXIT_FAILED: Final = 1
 EXIT_USAGE: Final = 2
-"""The command line is wrong, or a file has findings."""
+"""The command line is invalid, or a file has findings."""
 
 
 class Task:
@@ -179,10 +179,10 @@
         if what == "instance":
             await _require_instance(client, name)
         state = EndpointState.ACTIVE if undo else EndpointState.LEAVING
-        shown = await client.read_configuration()
-        text = set_state(shown["text"], kind=what, name=name, state=state)
+        current = await client.read_configuration()
+        text = set_state(current["text"], kind=what, name=name, state=state)
         # An instance without a connection to the platform may return an older version.
-        return await client.propose(build_version_comment(shown["version"]) + text)
+        return await client.propose(build_version_comment(current["version"]) + text)
 
     return build_client_task(call, _format_new_plan, via=via, token_file=token_file, json=json)
 
@@ -289,7 +289,7 @@
 
 @SetParseFn(str)
 def report(*files: str, by: str = "route") -> Task:
-    """Show what became of requests, from log lines: report FILE... [--by route|second|...]."""
+    """Summarize the outcomes of requests from log lines: report FILE... [--by route|second|...]."""
 
     def act() -> int:
         from guavamast.log_report import GROUPINGS, read_lines, show_report, tally
@@ -308,7 +308,7 @@
 
 @SetParseFn(parse_flag, "serve")
 def demo(*, serve: bool = False) -> Task:
-    """Run the whole path in one process: demo [--serve]."""
+    """Run a demo fleet in one process: demo [--serve]."""
 
     def act() -> int:
         from guavamast import demo as demo_module
--- a/src/guavamast/demo.py
+++ b/src/guavamast/demo.py
@@ -77,8 +77,8 @@
         call = await post(url, b'{"dossier": 17}', key=CALLER_KEY, headers=headers)
         print(call.code, call.body.decode())
     print(f"runs at the service: {sum(fleet.services[0].log.runs.values())}")
-    for answer in (streamed, plain, call):
-        answer.rethrow()
+    for response in (streamed, plain, call):
+        response.rethrow()
 
 
 async def _run(*, serve: bool) -> None:
--- a/src/guavamast/fleet_handlers.py
+++ b/src/guavamast/fleet_handlers.py
@@ -31,7 +31,7 @@
 
         The query's ``failure_domain`` is the caller's failure domain or region.
         """
-        answer = choose_addresses(
+        choice = choose_addresses(
             self.services.state.view,
             caller_hint=self.get_query_argument(
                 "failure_domain", self.services.state.instance.failure_domain.name
@@ -39,8 +39,8 @@
             seed=next(self.services.address_seeds),
             validity_s=self.services.address_validity_s,
         )
-        addresses = [_format_address(member.instance) for member in answer.members]
-        self.finish({"addresses": addresses, "valid_for_s": round(answer.valid_for_s, 3)})
+        addresses = [_format_address(member.instance) for member in choice.members]
+        self.finish({"addresses": addresses, "valid_for_s": round(choice.valid_for_s, 3)})
 
 
 def _format_address(instance: Instance) -> dict[str, str]:
--- a/src/guavamast/operator_client.py
+++ b/src/guavamast/operator_client.py
@@ -89,18 +89,18 @@
             raise _build_lost_response_error(
                 method, f"incomplete response from {self._url}: {error}"
             ) from None
-        answer = _parse_json_object(response.body)
-        if 200 <= response.code < 300 and answer is not None:
-            return answer
-        raise _parse_error(method, response.code, answer or {})
+        payload = _parse_json_object(response.body)
+        if 200 <= response.code < 300 and payload is not None:
+            return payload
+        raise _parse_error(method, response.code, payload or {})
 
 
 def _parse_json_object(body: bytes) -> dict[str, Any] | None:
     try:
-        answer = json.loads(body)
+        payload = json.loads(body)
     except ValueError:
         return None
-    return answer if isinstance(answer, dict) else None
+    return payload if isinstance(payload, dict) else None
 
 
 def _build_lost_response_error(method: str, message: str) -> GuavamastError:
@@ -109,8 +109,8 @@
     return GuavamastError(code, message)
 
 
-def _parse_error(method: str, status: int, answer: dict[str, Any]) -> GuavamastError:
-    details = answer.get("error")
+def _parse_error(method: str, status: int, payload: dict[str, Any]) -> GuavamastError:
+    details = payload.get("error")
     if not isinstance(details, dict):
         return _build_lost_response_error(
             method, f"the instance returned status {status} without a JSON error object"
--- a/src/guavamast/operator_tokens.py
+++ b/src/guavamast/operator_tokens.py
@@ -102,13 +102,13 @@
     Returns:
         The operator's name.
     """
-    wanted = hashlib.sha256(token.encode()).digest()
-    found = ""
+    expected_digest = hashlib.sha256(token.encode()).digest()
+    name = ""
     for line in lines:
         words = line.split()
         if len(words) != 2 or words[0].startswith("#"):
             continue
         digest = hashlib.sha256(words[1].encode()).digest()
-        if hmac.compare_digest(digest, wanted):
-            found = words[0]
-    return found
+        if hmac.compare_digest(digest, expected_digest):
+            name = words[0]
+    return name
--- a/src/guavamast/operators.py
+++ b/src/guavamast/operators.py
@@ -202,21 +202,21 @@
 
     async def get(self) -> None:
         """Send the platform's version or, while the platform is down, this instance's own."""
-        wanted = parse_count(self.get_query_argument("version", ""), default=0, highest=10**9)
+        version = parse_count(self.get_query_argument("version", ""), default=0, highest=10**9)
         store = self.services.store
         source = "platform"
-        if wanted:
-            configuration = await store.load_version(wanted)
+        if version:
+            configuration = await store.load_version(version)
             if configuration is None:
-                raise GuavamastError(ErrorCode.NOT_FOUND, f"there is no version {wanted}")
+                raise GuavamastError(ErrorCode.NOT_FOUND, f"there is no version {version}")
         else:
             try:
                 configuration = await store.load_configuration()
             except PlatformUnavailable:
                 configuration = self.services.status.read_configuration()
                 source = "instance"
-        answer = {"version": configuration.version, "text": configuration.text, "source": source}
-        self.write(answer)
+        response = {"version": configuration.version, "text": configuration.text, "source": source}
+        self.write(response)
 
 
 class StatusHandler(OperatorHandler):
--- a/src/guavamast/plan_store.py
+++ b/src/guavamast/plan_store.py
@@ -238,9 +238,9 @@
     ) -> Acceptance:
         """Retry the transaction until it is known to be applied or rejected.
 
-        Failure: the platform applies the write, but its response is lost or the connection
-        breaks right after; the operator gets an error although the plan is in force. The same
-        transaction is sent again, which cannot apply twice, and a conflict is resolved by
+        Failure: the platform applies the write, but its response is lost or the platform becomes
+        unreachable right after; the operator gets an error although the plan is in force. The
+        same transaction is sent again, which cannot apply twice, and a conflict is resolved by
         reading the confirmation row of this plan's id.
         """
         lost = False
--- a/src/guavamast/plans.py
+++ b/src/guavamast/plans.py
@@ -190,14 +190,17 @@
         elif old and new.slots < old.slots:
             message = f"[class {name}] goes from {old.slots} to {new.slots} slots"
             yield _warn(WarningCode.CAPACITY_LOWER, message)
-        above = [
+        competing_classes = [
             other
             for other, capacity in sorted(after.items())
             if proposed.classes[other].tier < service_class.tier
             and capacity.endpoints & new.endpoints
         ]
-        if above and not service_class.guaranteed_share:
-            message = f"[class {name}] has no guaranteed_share; [class {above[0]}] can starve it"
+        if competing_classes and not service_class.guaranteed_share:
+            message = (
+                f"[class {name}] has no guaranteed_share; "
+                f"[class {competing_classes[0]}] can starve it"
+            )
             yield _warn(WarningCode.CLASS_WITHOUT_SHARE, message)
 
 
--- a/src/guavamast/text_output.py
+++ b/src/guavamast/text_output.py
@@ -101,7 +101,7 @@
     return "\n".join(parts)
 
 
-def format_audit(answer: dict[str, Any]) -> str:
+def format_audit(audit: dict[str, Any]) -> str:
     """Return the audit trail as a table, newest first."""
     rows = [
         (
@@ -112,6 +112,6 @@
             record["change_count"],
             "; ".join(record["changes"][:2]) + (" ..." if record["change_count"] > 2 else ""),
         )
-        for record in answer["records"]
+        for record in audit["records"]
     ]
     return make_table(("VERSION", "WHEN", "WHO", "PLAN", "CHANGES", "FIRST OF THEM"), rows)
--- a/tests/test_cli.py
+++ b/tests/test_cli.py
@@ -83,9 +83,9 @@
 
     async def plan(self, text: str) -> str:
         """Propose a configuration and return the plan's id."""
-        ended = await self.run_operator_command("plan", "--json", self.write("fleet.ini", text))
-        self.assertEqual(ended.code, 0, ended.err)
-        return json.loads(ended.out)["id"]
+        result = await self.run_operator_command("plan", "--json", self.write("fleet.ini", text))
+        self.assertEqual(result.code, 0, result.err)
+        return json.loads(result.out)["id"]
 
     async def test_plan_confirm_and_read(self) -> None:
         path = self.write("fleet.ini", GOOD)
@@ -109,10 +109,10 @@
 
     async def test_findings_carry_the_operators_file(self) -> None:
         path = self.write("fleet.ini", "[class a]\ntier = 0\n")
-        ended = await self.run_operator_command("plan", path)
-        self.assertEqual((ended.code, ended.out), (2, ""))
-        self.assertIn(f"{path}:2: out_of_range tier: 0 is not", ended.err)
-        self.assertEqual(len(ended.err.splitlines()), 4)
+        result = await self.run_operator_command("plan", path)
+        self.assertEqual((result.code, result.out), (2, ""))
+        self.assertIn(f"{path}:2: out_of_range tier: 0 is not", result.err)
+        self.assertEqual(len(result.err.splitlines()), 4)
 
     async def test_conflict_and_unknown_have_their_exit_codes(self) -> None:
         first, second = await self.plan(GOOD), await self.plan(FASTER)
@@ -155,19 +155,19 @@
             ).out
         )
         self.assertEqual([change["after"] for change in back["changes"]], ["active"])
-        ended = await self.run_operator_command("drain", "instance", "entry-02")
-        self.assertIn("[instance entry-02] added", ended.out)
+        result = await self.run_operator_command("drain", "instance", "entry-02")
+        self.assertIn("[instance entry-02] added", result.out)
         for what, name in (("endpoint", "engine-9"), ("instance", "entry-9")):
-            ended = await self.run_operator_command("drain", what, name)
-            self.assertEqual(ended.code, 1)
-            self.assertTrue(ended.err.startswith("not_found "), ended.err)
+            result = await self.run_operator_command("drain", what, name)
+            self.assertEqual(result.code, 1)
+            self.assertTrue(result.err.startswith("not_found "), result.err)
         self.assertEqual((await self.run_operator_command("drain", "cluster", "x")).code, 2)
 
     async def test_token_of_nobody(self) -> None:
         self.tokens = self.write("other", "wrong\n")
-        ended = await self.run_operator_command("status")
-        self.assertEqual(ended.code, 1)
-        self.assertTrue(ended.err.startswith("unauthenticated "))
+        result = await self.run_operator_command("status")
+        self.assertEqual(result.code, 1)
+        self.assertTrue(result.err.startswith("unauthenticated "))
 
 
 class LocalCommandsTest(unittest.TestCase):
@@ -178,9 +178,9 @@
         # confirmed although a usage error is reported. Nothing listens on port 1: the error
         # "unreachable" would show that the command had started.
         options = ["--via", "http://127.0.0.1:1", "--token-file", __file__]
-        ended = run_command("confirm", "p1", "p2", *options)
-        self.assertEqual(ended.code, 2)
-        self.assertTrue(ended.err.startswith("usage Could not consume arg: p2"), ended.err)
+        result = run_command("confirm", "p1", "p2", *options)
+        self.assertEqual(result.code, 2)
+        self.assertTrue(result.err.startswith("usage Could not consume arg: p2"), result.err)
 
     def test_usage_errors(self) -> None:
         wrong = [
@@ -198,9 +198,9 @@
             ["audit", "--unknown", "x"],
         ]
         for words in wrong:
-            ended = run_command(*words)
-            self.assertEqual((ended.code, ended.out), (2, ""), words)
-            self.assertEqual(len(ended.err.splitlines()), 1, ended.err)
+            result = run_command(*words)
+            self.assertEqual((result.code, result.out), (2, ""), words)
+            self.assertEqual(len(result.err.splitlines()), 1, result.err)
         self.assertEqual(run_command().code, 2)
         self.assertEqual(run_command("--help").code, 0)
         self.assertIn("confirm PLAN", run_command("confirm", "--help").out)
--- a/tests/test_cli_properties.py
+++ b/tests/test_cli_properties.py
@@ -41,7 +41,7 @@
     @given(FIRST_WORDS, st.lists(WORDS, max_size=7))
     def test_ends_with_an_exit_code(self, first: str, words: list[str]) -> None:
         before = dict(COMMANDS)
-        ended = run_command(first, *words)
-        self.assertIn(ended.code, (0, 1, 2))
-        self.assertTrue(ended.out or ended.err)
+        result = run_command(first, *words)
+        self.assertIn(result.code, (0, 1, 2))
+        self.assertTrue(result.out or result.err)
         self.assertEqual(COMMANDS, before)
--- a/tests/test_operator_processes.py
+++ b/tests/test_operator_processes.py
@@ -49,27 +49,27 @@
         text = self.fleet.make_text().replace("second = 1000", f"second = {rate}")
         path = self.fleet.folder / f"fleet-{rate}.ini"
         path.write_text(text)
-        ended = await self.run_operator_command(number, "plan", str(path), "--json")
-        self.assertEqual(ended.code, 0, ended.err)
-        return json.loads(ended.out)["id"]
+        result = await self.run_operator_command(number, "plan", str(path), "--json")
+        self.assertEqual(result.code, 0, result.err)
+        return json.loads(result.out)["id"]
 
     async def read_versions(self) -> list[int]:
         """Return the accepted versions, newest first."""
-        ended = await self.run_operator_command(0, "audit", "--json")
-        return [record["version"] for record in json.loads(ended.out)["records"]]
+        result = await self.run_operator_command(0, "audit", "--json")
+        return [record["version"] for record in json.loads(result.out)["records"]]
 
     async def test_racing_operators(self) -> None:
         # Two operators concurrently confirm plans with the same base via two instances. One plan
         # becomes the next version; the other command exits with 3 and shows the accepted plan.
         plans = [await self.plan(0, 1001), await self.plan(1, 1002)]
-        ended = await asyncio.gather(
+        results = await asyncio.gather(
             *(
                 self.run_operator_command(number, "confirm", plan)
                 for number, plan in enumerate(plans)
             )
         )
-        self.assertEqual(sorted(item.code for item in ended), [0, 3], ended)
-        loser = next(item for item in ended if item.code == 3)
+        self.assertEqual(sorted(item.code for item in results), [0, 3], results)
+        loser = next(item for item in results if item.code == 3)
         self.assertIn("requests_per_second: 1000 -> 100", loser.err)
         self.assertNotIn("Traceback", loser.err)
         await self.fleet.wait_for_version(2, range(2))
@@ -94,9 +94,9 @@
         plan = await self.plan(0, 1004)
         await self.fleet.fault(self.fleet.platform_url, kind="down")
         for words in (("confirm", plan), ("audit",)):
-            ended = await self.run_operator_command(0, *words)
-            self.assertEqual((ended.code, ended.out), (1, ""))
-            self.assertTrue(ended.err.startswith("platform_unavailable "), ended.err)
+            result = await self.run_operator_command(0, *words)
+            self.assertEqual((result.code, result.out), (1, ""))
+            self.assertTrue(result.err.startswith("platform_unavailable "), result.err)
         self.assertEqual((await self.run_operator_command(0, "status")).code, 0)
         shown = await self.run_operator_command(1, "show")
         self.assertEqual((shown.code, shown.out.splitlines()[0]), (0, "# version 1"))
--- a/tests/test_operators.py
+++ b/tests/test_operators.py
@@ -131,9 +131,9 @@
     def test_unknown_outcome_and_outage(self) -> None:
         plan = self.read(self.call("/v1/plans", GOOD), 201)["id"]
         self.platform.faults.append("lost_then_down")
-        answer = self.call(f"/v1/plans/{plan}/confirm", "")
-        self.assertEqual(self.read(answer, 503)["error"]["outcome"], "outcome_unknown")
-        self.assertIn("Retry-After", answer.headers)
+        response = self.call(f"/v1/plans/{plan}/confirm", "")
+        self.assertEqual(self.read(response, 503)["error"]["outcome"], "outcome_unknown")
+        self.assertIn("Retry-After", response.headers)
         self.assertEqual(self.read(self.call(f"/v1/plans/{plan}/confirm", ""), 200)["version"], 1)
         self.daemon.configuration = parse_configuration(GOOD, file="f", version=1)
         self.platform.down_calls = 2
@@ -147,8 +147,8 @@
         plan = self.read(self.call("/v1/plans", GOOD), 201)["id"]
         self.daemon.fails_to_accept = True
         with self.assertLogs("absl", "ERROR"):
-            answer = self.call(f"/v1/plans/{plan}/confirm", "")
-        self.assertEqual(self.read(answer, 200), {"version": 1})
+            response = self.call(f"/v1/plans/{plan}/confirm", "")
+        self.assertEqual(self.read(response, 200), {"version": 1})
 
     def test_keeps_others_out(self) -> None:
         paths = ["/v1/plans", "/v1/plans/p1/confirm", "/v1/plans/p1", "/v1/configuration"]
--- a/tests/test_plan_store.py
+++ b/tests/test_plan_store.py
@@ -74,11 +74,11 @@
         # second would silently undo the first. It gets a conflict that shows the accepted
         # change and its operator, and the first stays in force.
         await self.accept(GOOD)
-        mine = await self.store.propose(DRAINED, who="anna", now=12.0)
+        stale = await self.store.propose(DRAINED, who="anna", now=12.0)
         other = await self.store.propose(FASTER, who="bert", now=12.0)
         self.assertEqual(await self.confirm(other.id, who="bert", now=13.0), 2)
         with self.assertRaises(PlanConflict) as caught:
-            await self.confirm(mine.id, who="anna", now=13.0)
+            await self.confirm(stale.id, who="anna", now=13.0)
         self.assertEqual(caught.exception.head_version, 2)
         self.assertEqual([change.after for change in caught.exception.difference], ["300"])
         self.assertEqual([record.who for record in caught.exception.accepted], ["bert"])
