--- a/bench/exchange_loop.py
+++ b/bench/exchange_loop.py
@@ -10,10 +10,10 @@
 from typing import TYPE_CHECKING
 
 from guavamast.configuration_spread import ConfigurationSpread
+from guavamast.fleet_objects import FailureDomain, Instance
 from guavamast.heartbeat_exchange import ExchangeState, HeartbeatExchange
 from guavamast.members import MemberState
 from guavamast.membership import Membership, MembershipTiming
-from guavamast.world import FailureDomain, Instance
 
 if TYPE_CHECKING:
     from collections.abc import Callable, Iterable
--- a/bench/keeper_change.py
+++ b/bench/keeper_change.py
@@ -12,9 +12,9 @@
 from statistics import mean
 from typing import Final
 
+from guavamast.fleet_objects import Configuration, Endpoint, EndpointKind, ServiceClass
 from guavamast.keepers import EndpointKeeper
 from guavamast.slots import Ask, Granted, LoadReport, Refused, Release
-from guavamast.world import Configuration, Endpoint, EndpointKind, ServiceClass
 
 SLOTS: Final = 16
 ENTRIES: Final = 14
--- a/bench/limit_error.py
+++ b/bench/limit_error.py
@@ -10,6 +10,7 @@
 from typing import Final
 
 from guavamast.allotments import BURST_S, Allotment, AllotmentAsk, AllotmentDispatcher
+from guavamast.fleet_objects import Contract, Organisation
 from guavamast.limits import AdmissionState, EntryLimiter
 from guavamast.peer_pb2 import (
     AllotmentAskMessage,
@@ -19,7 +20,6 @@
     KeeperBatch,
     KeeperMessage,
 )
-from guavamast.world import Contract, Organisation
 
 DURATION_S: Final = 60.0
 WARM_S: Final = 20.0
--- a/bench/node_cost.py
+++ b/bench/node_cost.py
@@ -17,9 +17,9 @@
 
 from bench.pretended_fleet import PretendedFleet
 from bench.tables import print_head, print_row
-from guavamast.platform.demo import ask, wait_ready
+from guavamast.platform.demo import send_request, wait_ready
 from guavamast.platform.settings import decode_settings
-from guavamast.platform.standins.site import LOOKUPS, RESUMABLE, Site, write_settings
+from guavamast.platform.standins.site import LOOKUP_PREFIX, RESUMABLE_PREFIX, Site, write_settings
 
 if TYPE_CHECKING:
     from collections.abc import Awaitable, Callable
@@ -78,7 +78,7 @@
     """
     site = Site()
     await site.start(pool=ENGINES, portal=6)
-    fields = site.make_settings("measured")
+    fields = site.build_settings("measured")
     fields["limits"] = {"link_mbps": 20}
     settings = decode_settings(fields, file="measured")
     fleet = PretendedFleet(site=site, instances=instances, measured=settings)
@@ -119,7 +119,7 @@
         used = await _count(pid, make)
         return used - idle_second_ms * (time.monotonic() - began)
 
-    lookups = await measure_part(lambda: _ask_all(settings.callers, LOOKUPS, REQUESTS))
+    lookups = await measure_part(lambda: _ask_all(settings.callers, LOOKUP_PREFIX, REQUESTS))
     few, many = [await measure_part(_make_streams(site, settings, n)) for n in (4, 44)]
     event_ms = (many - few) / STREAMS / (MANY_EVENTS - FEW_EVENTS)
     return NodeCost(
@@ -136,7 +136,7 @@
     async def run() -> None:
         for engine in site.engines.values():
             engine.events = events
-        await _ask_all(settings.callers, RESUMABLE, STREAMS)
+        await _ask_all(settings.callers, RESUMABLE_PREFIX, STREAMS)
 
     return run
 
@@ -150,7 +150,7 @@
 async def _ask_all(address: SocketAddress, prefix: str, number: int) -> None:
     """Make requests one after the other, each on a connection of its own."""
     for place in range(number):
-        answer = await ask(address, f"{prefix}{place}", request_id=f"{prefix}{place}")
+        answer = await send_request(address, f"{prefix}{place}", request_id=f"{prefix}{place}")
         assert answer.startswith("200"), answer
 
 
--- a/bench/operation_cost.py
+++ b/bench/operation_cost.py
@@ -17,18 +17,18 @@
 
 from tornado.httpclient import HTTPRequest
 
+from guavamast.at_most_once_fetch import fetch_once
 from guavamast.clocks import SystemClock
 from guavamast.endpoint_sender import HttpEndpointSender
+from guavamast.fleet_objects import CallRule, Endpoint, EndpointKind
 from guavamast.group_commit import GroupCommit
 from guavamast.operation_store import OperationStore
 from guavamast.platform_http import HttpPlatformClient
-from guavamast.send_gates import BEAT_INTERVAL_S, PauseWatch, SendGate
+from guavamast.send_gates import TICK_INTERVAL_S, PauseDetector, SendGate
 from guavamast.service_calls import RetryPolicy, ServiceCall, ServiceCalls, SlotGrant, SlotSource
-from guavamast.single_fetch import fetch_once
 from guavamast.standins.faults import Fault
 from guavamast.standins.platform import PlatformStandin
 from guavamast.standins.service import ServiceStandin
-from guavamast.world import CallRule, Endpoint, EndpointKind
 
 if TYPE_CHECKING:
     from guavamast.platform_client import PlatformClient
@@ -106,7 +106,7 @@
         return None
 
 
-def make_calls(surroundings: Surroundings, mode: Mode, pauses: PauseWatch) -> ServiceCalls:
+def make_calls(surroundings: Surroundings, mode: Mode, pauses: PauseDetector) -> ServiceCalls:
     """Return the calls of one entry."""
     clock = SystemClock()
     url = surroundings.platform
@@ -152,7 +152,7 @@
 
 async def measure(surroundings: Surroundings, mode: Mode, rate: float, run: int) -> str:
     """Make calls at a rate and return a line of the table."""
-    pauses = PauseWatch(now=time.monotonic())
+    pauses = PauseDetector(now=time.monotonic())
     beats = asyncio.ensure_future(beat(pauses))
     calls = make_calls(surroundings, mode, pauses)
     before, cpu_before = await read_counts(surroundings), time.process_time()
@@ -174,11 +174,11 @@
     )
 
 
-async def beat(pauses: PauseWatch) -> None:
+async def beat(pauses: PauseDetector) -> None:
     """Show that the loop runs."""
     while True:
-        pauses.beat(now=time.monotonic())
-        await asyncio.sleep(BEAT_INTERVAL_S)
+        pauses.tick(now=time.monotonic())
+        await asyncio.sleep(TICK_INTERVAL_S)
 
 
 async def measure_all(surroundings: Surroundings) -> None:
--- a/bench/tier_shares.py
+++ b/bench/tier_shares.py
@@ -14,10 +14,10 @@
 from typing import TYPE_CHECKING, Final
 from unittest.mock import patch
 
-from guavamast.forecasts import PAUSE_S
+from guavamast.fleet_objects import Configuration, Endpoint, EndpointKind, ServiceClass
+from guavamast.forecasts import PAUSE_DELAY_S
 from guavamast.keepers import EndpointKeeper
 from guavamast.slots import Ask, Granted, Paused, Refused, Release
-from guavamast.world import Configuration, Endpoint, EndpointKind, ServiceClass
 
 if TYPE_CHECKING:
     from guavamast.slots import KeeperEvent
@@ -192,7 +192,7 @@
                 self._push(self._now + 1.0, "progress", name)
             elif isinstance(event, Paused):
                 job.pauses += 1
-                self._push(self._now + PAUSE_S, "paused", name)
+                self._push(self._now + PAUSE_DELAY_S, "paused", name)
             elif isinstance(event, Refused):
                 self._finished.append(job)
 
@@ -273,7 +273,7 @@
 def measure(rule: str, loads: tuple[float, ...], seed: int) -> dict[str, Result]:
     """Return the figures of one run."""
     ceiling = 1.0 if rule == "share at once" else 2.0
-    with patch("guavamast.queues.DEBT_CEILING", ceiling):
+    with patch("guavamast.queues.MAX_CREDIT", ceiling):
         return Run(rule=rule, loads=loads, seed=seed).run()
 
 
--- a/bench/workload.py
+++ b/bench/workload.py
@@ -7,8 +7,7 @@
 from random import Random
 from typing import Final
 
-from guavamast.members import Member, MembershipView, MemberState
-from guavamast.world import (
+from guavamast.fleet_objects import (
     Configuration,
     Endpoint,
     EndpointKind,
@@ -16,6 +15,7 @@
     Instance,
     ServiceClass,
 )
+from guavamast.members import Member, MembershipView, MemberState
 
 DURATION_S: Final = 150.0
 BURST_START_S: Final = 30.0
--- a/src/guavamast/__init__.py
+++ b/src/guavamast/__init__.py
@@ -5,7 +5,7 @@
 from typing import Final
 
 from guavamast.errors import ErrorCode, GuavamastError, Outcome, Refusal
-from guavamast.world import (
+from guavamast.fleet_objects import (
     CallRule,
     Configuration,
     Contract,
--- a/src/guavamast/addresses.py
+++ b/src/guavamast/addresses.py
@@ -28,7 +28,7 @@
 
 
 @dataclass(frozen=True, slots=True, kw_only=True)
-class AddressAnswer:
+class AddressResponse:
     """The instances that a caller may connect to."""
 
     members: tuple[Member, ...]
@@ -43,7 +43,7 @@
     caller_hint: str,
     seed: int,
     validity_s: float,
-) -> AddressAnswer:
+) -> AddressResponse:
     """Choose the instances to return to one caller.
 
     Args:
@@ -67,7 +67,7 @@
     chosen = _add_other_domain(chosen, live, seed)
     spread = (seed * GOLDEN_RATIO) % 1.0
     share = MIN_VALIDITY_SHARE + (1.0 - MIN_VALIDITY_SHARE) * spread
-    return AddressAnswer(members=tuple(chosen), valid_for_s=validity_s * share)
+    return AddressResponse(members=tuple(chosen), valid_for_s=validity_s * share)
 
 
 def compute_weights(members: Sequence[Member]) -> list[float]:
--- a/src/guavamast/allotments.py
+++ b/src/guavamast/allotments.py
@@ -14,8 +14,8 @@
 from guavamast.rendezvous import compute_weight
 
 if TYPE_CHECKING:
+    from guavamast.fleet_objects import Organisation
     from guavamast.members import Member, MembershipView
-    from guavamast.world import Organisation
 
 BURST_S: Final = 1.0
 """Size of the token bucket, in seconds of the rate."""
@@ -187,7 +187,7 @@
         state.add_reservation(ask.entry, reservation)
         return allotment
 
-    def forget_idle(self, *, now: float) -> None:
+    def evict_idle(self, *, now: float) -> None:
         """Drop organisations without an ask since all their allotments expired."""
         for name, state in list(self._states.items()):
             if now - state.updated_at > VALIDITY_S:
--- a/src/guavamast/single_fetch.py
+++ b/src/guavamast/at_most_once_fetch.py
@@ -88,7 +88,7 @@
     """Act as the hook of a request that needs no last check."""
 
 
-class SingleFetch:
+class AtMostOnceFetch:
     """One request that is sent at most once and can be aborted at any time.
 
     Args:
@@ -141,7 +141,7 @@
         NotSent: No byte was sent.
         AnswerLost: Bytes may have been sent, and no whole response arrived in time.
     """
-    response = await SingleFetch(request=request, before_write=before_write).run()
+    response = await AtMostOnceFetch(request=request, before_write=before_write).run()
     if not _is_framed(response):
         raise AnswerLost("the response has no length, so a truncated body can't be detected")
     return response
--- a/src/guavamast/single_runs.py
+++ b/src/guavamast/at_most_once_runs.py
@@ -6,7 +6,8 @@
 from collections import OrderedDict
 from typing import TYPE_CHECKING, Final, NoReturn
 
-from guavamast.attempts import Obstructed, Stop
+from guavamast.at_most_once_fetch import NotSent
+from guavamast.attempts import Obstructed, StopFlag
 from guavamast.errors import ErrorCode, GuavamastError, Outcome, Refusal, SendLatch
 from guavamast.operation_store import AnswerMissing, Claim, ClaimUnsettled
 from guavamast.operations import (
@@ -24,15 +25,14 @@
 )
 from guavamast.platform_client import PlatformAnswerLost, PlatformUnavailable
 from guavamast.service_call import SlotUnavailable
-from guavamast.single_fetch import NotSent
 
 if TYPE_CHECKING:
     from guavamast.attempts import AttemptRunner
     from guavamast.clocks import Clock
+    from guavamast.deferred_writes import DeferredWrites
     from guavamast.metrics import Metrics
     from guavamast.operation_store import OperationStore
-    from guavamast.operations import Answer, ClaimDecision
-    from guavamast.repairs import Repairs
+    from guavamast.operations import ClaimDecision, Response
     from guavamast.service_call import ServiceCall, SlotGrant, SlotSource
 
 PLATFORM_RETRY_AFTER_S: Final = 5.0
@@ -51,7 +51,7 @@
 """Latest sent keys that a process keeps in memory, for rejections while the platform is down."""
 
 
-class SingleRun:
+class AtMostOnceRun:
     """State of one caller's request to run a call under a key.
 
     Args:
@@ -65,7 +65,7 @@
     def __init__(self, *, call: ServiceCall, now: float, remaining_s: float) -> None:
         self.call = call
         self.latch = SendLatch()
-        self.stop = Stop()
+        self.stop = StopFlag()
         rule = call.rule
         self.operation = Operation(
             key=OperationKey(organisation=call.organisation, key=call.idempotency_key),
@@ -77,7 +77,7 @@
         )
 
 
-class SingleRunner:
+class AtMostOnceRunner:
     """Runs non-idempotent calls.
 
     The order is: look up the key, acquire a slot, insert the row, connect, check again, send,
@@ -110,7 +110,7 @@
         store: OperationStore,
         slots: SlotSource,
         attempts: AttemptRunner,
-        repairs: Repairs,
+        repairs: DeferredWrites,
         clock: Clock,
         metrics: Metrics,
     ) -> None:
@@ -122,7 +122,7 @@
         self._clock = clock
         self._sent_keys: OrderedDict[OperationKey, None] = OrderedDict()
 
-    def prepare(self, call: ServiceCall) -> SingleRun:
+    def prepare(self, call: ServiceCall) -> AtMostOnceRun:
         """Return the state of a new request.
 
         Raises:
@@ -133,9 +133,9 @@
         except GuavamastError as error:
             raise SendLatch().refuse(error.code, error.message, status=400) from None
         remaining_s = call.deadline - self._clock.read_monotonic()
-        return SingleRun(call=call, now=self._clock.read_wall(), remaining_s=remaining_s)
+        return AtMostOnceRun(call=call, now=self._clock.read_wall(), remaining_s=remaining_s)
 
-    async def run(self, run: SingleRun) -> Answer:
+    async def run(self, run: AtMostOnceRun) -> Response:
         """Run the call unless its key ran before.
 
         Returns:
@@ -160,7 +160,7 @@
             ) from None
         return await self._run_with_slot(run, grant)
 
-    async def _look_up(self, run: SingleRun) -> Answer | None:
+    async def _look_up(self, run: AtMostOnceRun) -> Response | None:
         """Return the key's recorded response, or None when the key is free."""
         try:
             found = await self._store.find(run.operation.key)
@@ -170,7 +170,7 @@
         decision = decide_claim(run.operation, found, version=0, now=now)
         return None if isinstance(decision, Insert) else await self._serve_existing(run, decision)
 
-    async def _run_with_slot(self, run: SingleRun, grant: SlotGrant) -> Answer:
+    async def _run_with_slot(self, run: AtMostOnceRun, grant: SlotGrant) -> Response:
         try:
             self._attempts.check(run.call, grant.endpoint)
             claim = await self._claim(run)
@@ -188,7 +188,7 @@
         await self._record(claim, response)
         return response
 
-    async def _claim(self, run: SingleRun) -> Claim | ClaimDecision:
+    async def _claim(self, run: AtMostOnceRun) -> Claim | ClaimDecision:
         try:
             return await self._store.claim(run.operation)
         except ClaimUnsettled as error:
@@ -197,7 +197,7 @@
         except PlatformUnavailable as error:
             raise self._create_platform_rejection(run, error.message) from None
 
-    async def _send(self, run: SingleRun, grant: SlotGrant) -> Answer:
+    async def _send(self, run: AtMostOnceRun, grant: SlotGrant) -> Response:
         """Send the call; try other endpoints as long as no byte was sent."""
         failed: frozenset[str] = frozenset()
         try:
@@ -213,12 +213,12 @@
             if run.latch.sent:
                 self._record_sent_key(run.operation.key)
 
-    async def _send_to(self, run: SingleRun, grant: SlotGrant) -> Answer:
+    async def _send_to(self, run: AtMostOnceRun, grant: SlotGrant) -> Response:
         timeout_s = run.call.rule.timeout_s
         return await self._attempts.send(run.call, grant, run.latch, run.stop, timeout_s=timeout_s)
 
     async def _acquire_other(
-        self, run: SingleRun, failed: frozenset[str], error: NotSent | Obstructed
+        self, run: AtMostOnceRun, failed: frozenset[str], error: NotSent | Obstructed
     ) -> SlotGrant:
         """Return a slot of another endpoint, or raise the last attempt's error."""
         expired = isinstance(error, Obstructed) and error.code is ErrorCode.DEADLINE_EXCEEDED
@@ -229,7 +229,7 @@
         except SlotUnavailable:
             raise error from None
 
-    async def _settle_failure(self, run: SingleRun, error: Exception) -> NoReturn:
+    async def _settle_failure(self, run: AtMostOnceRun, error: Exception) -> NoReturn:
         """Reject after a send without a response.
 
         The row of a call that may have been sent stays ``started`` for good, as nothing can tell
@@ -245,7 +245,7 @@
             self._repairs.add(lambda: self._store.mark_not_run(run.operation, run.latch))
         raise _create_unsent_rejection(run, error) from error
 
-    async def _record(self, claim: Claim, response: Answer) -> None:
+    async def _record(self, claim: Claim, response: Response) -> None:
         """Record a response, in the background if the first attempts fail.
 
         The caller gets the response either way: it is the only one this key can have. Until it is
@@ -260,7 +260,7 @@
                 continue
         self._repairs.add(lambda: self._store.record(claim, response))
 
-    async def _serve_existing(self, run: SingleRun, decision: ClaimDecision) -> Answer:
+    async def _serve_existing(self, run: AtMostOnceRun, decision: ClaimDecision) -> Response:
         """Return the recorded response, or reject a request whose key is not free.
 
         The latch only covers this request, which did not run, but its key may have. A caller that
@@ -284,9 +284,9 @@
             ErrorCode.OUTCOME_UNKNOWN, message, status=503, outcome=Outcome.OUTCOME_UNKNOWN
         )
 
-    async def _serve_recorded(self, decision: Recorded) -> Answer:
+    async def _serve_recorded(self, decision: Recorded) -> Response:
         try:
-            return await self._store.load_answer(decision.response)
+            return await self._store.load_response(decision.response)
         except (PlatformUnavailable, AnswerMissing) as error:
             raise Refusal(
                 error.code,
@@ -296,9 +296,9 @@
                 retry_after_s=PLATFORM_RETRY_AFTER_S,
             ) from None
 
-    def refuse_unread(
+    def create_unread_rejection(
         self,
-        run: SingleRun,
+        run: AtMostOnceRun,
         code: ErrorCode,
         message: str,
         *,
@@ -317,8 +317,8 @@
             )
         return run.latch.refuse(code, message, status=status, retry_after_s=retry_after_s)
 
-    def _create_platform_rejection(self, run: SingleRun, message: str) -> Refusal:
-        return self.refuse_unread(
+    def _create_platform_rejection(self, run: AtMostOnceRun, message: str) -> Refusal:
+        return self.create_unread_rejection(
             run,
             ErrorCode.PLATFORM_UNAVAILABLE,
             message,
@@ -333,7 +333,7 @@
             self._sent_keys.popitem(last=False)
 
 
-def _create_unsent_rejection(run: SingleRun, error: Exception) -> Refusal:
+def _create_unsent_rejection(run: AtMostOnceRun, error: Exception) -> Refusal:
     """Create the rejection after a send that did not begin, as the latch proves."""
     if isinstance(error, Obstructed) and error.code is ErrorCode.DEADLINE_EXCEEDED:
         return run.latch.refuse(error.code, "the deadline has passed", status=504)
--- a/src/guavamast/attempts.py
+++ b/src/guavamast/attempts.py
@@ -13,10 +13,10 @@
     from guavamast.clocks import Clock
     from guavamast.endpoint_sender import EndpointSender
     from guavamast.errors import SendLatch
-    from guavamast.operations import Answer
-    from guavamast.send_gates import PauseWatch, SendGate
+    from guavamast.fleet_objects import Endpoint
+    from guavamast.operations import Response
+    from guavamast.send_gates import PauseDetector, SendGate
     from guavamast.service_call import ServiceCall, SlotGrant
-    from guavamast.world import Endpoint
 
 
 class Obstructed(GuavamastError):
@@ -24,7 +24,7 @@
 
 
 @dataclass(slots=True, kw_only=True)
-class Stop:
+class StopFlag:
     """Flag set once the caller has its response; nothing may be sent for it after that."""
 
     is_set: bool = False
@@ -43,7 +43,7 @@
     __slots__ = ("_clock", "_gate", "_pauses", "_sender")
 
     def __init__(
-        self, *, sender: EndpointSender, gate: SendGate, pauses: PauseWatch, clock: Clock
+        self, *, sender: EndpointSender, gate: SendGate, pauses: PauseDetector, clock: Clock
     ) -> None:
         self._sender = sender
         self._gate = gate
@@ -60,8 +60,14 @@
             raise Obstructed(obstacle, "the deadline or the configuration forbids the send")
 
     async def send(
-        self, call: ServiceCall, grant: SlotGrant, latch: SendLatch, stop: Stop, *, timeout_s: float
-    ) -> Answer:
+        self,
+        call: ServiceCall,
+        grant: SlotGrant,
+        latch: SendLatch,
+        stop: StopFlag,
+        *,
+        timeout_s: float,
+    ) -> Response:
         """Send a call to the grant's endpoint and release the grant.
 
         Failure: a process is paused between its checks and the send for longer than any timeout,
--- a/src/guavamast/capacity.py
+++ b/src/guavamast/capacity.py
@@ -5,10 +5,10 @@
 from dataclasses import dataclass
 from typing import TYPE_CHECKING
 
-from guavamast.world import EndpointKind, EndpointState
+from guavamast.fleet_objects import EndpointKind, EndpointState
 
 if TYPE_CHECKING:
-    from guavamast.world import Configuration, Endpoint
+    from guavamast.fleet_objects import Configuration, Endpoint
 
 
 @dataclass(frozen=True, slots=True, kw_only=True)
--- a/src/guavamast/changes.py
+++ b/src/guavamast/changes.py
@@ -7,12 +7,12 @@
 from enum import StrEnum
 from typing import TYPE_CHECKING, Any
 
-from guavamast.world import EndpointState
+from guavamast.fleet_objects import EndpointState
 
 if TYPE_CHECKING:
     from collections.abc import Iterator
 
-    from guavamast.world import Configuration
+    from guavamast.fleet_objects import Configuration
 
 
 class ChangeKind(StrEnum):
--- a/src/guavamast/class_queues.py
+++ b/src/guavamast/class_queues.py
@@ -11,8 +11,8 @@
 
 if TYPE_CHECKING:
     from guavamast._round_robin import WaitingAsk
+    from guavamast.fleet_objects import ServiceClass
     from guavamast.slots import Ask
-    from guavamast.world import ServiceClass
 
 DEFAULT_QUEUE_LIMIT: Final = 100
 """Maximum number of waiting asks of a class that is not configured."""
--- a/src/guavamast/cli.py
+++ b/src/guavamast/cli.py
@@ -13,7 +13,7 @@
 from guavamast.commands import COMMANDS, EXIT_FAILED, EXIT_OK, EXIT_USAGE, Task, run_task
 from guavamast.errors import ErrorCode, GuavamastError
 from guavamast.findings import FindingsError
-from guavamast.schema import suggest
+from guavamast.schema import format_suggestion
 
 if TYPE_CHECKING:
     from collections.abc import Sequence
@@ -75,7 +75,7 @@
         raise GuavamastError(ErrorCode.USAGE, "-- is not supported")
     # With the whole dictionary, fire would also accept names of its methods as commands.
     if argv[0] not in COMMANDS:
-        hint = suggest(argv[0], COMMANDS)
+        hint = format_suggestion(argv[0], COMMANDS)
         raise GuavamastError(ErrorCode.USAGE, f"{argv[0]!r}{hint}")
     words = [f"{word}=True" if word in _FLAGS else word for word in argv[1:]]
     # fire prints a coloured report of many lines before it raises.
--- a/src/guavamast/commands.py
+++ b/src/guavamast/commands.py
@@ -111,7 +111,7 @@
     def act() -> int:
         from dataclasses import asdict
 
-        from guavamast.checks import check_files
+        from guavamast.file_checks import check_files
 
         if not files:
             raise GuavamastError(ErrorCode.USAGE, "check requires at least one file")
@@ -170,9 +170,9 @@
     """Plan a drain: drain endpoint|instance NAME --via URL --token-file F [--undo] [--json]."""
 
     async def call(client: OperatorClient) -> dict[str, Any]:
+        from guavamast.fleet_objects import EndpointState
         from guavamast.plans import build_version_comment
-        from guavamast.states import set_state
-        from guavamast.world import EndpointState
+        from guavamast.state_edits import set_state
 
         if what not in ("endpoint", "instance"):
             raise GuavamastError(ErrorCode.USAGE, f"expected endpoint or instance, got {what!r}")
@@ -292,15 +292,15 @@
     """Summarize the outcomes of requests from log lines: report FILE... [--by route|second|...]."""
 
     def act() -> int:
-        from guavamast.log_report import GROUPINGS, read_lines, show_report, tally
+        from guavamast.log_report import GROUPINGS, count_outcomes, decode_lines, format_report
 
         if by not in GROUPINGS or not files:
             raise GuavamastError(ErrorCode.USAGE, f"report FILE... --by {'|'.join(GROUPINGS)}")
         entries = []
         for name in files:
             with open(name, encoding="utf-8", errors="replace") as file:
-                entries += read_lines(file)
-        print(show_report(tally(entries, by=by)))
+                entries += decode_lines(file)
+        print(format_report(count_outcomes(entries, by=by)))
         return EXIT_OK
 
     return Task(act)
--- a/src/guavamast/repairs.py
+++ b/src/guavamast/deferred_writes.py
@@ -20,11 +20,11 @@
 BACKOFF_LONGEST_S: Final = 10.0
 """Maximum delay between retries, so that an outage of an hour costs 360 attempts per row."""
 
-REPAIR_LIMIT: Final = 1000
+MAX_DEFERRED_WRITES: Final = 1000
 """Maximum of pending writes; new non-idempotent calls are rejected while it is reached."""
 
 
-class Repairs:
+class DeferredWrites:
     """Retries idempotent writes in the background.
 
     Pending writes are lost with the process. Their rows stay ``started``, which is safe: retries
@@ -45,7 +45,7 @@
     @property
     def is_full(self) -> bool:
         """Whether new calls must be rejected because too many writes are pending."""
-        return len(self._tasks) >= REPAIR_LIMIT
+        return len(self._tasks) >= MAX_DEFERRED_WRITES
 
     def add(self, write: Callable[[], Awaitable[None]]) -> None:
         """Retry a write until it succeeds.
--- a/src/guavamast/demo.py
+++ b/src/guavamast/demo.py
@@ -49,7 +49,7 @@
     return json.dumps(body).encode()
 
 
-async def confirm_text(url: str, text: str) -> int:
+async def apply_configuration(url: str, text: str) -> int:
     """Propose and confirm a configuration; return its version."""
     planned = await post(f"{url}/v1/plans", text.encode(), key=OPERATOR_TOKEN)
     if planned.code != 201:
@@ -85,7 +85,7 @@
     fleet = LocalFleet()
     await fleet.start()
     try:
-        version = await confirm_text(fleet.url, fleet.make_text())
+        version = await apply_configuration(fleet.url, fleet.make_text())
         await fleet.wait_for_version(version)
         print(f"configuration {version} is in force")
         await run_requests(fleet)
--- a/src/guavamast/estimates.py
+++ b/src/guavamast/estimates.py
@@ -7,7 +7,7 @@
 from collections import OrderedDict
 from typing import TYPE_CHECKING, Final
 
-from guavamast.world import EndpointKind
+from guavamast.fleet_objects import EndpointKind
 
 if TYPE_CHECKING:
     from guavamast.slots import Ask, Release
--- a/src/guavamast/fleet.py
+++ b/src/guavamast/fleet.py
@@ -9,6 +9,18 @@
 
 from guavamast.findings import Finding, FindingsError
 from guavamast.fleet_checks import check_fleet
+from guavamast.fleet_objects import (
+    CallRule,
+    Configuration,
+    Contract,
+    Endpoint,
+    EndpointKind,
+    EndpointState,
+    Fencing,
+    Model,
+    Organisation,
+    ServiceClass,
+)
 from guavamast.inifile import read_ini
 from guavamast.schema import Key, SchemaReader, SectionKind
 from guavamast.value_types import (
@@ -24,18 +36,6 @@
     Url,
     create_choice,
 )
-from guavamast.world import (
-    CallRule,
-    Configuration,
-    Contract,
-    Endpoint,
-    EndpointKind,
-    EndpointState,
-    Fencing,
-    Model,
-    Organisation,
-    ServiceClass,
-)
 
 if TYPE_CHECKING:
     from collections.abc import Callable, Iterable
--- a/src/guavamast/fleet_checks.py
+++ b/src/guavamast/fleet_checks.py
@@ -6,15 +6,15 @@
 
 from guavamast.capacity import compute_capacities
 from guavamast.findings import FindingCode
-from guavamast.schema import suggest
-from guavamast.world import EndpointKind
+from guavamast.fleet_objects import EndpointKind
+from guavamast.schema import format_suggestion
 
 if TYPE_CHECKING:
     from collections.abc import Iterable
 
     from guavamast.capacity import ClassCapacity
+    from guavamast.fleet_objects import Configuration
     from guavamast.schema import ParsedSection, SchemaReader
-    from guavamast.world import Configuration
 
 _SHARE_TOLERANCE: Final = 1e-9
 """Allows for rounding: decimal shares with an exact sum of 1 may sum to slightly more as floats."""
@@ -63,7 +63,9 @@
     for section in organisations:
         for kind, name in section.values.get("classes", {}).items():
             if name not in classes:
-                message = f"classes: [class {name}] of kind {kind}{suggest(name, classes)}"
+                message = (
+                    f"classes: [class {name}] of kind {kind}{format_suggestion(name, classes)}"
+                )
                 reader.add(section.find_line("classes"), FindingCode.UNDEFINED_REFERENCE, message)
 
 
@@ -79,7 +81,7 @@
             _check_kind_keys(reader, section, required="service", rejected="models")
         for name in section.values.get("models", ()):
             if name not in models:
-                message = f"models: [model {name}]{suggest(name, models)}"
+                message = f"models: [model {name}]{format_suggestion(name, models)}"
                 reader.add(section.find_line("models"), FindingCode.UNDEFINED_REFERENCE, message)
 
 
@@ -102,7 +104,9 @@
     for section in reader.list_sections("call"):
         service = section.name.partition(".")[0]
         if service not in names:
-            message = f"service {service} of [call {section.name}]{suggest(service, names)}"
+            message = (
+                f"service {service} of [call {section.name}]{format_suggestion(service, names)}"
+            )
             reader.add(section.line, FindingCode.UNDEFINED_REFERENCE, message)
 
 
--- a/src/guavamast/fleet_handlers.py
+++ b/src/guavamast/fleet_handlers.py
@@ -8,7 +8,7 @@
 from guavamast.callers import CallerHandler
 
 if TYPE_CHECKING:
-    from guavamast.world import Instance
+    from guavamast.fleet_objects import Instance
 
 
 class ModelsHandler(CallerHandler):
--- a/src/guavamast/fleet_reader.py
+++ b/src/guavamast/fleet_reader.py
@@ -16,14 +16,14 @@
 
 if TYPE_CHECKING:
     from guavamast.fleet import SectionObject
-    from guavamast.world import Configuration
+    from guavamast.fleet_objects import Configuration
 
 _HEADER: Final = re.compile(r"^(?=\[)", re.MULTILINE)
 """Start of a section: a line with a bracket in its first column. A value can't contain such a
 line, as its continuation lines are indented."""
 
 
-class AcceptedReader:
+class IncrementalReader:
     """Reads successive accepted versions and parses only the sections that changed.
 
     Parsing a text with thousands of organisations takes a second. Without this, each change,
--- a/src/guavamast/forecasts.py
+++ b/src/guavamast/forecasts.py
@@ -15,12 +15,12 @@
 )
 
 if TYPE_CHECKING:
+    from guavamast.fleet_objects import EndpointKind
     from guavamast.grants import Grant, GrantTable
     from guavamast.queues import WaitingQueue
     from guavamast.slots import Ask, Release
-    from guavamast.world import EndpointKind
 
-PAUSE_S: Final = 0.05
+PAUSE_DELAY_S: Final = 0.05
 """Seconds that an engine takes to release the slot of a paused request."""
 OVERDUE_SHARE: Final = 0.1
 """Share of its age by which a run that exceeds its estimate is expected to take longer."""
@@ -111,7 +111,7 @@
                 # and the higher tier that waits for it never takes the slot. Adding a share of
                 # its age makes the next check find the end too late.
                 self.refresh(grant, now=now)
-                min_remaining_s = max(PAUSE_S, OVERDUE_SHARE * (now - grant.granted_at))
+                min_remaining_s = max(PAUSE_DELAY_S, OVERDUE_SHARE * (now - grant.granted_at))
                 grant.expected_end = max(grant.expected_end, now + min_remaining_s)
             insort(ends, float("-inf") if grant.paused else grant.expected_end)
         return ends
--- a/src/guavamast/hosted_endpoints.py
+++ b/src/guavamast/hosted_endpoints.py
@@ -4,15 +4,15 @@
 
 from typing import TYPE_CHECKING
 
-from guavamast.keeping import find_keeper
+from guavamast.keeper_selection import select_keeper
 from guavamast.order_loop import KeptEndpoints
 
 if TYPE_CHECKING:
     from collections.abc import Callable
 
+    from guavamast.fleet_objects import Configuration, Endpoint
     from guavamast.keeper_host import KeeperHost
     from guavamast.members import MembershipView
-    from guavamast.world import Configuration, Endpoint
 
 
 class HostedEndpoints(KeptEndpoints):
@@ -66,8 +66,8 @@
 
     def set_out_of_use(self, endpoint: str, *, out: bool) -> None:
         """Stop or resume granting slots of an endpoint."""
-        self._host.hold(endpoint, out=out)
+        self._host.set_out_of_use(endpoint, out_of_use=out)
 
     def _is_kept(self, endpoint: Endpoint, view: MembershipView) -> bool:
-        keeper = find_keeper(endpoint, view)
+        keeper = select_keeper(endpoint, view)
         return keeper is not None and keeper.instance.name == self._instance
--- a/src/guavamast/keeper_host.py
+++ b/src/guavamast/keeper_host.py
@@ -9,17 +9,17 @@
 from guavamast._slot_wire import decode_ask, decode_release, encode_event, encode_probe
 from guavamast.errors import ErrorCode
 from guavamast.estimates import LengthEstimates
+from guavamast.fleet_objects import EndpointKind, EndpointState
 from guavamast.keepers import EndpointKeeper
 from guavamast.slots import Granted, Refused, Release
-from guavamast.world import EndpointKind, EndpointState
 
 if TYPE_CHECKING:
     from collections.abc import Callable
 
     from guavamast import peer_pb2
+    from guavamast.fleet_objects import Configuration, Endpoint
     from guavamast.metrics import Metrics
     from guavamast.slots import Ask, KeeperEvent, LoadReport
-    from guavamast.world import Configuration, Endpoint
 
 CAUTION_S: Final = 1.0
 """Seconds of the cautious start: a new keeper lets entries present the slots that they hold."""
@@ -64,7 +64,7 @@
         self._keepers: dict[str, EndpointKeeper] = {}
         self._endpoints: dict[str, Endpoint] = {}
         """Each kept endpoint as last configured."""
-        self._cordoned: set[str] = set()
+        self._out_of_use: set[str] = set()
         """Endpoints that get no new work because of their orders."""
         self._used_at: dict[str, float] = {}
         self._streams: dict[str, EntryStream] = {}
@@ -84,26 +84,26 @@
             self._endpoints[name] = endpoint
             events = keeper.configure(endpoint=endpoint, configuration=configuration, now=now)
             self._deliver(events, now)
-        self.schedule()
+        self.schedule_tick()
 
-    def hold(self, name: str, *, out: bool) -> None:
+    def set_out_of_use(self, name: str, *, out_of_use: bool) -> None:
         """Stop new work for an endpoint while it loads, or resume it; a repeat does nothing.
 
         The hold persists across new configurations and the end of the keeper.
         """
-        if out == (name in self._cordoned):
+        if out_of_use == (name in self._out_of_use):
             return
-        self._cordoned ^= {name}
+        self._out_of_use ^= {name}
         if self._configuration is not None and name in self._keepers:
             self.configure(self._configuration)
 
     def count_running(self, name: str) -> int:
         """Return how many requests hold a slot of an endpoint, by the keeper in this process."""
         keeper = self._keepers.get(name)
-        return 0 if keeper is None else keeper.make_probe(now=self._clock()).in_flight
+        return 0 if keeper is None else keeper.build_probe(now=self._clock()).in_flight
 
     def _apply_cordon(self, endpoint: Endpoint) -> Endpoint:
-        if endpoint.name not in self._cordoned:
+        if endpoint.name not in self._out_of_use:
             return endpoint
         return replace(endpoint, state=EndpointState.LEAVING)
 
@@ -121,9 +121,9 @@
         now = self._clock()
         for keeper in list(self._keepers.values()):
             self._deliver(keeper.drop_entry(stream.entry, now=now), now)
-        self.schedule()
+        self.schedule_tick()
 
-    def take(self, message: peer_pb2.EntryMessage, *, entry: str) -> None:
+    def receive(self, message: peer_pb2.EntryMessage, *, entry: str) -> None:
         """Handle one message of an entry; call `schedule` after the last of a batch."""
         now = self._clock()
         kind = message.WhichOneof("body")
@@ -148,13 +148,13 @@
         if keeper is not None:
             now = self._clock()
             self._deliver(keeper.record_load(report, now=now), now)
-            self.schedule()
+            self.schedule_tick()
 
     def list_kept(self) -> list[str]:
         """Return the endpoints that were asked for lately; drop idle keepers."""
         now = self._clock()
         for name, used_at in list(self._used_at.items()):
-            idle = self._keepers[name].make_probe(now=now).in_flight == 0
+            idle = self._keepers[name].build_probe(now=now).in_flight == 0
             if idle and now - used_at > IDLE_LIFETIME_S:
                 self._drop_keeper(name)
         return list(self._keepers)
@@ -163,7 +163,7 @@
         """Send each entry with asks in flight the state of its endpoints."""
         now = self._clock()
         for name, entries in self._probe_subscribers.items():
-            message = encode_probe(self._keepers[name].make_probe(now=now))
+            message = encode_probe(self._keepers[name].build_probe(now=now))
             for entry in entries:
                 self._send(entry, message)
 
@@ -178,7 +178,7 @@
             return
         self._probe_subscribers.setdefault(ask.endpoint, set()).add(ask.entry)
         self._deliver(keeper.ask(ask, now=now), now)
-        self._send(ask.entry, encode_probe(keeper.make_probe(now=now)))
+        self._send(ask.entry, encode_probe(keeper.build_probe(now=now)))
 
     def _receive_present(self, message: peer_pb2.PresentMessage, entry: str, now: float) -> None:
         ask = decode_ask(message.ask, entry=entry, now=now)
@@ -238,7 +238,7 @@
         stream.outbox.put_nowait(message)
         return True
 
-    def schedule(self) -> None:
+    def schedule_tick(self) -> None:
         """Set the timer to the next wake-up of a keeper."""
         if self._timer is not None:
             self._timer.cancel()
@@ -254,4 +254,4 @@
         now = self._clock()
         for keeper in list(self._keepers.values()):
             self._deliver(keeper.tick(now=now), now)
-        self.schedule()
+        self.schedule_tick()
--- a/src/guavamast/keeping.py
+++ b/src/guavamast/keeper_selection.py
@@ -11,11 +11,11 @@
 from guavamast.rendezvous import rank
 
 if TYPE_CHECKING:
+    from guavamast.fleet_objects import Endpoint
     from guavamast.members import Member, MembershipView
-    from guavamast.world import Endpoint
 
 
-def find_keeper(endpoint: Endpoint, view: MembershipView) -> Member | None:
+def select_keeper(endpoint: Endpoint, view: MembershipView) -> Member | None:
     """Return the member that keeps an endpoint in this view.
 
     Members in the region of the endpoint's failure domain come first. If the link between regions
@@ -29,13 +29,13 @@
         The keeper, or None when no member serves.
     """
     serving = {member.instance.name: member for member in view.list_serving()}
-    region = find_region(endpoint, view)
+    region = lookup_region(endpoint, view)
     local = [name for name, member in serving.items() if _region_of(member) == region]
     ranked = rank(endpoint.name, local or serving)
     return serving[ranked[0]] if ranked else None
 
 
-def find_region(endpoint: Endpoint, view: MembershipView) -> str:
+def lookup_region(endpoint: Endpoint, view: MembershipView) -> str:
     """Return the region of an endpoint's failure domain; empty when no member is in it."""
     for member in view.members:
         if member.instance.failure_domain.name == endpoint.failure_domain:
--- a/src/guavamast/keepers.py
+++ b/src/guavamast/keepers.py
@@ -7,23 +7,23 @@
 
 from guavamast.errors import ErrorCode
 from guavamast.estimates import LengthEstimates, StragglerWeight
-from guavamast.forecasts import PAUSE_S, Forecast
+from guavamast.fleet_objects import EndpointKind, EndpointState
+from guavamast.forecasts import PAUSE_DELAY_S, Forecast
 from guavamast.grants import Grant, GrantTable
-from guavamast.kv_room import KvHeadroom
+from guavamast.kv_headroom import KvHeadroom
 from guavamast.queues import WaitingQueue
 from guavamast.slots import Granted, Paused, Probe, Queued, Refused
-from guavamast.world import EndpointKind, EndpointState
 
 if TYPE_CHECKING:
+    from guavamast.fleet_objects import Configuration, Endpoint
     from guavamast.queues import Start
     from guavamast.slots import Ask, KeeperEvent, LoadReport, Release
-    from guavamast.world import Configuration, Endpoint
 
 ORPHAN_GRACE_S: Final = 10.0
 """Seconds for which a grant stays valid after the stream of its entry has ended."""
 EXPIRY_GRACE_S: Final = 30.0
 """Seconds after its deadline at which a grant without a release expires."""
-PAUSE_LEAD_S: Final = 1.5 * PAUSE_S
+PAUSE_LEAD_S: Final = 1.5 * PAUSE_DELAY_S
 """Seconds before its target start at which an ask stops waiting for an expected release."""
 MIN_RETRY_AFTER_S: Final = 0.1
 MAX_RETRY_AFTER_S: Final = 60.0
@@ -197,7 +197,7 @@
         due = min(time for time in times if time is not None)
         return due if due != float("inf") else None
 
-    def make_probe(self, *, now: float) -> Probe:
+    def build_probe(self, *, now: float) -> Probe:
         """Return the state of this endpoint that the choice among candidates needs."""
         free = self._count_free(now)
         wait_s = max(0, len(self._queue) + 1 - free) / self._estimate_rate(now)
@@ -410,7 +410,7 @@
         service_class = self._configuration.classes.get(ask.class_name)
         tier = self._queue.find_tier(ask)
         if service_class is not None and ahead <= self._grants.count_pausable(tier):
-            wait_s = min(wait_s, service_class.first_token_ms / 1000.0 + PAUSE_S)
+            wait_s = min(wait_s, service_class.first_token_ms / 1000.0 + PAUSE_DELAY_S)
         return wait_s
 
     def _build_refusal(self, ask: Ask, code: ErrorCode, retry_after_s: float) -> Refused:
--- a/src/guavamast/leases.py
+++ b/src/guavamast/leases.py
@@ -11,6 +11,7 @@
 from dataclasses import dataclass
 from typing import TYPE_CHECKING, Any, Final
 
+from guavamast.fleet_objects import Fencing
 from guavamast.platform_client import (
     Check,
     PlatformAnswerLost,
@@ -18,7 +19,6 @@
     TransactionConflict,
     Write,
 )
-from guavamast.world import Fencing
 
 if TYPE_CHECKING:
     from collections.abc import Callable
@@ -30,7 +30,7 @@
 
 
 @dataclass(frozen=True, slots=True, kw_only=True)
-class LeaseTerms:
+class LeaseParameters:
     """Durations of a lease; all instances of a fleet use the same values."""
 
     duration_s: float = 30.0
@@ -66,7 +66,7 @@
     expires_at: float
     """Monotonic time of the holder, counted from before the row was written."""
 
-    def allows_sending(self, *, now: float, parameters: LeaseTerms) -> bool:
+    def allows_sending(self, *, now: float, parameters: LeaseParameters) -> bool:
         """Return whether an order may be sent now.
 
         Checked right before each send, with a margin in which that send ends. Without this, a
@@ -87,7 +87,7 @@
 
     __slots__ = ("_row", "_first_read_at", "_parameters")
 
-    def __init__(self, *, parameters: LeaseTerms) -> None:
+    def __init__(self, *, parameters: LeaseParameters) -> None:
         self._parameters = parameters
         self._row: LeaseRow | None = None
         self._first_read_at = 0.0
@@ -131,8 +131,8 @@
         platform: Stores the rows of leases.
         clock: Monotonic time.
         holder: Name of this instance, written to the rows for operators.
-        make_nonce: Returns a unique nonce.
-        terms: Durations of leases.
+        generate_nonce: Returns a unique nonce.
+        parameters: Durations of leases.
     """
 
     __slots__ = (
@@ -151,14 +151,14 @@
         platform: PlatformClient,
         clock: Clock,
         holder: str,
-        make_nonce: Callable[[], str],
-        terms: LeaseTerms,
+        generate_nonce: Callable[[], str],
+        parameters: LeaseParameters,
     ) -> None:
         self._platform = platform
         self._clock = clock
         self._holder = holder
-        self._make_nonce = make_nonce
-        self._parameters = terms
+        self._make_nonce = generate_nonce
+        self._parameters = parameters
         self._held: dict[str, HeldLease] = {}
         self._watches: dict[str, LeaseWatch] = {}
 
--- a/src/guavamast/limit_gate.py
+++ b/src/guavamast/limit_gate.py
@@ -16,9 +16,9 @@
     from guavamast import peer_pb2
     from guavamast.allotments import AllotmentAsk
     from guavamast.entry_state import EntryState
+    from guavamast.fleet_objects import Organisation
     from guavamast.limits import EntryLimiter
     from guavamast.slot_links import SlotLinks
-    from guavamast.world import Organisation
 
 RENEW_INTERVAL_S: Final = 0.5
 """Interval between checks for allotments that are due for renewal."""
@@ -67,7 +67,7 @@
         """End an admitted request."""
         self._limiter.release(organisation.name, now=self._clock())
 
-    def take_allotment(self, message: peer_pb2.AllotmentMessage) -> None:
+    def apply_allotment(self, message: peer_pb2.AllotmentMessage) -> None:
         """Apply a home's answer and wake the requests that wait for it."""
         allotment = decode_allotment(message)
         self._limiter.record_allotment(allotment, now=self._clock())
--- a/src/guavamast/limits.py
+++ b/src/guavamast/limits.py
@@ -19,8 +19,8 @@
 
 if TYPE_CHECKING:
     from guavamast.allotments import Allotment
+    from guavamast.fleet_objects import Organisation
     from guavamast.members import MembershipView
-    from guavamast.world import Organisation
 
 ASK_TIMEOUT_S: Final = 0.5
 """Time without an answer after which an entry falls back to its even share."""
--- a/src/guavamast/load_poller.py
+++ b/src/guavamast/load_poller.py
@@ -9,15 +9,15 @@
 
 from tornado.simple_httpclient import SimpleAsyncHTTPClient
 
+from guavamast.fleet_objects import EndpointKind
 from guavamast.log import get_logger
 from guavamast.slots import LoadReport
-from guavamast.world import EndpointKind
 
 if TYPE_CHECKING:
     from collections.abc import Callable
 
+    from guavamast.fleet_objects import Configuration, Endpoint
     from guavamast.keeper_host import KeeperHost
-    from guavamast.world import Configuration, Endpoint
 
 POLL_INTERVAL_S: Final = 1.0
 TIMEOUT_S: Final = 2.0
@@ -54,7 +54,7 @@
             await asyncio.gather(*(self._poll(engine) for engine in engines))
             await asyncio.sleep(POLL_INTERVAL_S)
 
-    def poll_soon(self, name: str) -> None:
+    def poll_now(self, name: str) -> None:
         """Poll one engine now; after a failure, the next regular poll tries again."""
         endpoint = self._get_configuration().endpoints.get(name)
         if endpoint is not None and endpoint.kind is EndpointKind.ENGINE:
--- a/src/guavamast/log_report.py
+++ b/src/guavamast/log_report.py
@@ -11,7 +11,7 @@
 from dataclasses import dataclass, field
 from typing import TYPE_CHECKING, Any, Final
 
-from guavamast.text_output import make_table
+from guavamast.text_output import format_table
 
 if TYPE_CHECKING:
     from collections.abc import Iterable
@@ -44,7 +44,7 @@
         return sum(self.outcomes.values())
 
 
-def read_lines(lines: Iterable[str]) -> list[dict[str, Any]]:
+def decode_lines(lines: Iterable[str]) -> list[dict[str, Any]]:
     """Return the decoded lines; text before the JSON object is left out.
 
     Lines that are no JSON object, such as those that a terminal wrapped, are skipped.
@@ -61,7 +61,7 @@
     return entries
 
 
-def tally(entries: list[dict[str, Any]], *, by: str) -> list[GroupTally]:
+def count_outcomes(entries: list[dict[str, Any]], *, by: str) -> list[GroupTally]:
     """Count the outcomes of requests by group.
 
     Args:
@@ -85,7 +85,7 @@
     return [groups[name] for name in sorted(groups)][:MAX_GROUPS]
 
 
-def show_report(groups: list[GroupTally]) -> str:
+def format_report(groups: list[GroupTally]) -> str:
     """Format the groups as a table, with requests in time before all other outcomes."""
     outcomes = sorted({name for group in groups for name in group.outcomes} - {IN_TIME})
     header = ["GROUP", "REQUESTS", "IN TIME", *(name.upper() for name in outcomes)]
@@ -96,7 +96,7 @@
         row += [group.outcomes[name] for name in outcomes]
         row += [_format_quantiles(group.first_events_s), _format_quantiles(group.pauses_s)]
         rows.append(row)
-    return make_table(header, rows)
+    return format_table(header, rows)
 
 
 def _collect_sends(entries: list[dict[str, Any]]) -> dict[str, dict[str, Any]]:
--- a/src/guavamast/member_codec.py
+++ b/src/guavamast/member_codec.py
@@ -4,9 +4,9 @@
 
 from typing import TYPE_CHECKING, Final
 
+from guavamast.fleet_objects import FailureDomain, Instance
 from guavamast.members import Member, MemberState
 from guavamast.peer_pb2 import MemberMessage
-from guavamast.world import FailureDomain, Instance
 
 if TYPE_CHECKING:
     from collections.abc import Iterable
--- a/src/guavamast/membership.py
+++ b/src/guavamast/membership.py
@@ -18,7 +18,7 @@
 if TYPE_CHECKING:
     from collections.abc import Iterable
 
-    from guavamast.world import Instance
+    from guavamast.fleet_objects import Instance
 
 LARGEST_PATIENCE: Final = 16.0
 """Factor at which the growth of a neighbour's allowed silence stops."""
--- a/src/guavamast/operation_store.py
+++ b/src/guavamast/operation_store.py
@@ -8,12 +8,12 @@
 from guavamast.errors import ErrorCode, GuavamastError
 from guavamast.operations import (
     OPERATIONS_TABLE,
-    Answer,
     Held,
     Insert,
     Operation,
     OperationKey,
     RecordedResponse,
+    Response,
     compute_body_digest,
     decide_claim,
     decode_operation,
@@ -162,7 +162,7 @@
         except TransactionConflict as error:
             raise PlatformUnavailable("the row was changed concurrently") from error
 
-    async def record(self, claim: Claim, response: Answer) -> None:
+    async def record(self, claim: Claim, response: Response) -> None:
         """Record the response of a call that ran; idempotent.
 
         Args:
@@ -183,7 +183,7 @@
             if found is not None and is_started_by(found, claim.operation.nonce):
                 raise PlatformUnavailable("the row has another version") from None
 
-    async def load_answer(self, recorded: RecordedResponse) -> Answer:
+    async def load_response(self, recorded: RecordedResponse) -> Response:
         """Return a recorded response with its body.
 
         Raises:
@@ -195,7 +195,7 @@
             body = await self._client.get_object(recorded.object_name)
         if body is None or compute_body_digest(body) != recorded.digest:
             raise AnswerMissing
-        return Answer(status=recorded.status, content_type=recorded.content_type, body=body)
+        return Response(status=recorded.status, content_type=recorded.content_type, body=body)
 
     async def delete_expired(self, prefix: str, *, retention_s: float) -> int:
         """Delete the expired rows of one prefix.
@@ -236,7 +236,7 @@
         )
         return versions[0]
 
-    async def _store_body(self, claim: Claim, response: Answer) -> RecordedResponse:
+    async def _store_body(self, claim: Claim, response: Response) -> RecordedResponse:
         """Store a large body as an object before the row names it."""
         inline = len(response.body) <= self._inline_limit
         name = "" if inline else f"operations-{claim.operation.nonce}"
--- a/src/guavamast/operations.py
+++ b/src/guavamast/operations.py
@@ -66,7 +66,7 @@
 
 
 @dataclass(frozen=True, slots=True, kw_only=True)
-class Answer:
+class Response:
     """A whole response of an endpoint."""
 
     status: int
@@ -101,7 +101,7 @@
     """Wall time by which a working holder has finished."""
     ended_at: float = 0.0
     """Wall time of ``done`` or ``not_run``."""
-    answer: RecordedResponse | None = None
+    response: RecordedResponse | None = None
 
 
 @dataclass(frozen=True, slots=True, kw_only=True)
@@ -164,8 +164,8 @@
         return Insert(version=0)
     if found.request_digest != wanted.request_digest:
         return KeyReused()
-    if found.state is OperationState.DONE and found.answer is not None:
-        return Recorded(response=found.answer)
+    if found.state is OperationState.DONE and found.response is not None:
+        return Recorded(response=found.response)
     if found.state is OperationState.NOT_RUN:
         return Insert(version=version)
     if found.nonce == wanted.nonce:
@@ -177,7 +177,7 @@
 
 def finish(operation: Operation, response: RecordedResponse, *, now: float) -> Operation:
     """Return the row of a call that ran, with its response."""
-    return replace(operation, state=OperationState.DONE, ended_at=now, answer=response)
+    return replace(operation, state=OperationState.DONE, ended_at=now, response=response)
 
 
 def mark_not_run(operation: Operation, *, now: float) -> Operation:
@@ -232,7 +232,7 @@
     return retention_s / 16 ** _count_sweep_digits(retention_s)
 
 
-def find_due_prefix(*, retention_s: float, now: float) -> str:
+def select_sweep_prefix(*, retention_s: float, now: float) -> str:
     """Return the prefix of the row keys whose old rows are to be deleted now.
 
     All instances derive it from their wall clocks; each prefix of the table is swept once per
@@ -252,7 +252,7 @@
 
 def encode_operation(operation: Operation) -> dict[str, Any]:
     """Return a row's value as stored in the table."""
-    response = operation.answer
+    response = operation.response
     return {
         "organisation": operation.key.organisation,
         "key": operation.key.key,
@@ -277,7 +277,7 @@
         started_at=value["started_at"],
         due_at=value["due_at"],
         ended_at=value["ended_at"],
-        answer=None if response is None else _decode_response(response),
+        response=None if response is None else _decode_response(response),
     )
 
 
--- a/src/guavamast/operator_client.py
+++ b/src/guavamast/operator_client.py
@@ -9,8 +9,8 @@
 
 from tornado.httpclient import HTTPRequest
 
+from guavamast.at_most_once_fetch import AnswerLost, NotSent, fetch_once
 from guavamast.errors import ErrorCode, GuavamastError, Outcome
-from guavamast.single_fetch import AnswerLost, NotSent, fetch_once
 from guavamast.value_types import Fault, Url
 
 REQUEST_TIMEOUT_S: Final = 30.0
--- a/src/guavamast/operators.py
+++ b/src/guavamast/operator_handlers.py
@@ -17,11 +17,11 @@
     from collections.abc import Callable
 
     from guavamast.clocks import Clock
+    from guavamast.fleet_objects import Configuration
     from guavamast.fleet_status import StatusSource
     from guavamast.operator_tokens import OperatorAuthenticator
     from guavamast.plan_store import PlanStore
     from guavamast.plans import Plan
-    from guavamast.world import Configuration
 
 MAX_PLAN_BYTES: Final = 8_388_608
 """Largest proposed configuration; ten thousand organisations take about 2 MB."""
@@ -56,7 +56,7 @@
     """Called with each configuration accepted via this instance, to distribute it at once."""
 
 
-def make_operator_routes(
+def build_operator_routes(
     *,
     store: PlanStore,
     authenticator: OperatorAuthenticator,
--- a/src/guavamast/operator_tokens.py
+++ b/src/guavamast/operator_tokens.py
@@ -31,11 +31,11 @@
         """
 
 
-class CallerKeys(ABC):
+class CallerKeyDirectory(ABC):
     """Lookup of the API keys of the organisations' callers."""
 
     @abstractmethod
-    def knows_key(self, key_sha256: str) -> bool:
+    def has_key(self, key_sha256: str) -> bool:
         """Return whether the key with this digest belongs to an organisation."""
 
 
@@ -52,7 +52,7 @@
 
     __slots__ = ("_callers", "_path")
 
-    def __init__(self, *, path: Path | None, callers: CallerKeys) -> None:
+    def __init__(self, *, path: Path | None, callers: CallerKeyDirectory) -> None:
         self._path = path
         self._callers = callers
 
@@ -65,7 +65,7 @@
         name = look_up_operator(token, self._read_lines())
         if name:
             return name
-        if self._callers.knows_key(hashlib.sha256(token.encode()).hexdigest()):
+        if self._callers.has_key(hashlib.sha256(token.encode()).hexdigest()):
             message = "a caller's key gives no access to the operators' interface"
             raise GuavamastError(ErrorCode.FORBIDDEN, message)
         raise GuavamastError(ErrorCode.UNAUTHENTICATED, "the token belongs to no operator")
--- a/src/guavamast/order_http.py
+++ b/src/guavamast/order_http.py
@@ -7,12 +7,12 @@
 
 from tornado.httpclient import HTTPRequest
 
+from guavamast.at_most_once_fetch import AnswerLost, NotSent, fetch_once
 from guavamast.orders import EndpointReport, OrderOutcome, OrderSender
-from guavamast.single_fetch import AnswerLost, NotSent, fetch_once
 
 if TYPE_CHECKING:
+    from guavamast.fleet_objects import Endpoint
     from guavamast.orders import Order
-    from guavamast.world import Endpoint
 
 ORDER_TIMEOUT_S: Final = 5.0
 """Longest wait for a response; shorter than a lease's margin, in which no order is sent."""
--- a/src/guavamast/order_giver.py
+++ b/src/guavamast/order_issuer.py
@@ -6,22 +6,27 @@
 
 from guavamast.orders import Order, OrderOutcome, OrderProgress, OrderStep
 from guavamast.platform_client import Check, PlatformAnswerLost, PlatformError, Write
-from guavamast.rollouts import DEFAULT_LIMITS, find_missing, find_wanted, may_take_out
+from guavamast.rollouts import (
+    DEFAULT_LIMITS,
+    list_models_to_load,
+    list_target_versions,
+    may_take_out,
+)
 
 if TYPE_CHECKING:
     from guavamast.clocks import Clock
-    from guavamast.leases import LeaseHolder, LeaseTerms
+    from guavamast.fleet_objects import Configuration, Endpoint
+    from guavamast.leases import LeaseHolder, LeaseParameters
     from guavamast.orders import OrderSender
     from guavamast.platform_client import PlatformClient, Row
     from guavamast.rollouts import RolloutLimits
-    from guavamast.world import Configuration, Endpoint
 
 ROLLOUT_TABLE: Final = "rollouts"
 OUT_OF_USE_KEY: Final = "out"
 """Key of the row that lists the fleet's endpoints that are out of use for orders."""
 
 
-class OrderGiver:
+class OrderIssuer:
     """Brings endpoints to the model versions of the configuration.
 
     Args:
@@ -29,7 +34,7 @@
         leases: Acquires the lease that an order needs.
         sender: Sends orders and reads the endpoints' reports.
         clock: Monotonic time.
-        terms: Durations of leases and orders.
+        parameters: Durations of leases and orders.
         limits: How many endpoints may be out of use at the same time.
     """
 
@@ -42,14 +47,14 @@
         leases: LeaseHolder,
         sender: OrderSender,
         clock: Clock,
-        terms: LeaseTerms,
+        parameters: LeaseParameters,
         limits: RolloutLimits = DEFAULT_LIMITS,
     ) -> None:
         self._platform = platform
         self._leases = leases
         self._sender = sender
         self._clock = clock
-        self._parameters = terms
+        self._parameters = parameters
         self._limits = limits
         self._progress: dict[str, OrderProgress] = {}
 
@@ -86,7 +91,7 @@
         report = await self._sender.read_report(endpoint)
         if report is None:
             return OrderStep.WAIT
-        missing = find_missing(find_wanted(configuration, endpoint), report.models)
+        missing = list_models_to_load(list_target_versions(configuration, endpoint), report.models)
         progress = self._progress.setdefault(endpoint.name, OrderProgress())
         now = self._clock.read_monotonic()
         step = progress.decide(reported=report.models, missing=missing, running=running, now=now)
--- a/src/guavamast/order_loop.py
+++ b/src/guavamast/order_loop.py
@@ -7,14 +7,14 @@
 from typing import TYPE_CHECKING, Final
 
 from guavamast.errors import GuavamastError
+from guavamast.fleet_objects import EndpointKind
 from guavamast.log import get_logger
 from guavamast.orders import OrderStep
-from guavamast.world import EndpointKind
 
 if TYPE_CHECKING:
     from guavamast.clocks import Clock
-    from guavamast.order_giver import OrderGiver
-    from guavamast.world import Configuration, Endpoint
+    from guavamast.fleet_objects import Configuration, Endpoint
+    from guavamast.order_issuer import OrderIssuer
 
 ORDER_INTERVAL_S: Final = 5.0
 """Interval between reads of each kept engine's report while all run the wanted versions."""
@@ -46,15 +46,15 @@
     """Periodically takes one step for each kept engine.
 
     Args:
-        giver: Decides on steps and sends orders.
+        issuer: Decides on steps and sends orders.
         kept: The endpoints that the dispatcher keeps.
         clock: Waits between rounds.
     """
 
     __slots__ = ("_clock", "_giver", "_kept", "_previous")
 
-    def __init__(self, *, giver: OrderGiver, kept: KeptEndpoints, clock: Clock) -> None:
-        self._giver = giver
+    def __init__(self, *, issuer: OrderIssuer, kept: KeptEndpoints, clock: Clock) -> None:
+        self._giver = issuer
         self._kept = kept
         self._clock = clock
         self._previous: set[str] = set()
--- a/src/guavamast/orders.py
+++ b/src/guavamast/orders.py
@@ -10,7 +10,7 @@
 if TYPE_CHECKING:
     from collections.abc import Mapping
 
-    from guavamast.world import Endpoint
+    from guavamast.fleet_objects import Endpoint
 
 _FIRST_RETRY_S: Final = 5.0
 """Delay after the first rejection; it doubles with each further one."""
--- a/src/guavamast/placement.py
+++ b/src/guavamast/placement.py
@@ -13,15 +13,15 @@
 from random import Random
 from typing import TYPE_CHECKING, Final
 
+from guavamast.fleet_objects import EndpointState
 from guavamast.prefix_ring import PrefixRing
-from guavamast.world import EndpointState
 
 if TYPE_CHECKING:
     from collections.abc import Iterable
 
+    from guavamast.fleet_objects import Configuration, Endpoint, Instance
     from guavamast.members import MembershipView
     from guavamast.slots import Probe
-    from guavamast.world import Configuration, Endpoint, Instance
 
 PROBE_LIFETIME_S: Final = 2.0
 """Age at which a probe is discarded."""
@@ -56,7 +56,7 @@
 
 
 @dataclass(frozen=True, slots=True, kw_only=True)
-class Wanted:
+class EndpointRequirements:
     """What a request requires of an endpoint."""
 
     tier: int
@@ -176,7 +176,7 @@
         delay = min(RETRY_DELAY_MAX_S, RETRY_DELAY_S * 2.0 ** min(record.failures - 1, 10))
         record.retry_at = now + delay * self._random.uniform(0.5, 1.0)
 
-    def choose(self, requirements: Wanted, *, now: float) -> list[str]:
+    def choose(self, requirements: EndpointRequirements, *, now: float) -> list[str]:
         """Return the names of the endpoints to ask, best first; empty when there is none.
 
         Args:
@@ -231,7 +231,7 @@
         return CROSS_REGION_COST_S
 
     def _collect_candidates(
-        self, pool: _Pool, affinity: list[str], requirements: Wanted, now: float
+        self, pool: _Pool, affinity: list[str], requirements: EndpointRequirements, now: float
     ) -> list[str]:
         """Return the usable candidates, from the whole pool when too few remain."""
         recent = list(pool.recent)
@@ -249,7 +249,9 @@
             return usable
         return [name for name in pool.names if name not in requirements.excluded]
 
-    def _filter_usable(self, names: Iterable[str], requirements: Wanted, now: float) -> list[str]:
+    def _filter_usable(
+        self, names: Iterable[str], requirements: EndpointRequirements, now: float
+    ) -> list[str]:
         return [
             name
             for name in dict.fromkeys(names)
@@ -257,7 +259,9 @@
             and self._can_try(self._records[name], requirements, now)
         ]
 
-    def _can_try(self, record: _EndpointRecord, requirements: Wanted, now: float) -> bool:
+    def _can_try(
+        self, record: _EndpointRecord, requirements: EndpointRequirements, now: float
+    ) -> bool:
         if record.failures == 0:
             return True
         return requirements.idempotent and now >= record.retry_at and now >= record.trial_until
@@ -269,7 +273,7 @@
             record.trial_until = now + TRIAL_TIMEOUT_S
 
     def _estimate_first_token_s(
-        self, name: str, affinity: list[str], requirements: Wanted, now: float
+        self, name: str, affinity: list[str], requirements: EndpointRequirements, now: float
     ) -> float:
         """Return the expected seconds until the first token."""
         record = self._records[name]
--- a/src/guavamast/plan_store.py
+++ b/src/guavamast/plan_store.py
@@ -9,7 +9,8 @@
 from guavamast.changes import compute_changes
 from guavamast.errors import ErrorCode, GuavamastError
 from guavamast.fleet import parse_configuration
-from guavamast.fleet_reader import AcceptedReader
+from guavamast.fleet_objects import Configuration
+from guavamast.fleet_reader import IncrementalReader
 from guavamast.plan_rows import (
     AUDIT_TABLE,
     CONFIRMATION_TABLE,
@@ -37,7 +38,6 @@
     PlatformUnavailable,
     TransactionConflict,
 )
-from guavamast.world import Configuration
 
 if TYPE_CHECKING:
     from collections.abc import Callable
@@ -124,7 +124,7 @@
     ) -> None:
         self._platform = platform
         self._make_id = make_id
-        self._reader = AcceptedReader()
+        self._reader = IncrementalReader()
         self._confirm_retry_delay_s = confirm_retry_delay_s
 
     async def read_head(self) -> Head:
--- a/src/guavamast/plans.py
+++ b/src/guavamast/plans.py
@@ -9,14 +9,14 @@
 
 from guavamast.capacity import compute_capacities
 from guavamast.changes import compute_changes, list_drains
-from guavamast.world import EndpointKind, EndpointState, Fencing
+from guavamast.fleet_objects import EndpointKind, EndpointState, Fencing
 
 if TYPE_CHECKING:
     from collections.abc import Iterator
 
     from guavamast.capacity import ClassCapacity
     from guavamast.changes import Change
-    from guavamast.world import Configuration, Endpoint
+    from guavamast.fleet_objects import Configuration, Endpoint
 
 
 _VERSION_COMMENT: Final = re.compile(r"# version ([0-9]{1,10})\r?\n")
--- a/src/guavamast/platform/demo.py
+++ b/src/guavamast/platform/demo.py
@@ -10,7 +10,14 @@
 from guavamast.platform.runner import run_node
 from guavamast.platform.settings import decode_settings
 from guavamast.platform.standins.engine import EngineFault
-from guavamast.platform.standins.site import CALLS, HOST, KEY, LOOKUPS, RESUMABLE, Site
+from guavamast.platform.standins.site import (
+    CALL_PREFIX,
+    HOST,
+    KEY,
+    LOOKUP_PREFIX,
+    RESUMABLE_PREFIX,
+    Site,
+)
 from guavamast.relay.http_connection import ConnectionLost, HttpConnection
 
 if TYPE_CHECKING:
@@ -20,7 +27,9 @@
 """Seconds within which the instance must become ready."""
 
 
-async def ask(address: SocketAddress, target: str, *, request_id: str, body: bytes = b"") -> str:
+async def send_request(
+    address: SocketAddress, target: str, *, request_id: str, body: bytes = b""
+) -> str:
     """Send one request as a caller and return the response's status and body."""
     connection = await HttpConnection.open(address.ip, address.port, timeout_s=1.0)
     headers = [("Host", HOST), ("Authorization", f"Bearer {KEY}"), ("X-Attempt-Id", request_id)]
@@ -40,7 +49,7 @@
     async with asyncio.timeout(READY_TIMEOUT_S):
         while True:
             try:
-                if (await ask(address, "/v1/ready", request_id="")).startswith("200"):
+                if (await send_request(address, "/v1/ready", request_id="")).startswith("200"):
                     return
             except ConnectionLost:
                 await asyncio.sleep(0.05)
@@ -51,17 +60,20 @@
     """Start the site, send the requests and print the responses."""
     site = Site()
     await site.start()
-    settings = decode_settings(site.make_settings("demo"), file="demo")
+    settings = decode_settings(site.build_settings("demo"), file="demo")
     with open(os.devnull, "wb") as log:
         instance_task = asyncio.create_task(run_node(settings, log_descriptor=log.fileno()))
         assert settings.readiness is not None
         await wait_ready(settings.readiness)
         callers = settings.callers
-        print("non-idempotent call:", await ask(callers, CALLS + "1", request_id="a", body=b"pay"))
-        print("lookup:", await ask(callers, LOOKUPS + "1", request_id="b"))
+        print(
+            "non-idempotent call:",
+            await send_request(callers, CALL_PREFIX + "1", request_id="a", body=b"pay"),
+        )
+        print("lookup:", await send_request(callers, LOOKUP_PREFIX + "1", request_id="b"))
         site.engines["pool-0"].fault = EngineFault.CUT
         site.engines["pool-1"].fault = EngineFault.CUT
-        stream = asyncio.create_task(ask(callers, RESUMABLE + "1", request_id="c"))
+        stream = asyncio.create_task(send_request(callers, RESUMABLE_PREFIX + "1", request_id="c"))
         while not any(engine.runs for name, engine in site.engines.items() if "pool" in name):
             await asyncio.sleep(0.005)
         for engine in site.engines.values():
--- a/src/guavamast/platform/runner.py
+++ b/src/guavamast/platform/runner.py
@@ -4,7 +4,7 @@
 
 from typing import TYPE_CHECKING
 
-from guavamast.platform.questions import (
+from guavamast.platform.query_handlers import (
     AddressQueryHandler,
     MetricsQueryHandler,
     ReadinessQueryHandler,
--- a/src/guavamast/platform/standins/engine.py
+++ b/src/guavamast/platform/standins/engine.py
@@ -9,7 +9,7 @@
 
 import h11
 
-EVENTS = 6
+EVENTS_PER_STREAM = 6
 """Default number of events in a stream."""
 EVENT_INTERVAL_S = 0.02
 KEEP_ALIVE_S = 5
@@ -60,9 +60,9 @@
     def __init__(self, *, engine_id: str) -> None:
         self.engine_id = engine_id
         self.fault = EngineFault.NONE
-        self.work_s = 0.0
+        self.processing_s = 0.0
         """Seconds that a request takes before its response begins."""
-        self.events = EVENTS
+        self.events = EVENTS_PER_STREAM
         """Number of events in each stream."""
         self.runs: list[Run] = []
         self.abandoned = 0
@@ -155,7 +155,7 @@
             return await self._send(http, writer, 503, [("X-Not-Executed", "1")], b"")
         run = self._record_run(request, body)
         request_id = run.request_id
-        await asyncio.sleep(self.work_s)
+        await asyncio.sleep(self.processing_s)
         if self.fault is EngineFault.LOSE:
             return False
         response_id = "other" if self.fault is EngineFault.CROSSED else request_id
@@ -186,7 +186,7 @@
         writer.write(http.send(h11.Response(status_code=200, headers=headers)) or b"")
         first = int(run.headers.get("last-event-id", "0")) + 1
         for number in range(first, self.events + 1):
-            data = make_event(run.request_id, number)
+            data = encode_event(run.request_id, number)
             if self.fault is EngineFault.CUT and number == 3:
                 writer.write(http.send(h11.Data(data=data[:9])) or b"")
                 await writer.drain()
@@ -215,6 +215,6 @@
         return True
 
 
-def make_event(request_id: str, number: int) -> bytes:
+def encode_event(request_id: str, number: int) -> bytes:
     """Return an event of a stream; all engines send the same bytes."""
     return f"id: {number}\ndata: {request_id}-{number}\n\n".encode()
--- a/src/guavamast/platform/standins/site.py
+++ b/src/guavamast/platform/standins/site.py
@@ -12,13 +12,13 @@
 
 HOST = "portal.example"
 KEY = "site-caller-key"
-CALLS = "/call/"
+CALL_PREFIX = "/call/"
 """Path prefix of non-idempotent calls."""
-LOOKUPS = "/lookup/"
+LOOKUP_PREFIX = "/lookup/"
 """Path prefix of idempotent calls."""
-STREAMS = "/stream/"
+STREAM_PREFIX = "/stream/"
 """Path prefix of streams that can't be resumed."""
-RESUMABLE = "/resumable/stream/"
+RESUMABLE_PREFIX = "/resumable/stream/"
 """Path prefix of streams that can be resumed."""
 
 
@@ -32,13 +32,13 @@
         self._version = 0
         self._reserved_sockets: list[socket.socket] = []
         self.keys = [KEY]
-        self.more_keys: dict[str, str] = {}
+        self.other_keys: dict[str, str] = {}
         """Keys of further organisations by name."""
         self.route_services = {
-            CALLS: "portal",
-            LOOKUPS: "portal",
-            STREAMS: "pool",
-            RESUMABLE: "pool",
+            CALL_PREFIX: "portal",
+            LOOKUP_PREFIX: "portal",
+            STREAM_PREFIX: "pool",
+            RESUMABLE_PREFIX: "pool",
         }
         """Service of each route by path prefix."""
         self.bounds: dict[str, Any] = {
@@ -56,7 +56,7 @@
     async def start(self, *, pool: int = 2, portal: int = 2) -> None:
         """Start the store and the given numbers of engines of each service."""
         self.store_port = self.store.listen()
-        self.configure()
+        self.publish_configuration()
         for number in range(pool):
             await self.add_engine(f"pool-{number}", "pool")
         for number in range(portal):
@@ -75,10 +75,12 @@
         engine = EngineStandIn(engine_id=engine_id)
         port = await engine.listen()
         self.engines[engine_id] = engine
-        self.list_engine(engine_id, service, port)
+        self.register_engine(engine_id, service, port)
         return engine
 
-    def list_engine(self, engine_id: str, service: str, port: int, *, state: str = "ready") -> None:
+    def register_engine(
+        self, engine_id: str, service: str, port: int, *, state: str = "ready"
+    ) -> None:
         """Write an engine's row to the store."""
         fields = {
             "service": service,
@@ -90,14 +92,20 @@
         }
         self.store.put("servers", engine_id, fields)
 
-    def configure(self) -> None:
+    def publish_configuration(self) -> None:
         """Write the next version of the configuration."""
         self._version += 3
         routes = [
-            _build_route(CALLS, "non_idempotent", self.route_services[CALLS], 2),
-            _build_route(LOOKUPS, "idempotent", self.route_services[LOOKUPS], 2),
-            _build_route(STREAMS, "streaming", self.route_services[STREAMS], 1),
-            _build_route(RESUMABLE, "streaming", self.route_services[RESUMABLE], 2, resumable=True),
+            _build_route(CALL_PREFIX, "non_idempotent", self.route_services[CALL_PREFIX], 2),
+            _build_route(LOOKUP_PREFIX, "idempotent", self.route_services[LOOKUP_PREFIX], 2),
+            _build_route(STREAM_PREFIX, "streaming", self.route_services[STREAM_PREFIX], 1),
+            _build_route(
+                RESUMABLE_PREFIX,
+                "streaming",
+                self.route_services[RESUMABLE_PREFIX],
+                2,
+                resumable=True,
+            ),
         ]
         services = [
             {"name": "pool", "max_connections": 100, "engine": {"kv_capacity_tokens": 100_000}},
@@ -121,11 +129,12 @@
     def _list_organisations(self) -> list[dict[str, Any]]:
         first = {"name": "bakery", "api_keys": list(self.keys), "priority": 1}
         more = [
-            {"name": name, "api_keys": [key], "priority": 1} for name, key in self.more_keys.items()
+            {"name": name, "api_keys": [key], "priority": 1}
+            for name, key in self.other_keys.items()
         ]
         return [first, *more]
 
-    def make_settings(self, name: str) -> dict[str, Any]:
+    def build_settings(self, name: str) -> dict[str, Any]:
         """Return the settings of an instance, with ports that stay reserved for it."""
         sockets = [*(_reserve_port() for _ in range(3)), *_reserve_pair()]
         self._reserved_sockets += sockets
--- a/src/guavamast/platform_http.py
+++ b/src/guavamast/platform_http.py
@@ -8,6 +8,7 @@
 
 from tornado.httpclient import HTTPRequest
 
+from guavamast.at_most_once_fetch import AnswerLost, NotSent, fetch_once
 from guavamast.platform_client import (
     ListedInstance,
     PlatformAnswerLost,
@@ -16,7 +17,6 @@
     Row,
     TransactionConflict,
 )
-from guavamast.single_fetch import AnswerLost, NotSent, fetch_once
 
 if TYPE_CHECKING:
     from tornado.httpclient import HTTPResponse
--- a/src/guavamast/queues.py
+++ b/src/guavamast/queues.py
@@ -16,14 +16,14 @@
 if TYPE_CHECKING:
     from collections.abc import Iterator
 
+    from guavamast.fleet_objects import Configuration
     from guavamast.slots import Ask
-    from guavamast.world import Configuration
 
 CREDIT_DUE: Final = 1.0
 """Credit in starts from which a class gets a start if no higher tier misses a target by it."""
 CREDIT_PRESSING: Final = 1.5
 """Credit from which only the deadlines of higher tiers, not their targets, delay the start."""
-DEBT_CEILING: Final = 2.0
+MAX_CREDIT: Final = 2.0
 """Credit at which a class gets a start in any case; also the upper bound of the credit."""
 MAX_WORK: Final = 16.0
 """Credit that one start by share may cost; bounds the wait of a class of long requests."""
@@ -258,7 +258,7 @@
         if start.by_share:
             queue.shares_running = max(0, queue.shares_running - 1)
             if not cost:
-                queue.credit = min(DEBT_CEILING, queue.credit + start.charged)
+                queue.credit = min(MAX_CREDIT, queue.credit + start.charged)
 
     def list_classes(self) -> list[ClassQueue]:
         """Return all classes, also those without waiting asks."""
@@ -287,7 +287,7 @@
         return None
 
     def _can_start_by_share(self, queue: ClassQueue, rate: float, now: float) -> bool:
-        if queue.credit >= DEBT_CEILING:
+        if queue.credit >= MAX_CREDIT:
             return True
         higher = [other for other in self._list_waiting() if other.tier < queue.tier]
         if queue.credit < CREDIT_PRESSING and any(_misses_target(c, rate, now) for c in higher):
@@ -331,7 +331,7 @@
             started.credit = min(started.credit, max(0.0, started.credit - 1.0))
         for queue in self._list_waiting():
             if queue is not started:
-                queue.credit = min(DEBT_CEILING, queue.credit + queue.share)
+                queue.credit = min(MAX_CREDIT, queue.credit + queue.share)
 
     def _resolve_class_name(self, ask: Ask) -> str:
         # An entry may have a newer configuration than this process. An unknown class therefore uses
--- a/src/guavamast/relay/heartbeat_topology.py
+++ b/src/guavamast/relay/heartbeat_topology.py
@@ -5,7 +5,7 @@
 from typing import TYPE_CHECKING, Final
 
 from guavamast.relay.heartbeat_messages import InstanceState
-from guavamast.rendezvous import recall_weight
+from guavamast.rendezvous import compute_weight_cached
 
 if TYPE_CHECKING:
     from guavamast.relay.peers import Peer, Peers
@@ -140,7 +140,11 @@
     """Return the names of a domain's instances, the preferred aggregators first."""
     return sorted(
         records,
-        key=lambda name: (records[name].link_mbps, recall_weight(AGGREGATOR_RANK_KEY, name), name),
+        key=lambda name: (
+            records[name].link_mbps,
+            compute_weight_cached(AGGREGATOR_RANK_KEY, name),
+            name,
+        ),
         reverse=True,
     )
 
--- a/src/guavamast/rendezvous.py
+++ b/src/guavamast/rendezvous.py
@@ -17,7 +17,7 @@
 
 
 @lru_cache(maxsize=1024)
-def recall_weight(key: str, candidate: str) -> int:
+def compute_weight_cached(key: str, candidate: str) -> int:
     """Return the weight of a candidate from a cache, for few names that are looked up often."""
     return compute_weight(key, candidate)
 
--- a/src/guavamast/rollouts.py
+++ b/src/guavamast/rollouts.py
@@ -11,35 +11,35 @@
 from typing import TYPE_CHECKING, Final
 
 from guavamast.capacity import find_pool, list_kinds
-from guavamast.world import EndpointKind, EndpointState
+from guavamast.fleet_objects import EndpointKind, EndpointState
 
 if TYPE_CHECKING:
     from collections.abc import Iterable, Mapping
 
-    from guavamast.world import Configuration, Endpoint
+    from guavamast.fleet_objects import Configuration, Endpoint
 
 
 @dataclass(frozen=True, slots=True, kw_only=True)
 class RolloutLimits:
     """Limits on the speed of a rollout."""
 
-    loading: int = 2
+    max_loading: int = 2
     """Endpoints that may load at the same time: the weight store is rate-limited."""
-    floor: float = 0.6
+    min_slot_share: float = 0.6
     """Minimum share of the slots of each class, and of each model, that stays in use."""
 
 
 DEFAULT_LIMITS: Final = RolloutLimits()
 
 
-def find_wanted(configuration: Configuration, endpoint: Endpoint) -> dict[str, str]:
+def list_target_versions(configuration: Configuration, endpoint: Endpoint) -> dict[str, str]:
     """Return the target version of each model of an engine; none unless it is active."""
     if endpoint.kind is not EndpointKind.ENGINE or endpoint.state is not EndpointState.ACTIVE:
         return {}
     return {name: configuration.models[name].version for name in sorted(endpoint.models)}
 
 
-def find_missing(wanted: Mapping[str, str], reported: Mapping[str, str]) -> dict[str, str]:
+def list_models_to_load(wanted: Mapping[str, str], reported: Mapping[str, str]) -> dict[str, str]:
     """Return the target versions of the models to load, by name of the model.
 
     A model that an endpoint runs but does not need stays loaded: requests are not sent to it,
@@ -70,7 +70,7 @@
         load.
     """
     others = {name for name in out if name != endpoint.name and name in configuration.endpoints}
-    if len(others) >= limits.loading:
+    if len(others) >= limits.max_loading:
         return False
     groups = [group for group in _list_groups(configuration) if endpoint.name in group]
     return all(_keeps_enough_slots(group, others, endpoint.name, limits) for group in groups)
@@ -97,4 +97,4 @@
     if not out & set(group):
         return True
     remaining = sum(slots for name, slots in group.items() if name not in out and name != candidate)
-    return remaining >= limits.floor * sum(group.values())
+    return remaining >= limits.min_slot_share * sum(group.values())
--- a/src/guavamast/routes.py
+++ b/src/guavamast/routes.py
@@ -19,7 +19,7 @@
     from guavamast.callers import CallerServices
 
 
-def make_caller_routes(services: CallerServices) -> list[tuple[str, type, dict[str, Any]]]:
+def build_caller_routes(services: CallerServices) -> list[tuple[str, type, dict[str, Any]]]:
     """Return the callers' routes for chats, addresses, models and health."""
     arguments = {"services": services}
     return [
@@ -31,7 +31,7 @@
     ]
 
 
-def make_application(routes: list[Any], services: CallerServices) -> Application:
+def build_application(routes: list[Any], services: CallerServices) -> Application:
     """Return an application with these routes; unknown paths get an error with a code."""
     return Application(
         routes,
--- a/src/guavamast/schema.py
+++ b/src/guavamast/schema.py
@@ -99,7 +99,7 @@
         kind_word, name = _split_header(section.name)
         kind = self._kinds.get(kind_word)
         if kind is None:
-            hint = suggest(kind_word, self._kinds)
+            hint = format_suggestion(kind_word, self._kinds)
             self.add(section.line, FindingCode.UNKNOWN_SECTION, f"[{section.name}]{hint}")
             return
         if not self._check_name(section, kind, name):
@@ -108,7 +108,7 @@
         known = {key.name: key for key in kind.keys}
         for key_name, entry in section.entries.items():
             if key_name not in known:
-                hint = suggest(key_name, known)
+                hint = format_suggestion(key_name, known)
                 message = f"{key_name} in [{section.name}]{hint}"
                 self.add(entry.line, FindingCode.UNKNOWN_KEY, message)
                 continue
@@ -160,7 +160,7 @@
     return kind_word, name.strip()
 
 
-def suggest(word: str, known: Iterable[str]) -> str:
+def format_suggestion(word: str, known: Iterable[str]) -> str:
     """Return a hint with the most similar known name, or all known names when none is similar."""
     names = sorted(known)
     nearest = find_nearest(word, names)
--- a/src/guavamast/send_gates.py
+++ b/src/guavamast/send_gates.py
@@ -8,7 +8,7 @@
 from guavamast.errors import ErrorCode
 
 if TYPE_CHECKING:
-    from guavamast.world import Endpoint
+    from guavamast.fleet_objects import Endpoint
 
 PAUSE_THRESHOLD_S: Final = 1.5
 """Time between two ticks above which the process counts as paused; ticks come every 0.1 s."""
@@ -16,7 +16,7 @@
 SETTLE_S: Final = 1.0
 """Time after a pause without sends, in which the process reads the updates received meanwhile."""
 
-BEAT_INTERVAL_S: Final = 0.1
+TICK_INTERVAL_S: Final = 0.1
 
 
 class SendGate(ABC):
@@ -30,7 +30,7 @@
         """
 
 
-class PauseWatch:
+class PauseDetector:
     """Detects that the process was paused.
 
     Failure: an entry is paused for a minute between grant and send; meanwhile the endpoint is
@@ -45,7 +45,7 @@
         self._last_tick = now
         self._settled_at = now
 
-    def beat(self, *, now: float) -> None:
+    def tick(self, *, now: float) -> None:
         """Record that the event loop runs; call every ``BEAT_INTERVAL_S``."""
         if now - self._last_tick > PAUSE_THRESHOLD_S:
             self._settled_at = now + SETTLE_S
@@ -57,7 +57,7 @@
 
 
 def find_obstacle(
-    endpoint: Endpoint, *, deadline: float, gate: SendGate, pauses: PauseWatch, now: float
+    endpoint: Endpoint, *, deadline: float, gate: SendGate, pauses: PauseDetector, now: float
 ) -> ErrorCode | None:
     """Return why a call may not be sent right now, or None.
 
--- a/src/guavamast/service_call.py
+++ b/src/guavamast/service_call.py
@@ -9,7 +9,7 @@
 from guavamast.errors import ErrorCode, GuavamastError
 
 if TYPE_CHECKING:
-    from guavamast.world import CallRule, Endpoint
+    from guavamast.fleet_objects import CallRule, Endpoint
 
 
 @dataclass(frozen=True, slots=True, kw_only=True)
--- a/src/guavamast/service_calls.py
+++ b/src/guavamast/service_calls.py
@@ -25,7 +25,10 @@
 from dataclasses import dataclass
 from typing import TYPE_CHECKING, Final
 
-from guavamast.attempts import AttemptRunner, Obstructed, Stop
+from guavamast.at_most_once_fetch import AnswerLost, NotSent
+from guavamast.at_most_once_runs import PLATFORM_RETRY_AFTER_S, SEND_RETRY_AFTER_S, AtMostOnceRunner
+from guavamast.attempts import AttemptRunner, Obstructed, StopFlag
+from guavamast.deferred_writes import DeferredWrites
 from guavamast.errors import ErrorCode, Outcome, Refusal, SendLatch
 from guavamast.metrics import NoMetrics
 from guavamast.operation_store import AnswerMissing
@@ -34,10 +37,9 @@
     OperationKey,
     OperationState,
     compute_sweep_interval,
-    find_due_prefix,
+    select_sweep_prefix,
 )
 from guavamast.platform_client import PlatformUnavailable
-from guavamast.repairs import Repairs
 from guavamast.service_call import (
     RetryPolicy,
     ServiceCall,
@@ -45,19 +47,17 @@
     SlotSource,
     SlotUnavailable,
 )
-from guavamast.single_fetch import AnswerLost, NotSent
-from guavamast.single_runs import PLATFORM_RETRY_AFTER_S, SEND_RETRY_AFTER_S, SingleRunner
 
 if TYPE_CHECKING:
     from collections.abc import Callable, Coroutine
 
+    from guavamast.at_most_once_runs import AtMostOnceRun
     from guavamast.clocks import Clock
     from guavamast.endpoint_sender import EndpointSender
     from guavamast.metrics import Metrics
     from guavamast.operation_store import OperationStore
-    from guavamast.operations import Answer
-    from guavamast.send_gates import PauseWatch, SendGate
-    from guavamast.single_runs import SingleRun
+    from guavamast.operations import Response
+    from guavamast.send_gates import PauseDetector, SendGate
 
 __all__ = [
     "OperationView",
@@ -80,7 +80,7 @@
     state: OperationState
     started_at: float
     ended_at: float
-    response: Answer | None
+    response: Response | None
 
 
 def owns_every_prefix(prefix: str) -> bool:  # noqa: ARG001
@@ -120,7 +120,7 @@
         slots: SlotSource,
         sender: EndpointSender,
         gate: SendGate,
-        pauses: PauseWatch,
+        pauses: PauseDetector,
         retries: RetryPolicy,
         clock: Clock,
         metrics: Metrics | None = None,
@@ -131,8 +131,8 @@
         self._clock = clock
         self._attempts = AttemptRunner(sender=sender, gate=gate, pauses=pauses, clock=clock)
         metrics = metrics or NoMetrics()
-        self._repairs = Repairs(clock=clock, metrics=metrics)
-        self._single_runner = SingleRunner(
+        self._repairs = DeferredWrites(clock=clock, metrics=metrics)
+        self._single_runner = AtMostOnceRunner(
             store=store,
             slots=slots,
             attempts=self._attempts,
@@ -140,9 +140,9 @@
             clock=clock,
             metrics=metrics,
         )
-        self._tasks: set[asyncio.Task[Answer]] = set()
+        self._tasks: set[asyncio.Task[Response]] = set()
 
-    async def run(self, call: ServiceCall) -> Answer:
+    async def run(self, call: ServiceCall) -> Response:
         """Run a call and return its response.
 
         Raises:
@@ -180,24 +180,24 @@
         await self._repairs.drain()
 
     async def delete_expired(
-        self, *, retention_s: float, is_mine: Callable[[str], bool] = owns_every_prefix
+        self, *, retention_s: float, owns_prefix: Callable[[str], bool] = owns_every_prefix
     ) -> None:
         """Delete expired rows periodically, one part of the table at a time; never return.
 
         Args:
             retention_s: Age in seconds from which a finished row may be deleted.
-            is_mine: Whether this instance cleans up the part with that prefix. By default each
+            owns_prefix: Whether this instance cleans up the part with that prefix. By default each
                 instance scans the whole table once per retention period; it is harmless when two
                 instances clean up the same part.
         """
         while True:
-            prefix = find_due_prefix(retention_s=retention_s, now=self._clock.read_wall())
-            if is_mine(prefix):
+            prefix = select_sweep_prefix(retention_s=retention_s, now=self._clock.read_wall())
+            if owns_prefix(prefix):
                 with suppress(PlatformUnavailable):
                     await self._store.delete_expired(prefix, retention_s=retention_s)
             await self._clock.sleep(compute_sweep_interval(retention_s))
 
-    async def _wait_until_deadline(self, run: SingleRun) -> Answer:
+    async def _wait_until_deadline(self, run: AtMostOnceRun) -> Response:
         """Wait for a run, which continues on its own after the deadline.
 
         The run may outlast the caller, so that its response is recorded for the caller's next
@@ -214,32 +214,32 @@
         if task.done():
             return task.result()
         run.stop.is_set = True
-        raise self._single_runner.refuse_unread(
+        raise self._single_runner.create_unread_rejection(
             run, ErrorCode.DEADLINE_EXCEEDED, "the deadline has passed", status=504
         )
 
-    def _start(self, work: Coroutine[None, None, Answer]) -> asyncio.Task[Answer]:
+    def _start(self, work: Coroutine[None, None, Response]) -> asyncio.Task[Response]:
         task = asyncio.ensure_future(work)
         self._tasks.add(task)
         task.add_done_callback(self._discard_task)
         return task
 
-    def _discard_task(self, task: asyncio.Task[Answer]) -> None:
+    def _discard_task(self, task: asyncio.Task[Response]) -> None:
         """Remove a finished task and retrieve its exception, as its caller may be gone."""
         self._tasks.discard(task)
         if not task.cancelled():
             task.exception()
 
     async def _build_view(self, operation: Operation) -> OperationView:
-        recorded = operation.answer
+        recorded = operation.response
         return OperationView(
             state=operation.state,
             started_at=operation.started_at,
             ended_at=operation.ended_at,
-            response=None if recorded is None else await self._store.load_answer(recorded),
+            response=None if recorded is None else await self._store.load_response(recorded),
         )
 
-    async def _run_idempotent(self, call: ServiceCall) -> Answer:
+    async def _run_idempotent(self, call: ServiceCall) -> Response:
         latch = SendLatch()
         failed: frozenset[str] = frozenset()
         attempt = 0
@@ -247,7 +247,7 @@
             attempt += 1
             grant = await self._acquire(call, latch, failed)
             failed |= {grant.endpoint.name}
-            response: Answer | None = None
+            response: Response | None = None
             try:
                 response = await self._send_idempotent(call, grant, latch)
             except (NotSent, AnswerLost, Obstructed) as error:
@@ -274,10 +274,10 @@
 
     async def _send_idempotent(
         self, call: ServiceCall, grant: SlotGrant, latch: SendLatch
-    ) -> Answer:
+    ) -> Response:
         remaining_s = call.deadline - self._clock.read_monotonic()
         timeout_s = max(0.001, min(call.rule.timeout_s, remaining_s))
-        return await self._attempts.send(call, grant, latch, Stop(), timeout_s=timeout_s)
+        return await self._attempts.send(call, grant, latch, StopFlag(), timeout_s=timeout_s)
 
 
 def _build_rejection(latch: SendLatch, error: Exception) -> Refusal:
--- a/src/guavamast/service_handlers.py
+++ b/src/guavamast/service_handlers.py
@@ -14,14 +14,14 @@
 )
 from guavamast.callers import CallerHandler
 from guavamast.errors import ErrorCode, SendLatch
+from guavamast.fleet_objects import CallRule, EndpointKind
 from guavamast.service_call import ServiceCall
-from guavamast.world import CallRule, EndpointKind
 
 if TYPE_CHECKING:
     from guavamast.callers import CallerServices
-    from guavamast.operations import Answer
+    from guavamast.fleet_objects import Configuration
+    from guavamast.operations import Response
     from guavamast.service_calls import OperationView, ServiceCalls
-    from guavamast.world import Configuration
 
 DEFAULT_CALL_TIMEOUT_S = 30.0
 """Timeout of a call that no ``[call]`` section names."""
@@ -105,7 +105,7 @@
         self.finish(encode_view(key, view))
 
 
-def write_response(handler: CallerHandler, response: Answer) -> None:
+def write_response(handler: CallerHandler, response: Response) -> None:
     """Write an endpoint's response to the caller."""
     handler.set_status(response.status)
     handler.set_header("Content-Type", response.content_type)
@@ -125,7 +125,7 @@
     return body
 
 
-def _encode_response(response: Answer) -> dict[str, Any]:
+def _encode_response(response: Response) -> dict[str, Any]:
     fields: dict[str, Any] = {"status": response.status, "content_type": response.content_type}
     try:
         fields["body"] = json.loads(response.body)
@@ -134,7 +134,7 @@
     return fields
 
 
-def make_service_routes(
+def build_service_routes(
     services: CallerServices, calls: ServiceCalls
 ) -> list[tuple[str, type, dict[str, Any]]]:
     """Return the routes of this module."""
--- a/src/guavamast/service_slots.py
+++ b/src/guavamast/service_slots.py
@@ -7,19 +7,19 @@
 from guavamast.errors import ErrorCode, Refusal, SendLatch
 from guavamast.send_gates import SendGate
 from guavamast.service_call import RetryPolicy, SlotGrant, SlotSource, SlotUnavailable
-from guavamast.slot_finder import NO_ENDPOINT_RETRY_S, SlotWish
+from guavamast.slot_finder import NO_ENDPOINT_RETRY_S, SlotRequirements
 from guavamast.slots import Release
 
 if TYPE_CHECKING:
     import random
 
     from guavamast.entry_state import EntryState
+    from guavamast.fleet_objects import Endpoint
     from guavamast.retries import RetryBudget
     from guavamast.service_call import ServiceCall
     from guavamast.slot_finder import SlotFinder
-    from guavamast.slot_holds import SlotHold
+    from guavamast.slot_hold import SlotHold
     from guavamast.slot_links import SlotLinks
-    from guavamast.world import Endpoint
 
 
 class EntrySlotGrant(SlotGrant):
@@ -64,7 +64,7 @@
 
     async def acquire(self, call: ServiceCall, *, excluded: frozenset[str]) -> SlotGrant:
         """Wait for a slot."""
-        requirements = SlotWish(
+        requirements = SlotRequirements(
             organisation=call.organisation,
             class_name=call.class_name,
             tier=call.tier,
--- a/src/guavamast/settings.py
+++ b/src/guavamast/settings.py
@@ -7,6 +7,7 @@
 from typing import TYPE_CHECKING, Final
 
 from guavamast.findings import Finding, FindingCode, FindingsError
+from guavamast.fleet_objects import FailureDomain, Instance
 from guavamast.inifile import read_ini
 from guavamast.schema import Key, SchemaReader, SectionKind
 from guavamast.value_types import (
@@ -18,7 +19,6 @@
     Number,
     Url,
 )
-from guavamast.world import FailureDomain, Instance
 
 if TYPE_CHECKING:
     from typing import Any
--- a/src/guavamast/slot_finder.py
+++ b/src/guavamast/slot_finder.py
@@ -8,9 +8,9 @@
 from typing import TYPE_CHECKING, Final
 
 from guavamast.errors import ErrorCode
-from guavamast.placement import Wanted
-from guavamast.races import RaceRules, SlotRace
-from guavamast.slot_holds import AskRefused
+from guavamast.placement import EndpointRequirements
+from guavamast.slot_hold import AskRefused
+from guavamast.slot_race import RaceRules, SlotRace
 from guavamast.slots import Ask, Queued, Release
 
 if TYPE_CHECKING:
@@ -18,7 +18,7 @@
 
     from guavamast.entry_state import EntryState
     from guavamast.errors import Refusal, SendLatch
-    from guavamast.slot_holds import SlotHold
+    from guavamast.slot_hold import SlotHold
     from guavamast.slot_links import SlotLinks
 
 NO_ENDPOINT_RETRY_S: Final = 2.0
@@ -34,7 +34,7 @@
 
 
 @dataclass(slots=True, kw_only=True)
-class SlotWish:
+class SlotRequirements:
     """What one request requires of a slot."""
 
     organisation: str
@@ -150,7 +150,7 @@
         self._links = links
         self._clock = clock
 
-    async def find(self, requirements: SlotWish, latch: SendLatch) -> SlotHold:
+    async def find(self, requirements: SlotRequirements, latch: SendLatch) -> SlotHold:
         """Return a held slot.
 
         When a keeper queues the request, a second keeper is asked as well; the later grant is
@@ -178,7 +178,7 @@
             raise self._reject(search.rejections, latch)
         return hold
 
-    def _start_next(self, search: _Search, requirements: SlotWish) -> bool:
+    def _start_next(self, search: _Search, requirements: SlotRequirements) -> bool:
         """Ask another keeper; return False when there is none or the deadline has passed."""
         asked = search.race.asked | requirements.excluded
         candidates = self._choose(requirements, frozenset(asked))
@@ -187,8 +187,8 @@
         search.start(self._build_ask(requirements, candidates[0]))
         return True
 
-    def _choose(self, requirements: SlotWish, asked: frozenset[str]) -> list[str]:
-        endpoint_requirements = Wanted(
+    def _choose(self, requirements: SlotRequirements, asked: frozenset[str]) -> list[str]:
+        endpoint_requirements = EndpointRequirements(
             tier=requirements.tier,
             model=requirements.model,
             service=requirements.service,
@@ -199,7 +199,7 @@
         )
         return self._state.chooser.choose(endpoint_requirements, now=self._clock())
 
-    def _build_ask(self, requirements: SlotWish, endpoint: str) -> Ask:
+    def _build_ask(self, requirements: SlotRequirements, endpoint: str) -> Ask:
         return Ask(
             ask_id=uuid.uuid4().hex,
             entry=self._state.instance.name,
--- a/src/guavamast/slot_links.py
+++ b/src/guavamast/slot_links.py
@@ -22,7 +22,7 @@
 )
 from guavamast.log import get_logger
 from guavamast.peer_grpc import PeerStub
-from guavamast.slot_holds import AskRefused, HoldState, SlotHold
+from guavamast.slot_hold import AskRefused, HoldState, SlotHold
 from guavamast.slots import Granted, Paused, Queued, Refused, Release
 
 if TYPE_CHECKING:
@@ -30,14 +30,14 @@
 
     from guavamast.slots import Ask, Probe
 
-ANSWER_TIMEOUT_S: Final = 1.0
+KEEPER_TIMEOUT_S: Final = 1.0
 """Silence after which a keeper with waiting asks counts as unreachable. A keeper answers each ask
 at once and sends a probe twice a second to an entry with queued asks."""
 RECONNECT_S: Final = 0.2
 RECONNECT_MAX_S: Final = 2.0
 NO_KEEPER_RETRY_S: Final = 0.1
 
-LinkErrors = (OSError, GRPCError, ProtocolError, StreamTerminatedError, TimeoutError)
+LINK_ERRORS = (OSError, GRPCError, ProtocolError, StreamTerminatedError, TimeoutError)
 
 
 class SlotLinks:
@@ -120,7 +120,7 @@
         """Return the addresses whose link is known to be lost."""
         return frozenset(name for name, link in self._links.items() if not link.reachable)
 
-    def count_holds(self) -> int:
+    def count_open_asks(self) -> int:
         """Return the number of asks that wait or hold a slot."""
         return len(self._holds)
 
@@ -272,7 +272,7 @@
         while True:
             try:
                 await self._serve()
-            except LinkErrors as error:
+            except LINK_ERRORS as error:
                 get_logger().info("slot stream to %s lost: %r", self._address, error)
             except Exception:
                 # Without this, an error of another kind in the library ends this task, and every
@@ -292,7 +292,7 @@
         try:
             async with PeerStub(channel).Slots.open() as stream:
                 hello = peer_pb2.EntryMessage(hello=self._links.entry)
-                async with asyncio.timeout(ANSWER_TIMEOUT_S):
+                async with asyncio.timeout(KEEPER_TIMEOUT_S):
                     await stream.send_message(peer_pb2.EntryBatch(messages=[hello]))
                     await stream.recv_message()
                 self._record_received()
@@ -340,13 +340,13 @@
         # a probe twice a second.
         silent_since = None
         while True:
-            await asyncio.sleep(ANSWER_TIMEOUT_S / 4)
+            await asyncio.sleep(KEEPER_TIMEOUT_S / 4)
             now = self._links.clock()
             if not self._links.count_waiting(self._address):
                 silent_since = None
                 continue
             silent_since = max(silent_since or now, self._received_at)
-            if now - silent_since > ANSWER_TIMEOUT_S:
+            if now - silent_since > KEEPER_TIMEOUT_S:
                 raise TimeoutError("keeper sent nothing while asks were waiting")
 
     def _record_received(self) -> None:
--- a/src/guavamast/races.py
+++ b/src/guavamast/slot_race.py
@@ -20,7 +20,7 @@
 class RaceRules:
     """Conditions for asking further keepers."""
 
-    racers: int = MAX_OPEN_ASKS
+    max_open_asks: int = MAX_OPEN_ASKS
     wait_s: float = RACE_WAIT_S
     ask_limit: int = ASK_LIMIT
 
@@ -74,7 +74,7 @@
         if queued.ask.ask_id not in self._open or not self.may_ask:
             return False
         waits = queued.estimated_wait_s >= self._rules.wait_s
-        return waits and len(self._open) < self._rules.racers
+        return waits and len(self._open) < self._rules.max_open_asks
 
     def record_refused(self, ask_id: str) -> bool:
         """Record a rejection; return whether to ask another keeper, as no ask is open."""
--- a/src/guavamast/states.py
+++ b/src/guavamast/state_edits.py
@@ -8,8 +8,8 @@
 from guavamast.inifile import read_ini
 
 if TYPE_CHECKING:
+    from guavamast.fleet_objects import EndpointState
     from guavamast.inifile import Section
-    from guavamast.world import EndpointState
 
 
 def set_state(text: str, *, kind: str, name: str, state: EndpointState) -> str:
--- a/src/guavamast/text_output.py
+++ b/src/guavamast/text_output.py
@@ -11,7 +11,7 @@
 _MAX_SHOWN_CHANGES: Final = 200
 
 
-def make_table(header: Sequence[str], rows: Sequence[Sequence[Any]]) -> str:
+def format_table(header: Sequence[str], rows: Sequence[Sequence[Any]]) -> str:
     """Return rows in aligned columns under a header, or ``none`` without rows."""
     if not rows:
         return "none"
@@ -41,7 +41,7 @@
         )
         for item in plan["capacities"]
     ]
-    parts += ["", make_table(("CLASS", "SLOTS", "ACTIVE ENDPOINTS"), capacities)]
+    parts += ["", format_table(("CLASS", "SLOTS", "ACTIVE ENDPOINTS"), capacities)]
     warnings = [f"  {item['code']} {item['message']}" for item in plan["warnings"]]
     parts += ["", "warnings:", *(warnings or ["  none"])]
     if plan["fencing_ignored"]:
@@ -69,7 +69,7 @@
         (record["version"], record["who"], format_time(record["at"]), record["plan"])
         for record in details.get("accepted", [])
     ]
-    table = make_table(("VERSION", "WHO", "WHEN", "PLAN"), accepted)
+    table = format_table(("VERSION", "WHO", "WHEN", "PLAN"), accepted)
     changes = _format_changes(details.get("difference", []))
     return f"accepted since:\n{table}\nwhat it changed:\n{changes}"
 
@@ -89,7 +89,7 @@
     ]
     header = ("INSTANCE", "FAILURE DOMAIN", "STATE", "VERSION", "ADDRESS", "IN FLIGHT")
     parts = [f"version {status['configuration_version']} at {status['answered_by']}"]
-    parts += ["", make_table(header, instances)]
+    parts += ["", format_table(header, instances)]
     if status["behind"]:
         parts += ["", f"not yet at the latest version: {', '.join(status['behind'])}"]
     endpoints = [
@@ -97,7 +97,7 @@
         for item in status["endpoints"]
     ]
     if endpoints:
-        parts += ["", make_table(("ENDPOINT", "STATE", "KEEPER", "IN FLIGHT HERE"), endpoints)]
+        parts += ["", format_table(("ENDPOINT", "STATE", "KEEPER", "IN FLIGHT HERE"), endpoints)]
     return "\n".join(parts)
 
 
@@ -114,4 +114,4 @@
         )
         for record in audit["records"]
     ]
-    return make_table(("VERSION", "WHEN", "WHO", "PLAN", "CHANGES", "FIRST OF THEM"), rows)
+    return format_table(("VERSION", "WHEN", "WHO", "PLAN", "CHANGES", "FIRST OF THEM"), rows)
--- a/src/guavamast/view_feed.py
+++ b/src/guavamast/view_feed.py
@@ -9,8 +9,8 @@
 from guavamast.member_codec import encode_member
 
 if TYPE_CHECKING:
+    from guavamast.fleet_objects import Configuration
     from guavamast.members import MembershipView
-    from guavamast.world import Configuration
 
 
 class ViewFollower:
--- a/tests/operation_fakes.py
+++ b/tests/operation_fakes.py
@@ -4,14 +4,16 @@
 
 from typing import TYPE_CHECKING
 
+from guavamast.at_most_once_fetch import AnswerLost, NotSent
 from guavamast.clocks import Clock
 from guavamast.endpoint_sender import EndpointSender
 from guavamast.errors import ErrorCode
+from guavamast.fleet_objects import Endpoint, EndpointKind
 from guavamast.group_commit import GroupCommit
 from guavamast.operation_store import OperationStore
-from guavamast.operations import OPERATIONS_TABLE, Answer, decode_operation
+from guavamast.operations import OPERATIONS_TABLE, Response, decode_operation
 from guavamast.platform_client import PlatformAnswerLost, PlatformClient, PlatformUnavailable
-from guavamast.send_gates import PauseWatch, SendGate
+from guavamast.send_gates import PauseDetector, SendGate
 from guavamast.service_call import (
     RetryPolicy,
     ServiceCall,
@@ -20,9 +22,7 @@
     SlotUnavailable,
 )
 from guavamast.service_calls import ServiceCalls
-from guavamast.single_fetch import AnswerLost, NotSent
-from guavamast.world import Endpoint, EndpointKind
-from tests.operation_world import Fault, LateEffect, Run, World
+from tests.operation_simulation import Fault, LateEffect, OperationSimulation, Run
 
 if TYPE_CHECKING:
     from collections.abc import Callable
@@ -40,7 +40,7 @@
 class SimulatedClock(Clock):
     """Simulated time; sleeping parks."""
 
-    def __init__(self, simulation: World, instance: str) -> None:
+    def __init__(self, simulation: OperationSimulation, instance: str) -> None:
         self.simulation = simulation
         self.instance = instance
 
@@ -60,7 +60,7 @@
 class SimulatedPlatform(PlatformClient):
     """One instance's access to the simulated tables."""
 
-    def __init__(self, simulation: World, instance: str) -> None:
+    def __init__(self, simulation: OperationSimulation, instance: str) -> None:
         self.simulation = simulation
         self.instance = instance
         self.objects: dict[str, bytes] = {}
@@ -116,11 +116,11 @@
 class SimulatedSender(EndpointSender):
     """Sends to endpoints that run every call that arrives."""
 
-    def __init__(self, simulation: World, instance: str) -> None:
+    def __init__(self, simulation: OperationSimulation, instance: str) -> None:
         self.simulation = simulation
         self.instance = instance
 
-    async def send(self, call: EndpointCall, *, before_write: Callable[[], None]) -> Answer:
+    async def send(self, call: EndpointCall, *, before_write: Callable[[], None]) -> Response:
         """Park at the connect, during the send and before the response."""
         simulation = self.simulation
         if await simulation.park(self.instance, "connect") is Fault.BEFORE:
@@ -160,10 +160,10 @@
                 f"request {call.request_id} was sent right after a pause"
             )
 
-    def _run(self, call: EndpointCall) -> Answer:
+    def _run(self, call: EndpointCall) -> Response:
         self.simulation.runs.append(Run(request=int(call.request_id), key=call.idempotency_key))
         body = f"run {len(self.simulation.runs)} of {call.body.decode()}".encode()
-        return Answer(status=200, content_type="text/plain", body=body)
+        return Response(status=200, content_type="text/plain", body=body)
 
 
 class SimulatedGrant(SlotGrant):
@@ -187,7 +187,7 @@
 class SimulatedSlots(SlotSource):
     """Grants the first endpoint that is not excluded."""
 
-    def __init__(self, simulation: World, instance: str) -> None:
+    def __init__(self, simulation: OperationSimulation, instance: str) -> None:
         self.simulation = simulation
         self.instance = instance
         self.grants: list[SimulatedGrant] = []
@@ -202,10 +202,10 @@
         return self.grants[-1]
 
 
-class WorldGate(SendGate):
+class SimulatedGate(SendGate):
     """Current configuration: which endpoints are drained."""
 
-    def __init__(self, simulation: World) -> None:
+    def __init__(self, simulation: OperationSimulation) -> None:
         self.simulation = simulation
 
     def is_open(self, endpoint: Endpoint) -> bool:
@@ -227,25 +227,25 @@
 class Node:
     """One instance's entry, built from the production code."""
 
-    def __init__(self, simulation: World, name: str) -> None:
+    def __init__(self, simulation: OperationSimulation, name: str) -> None:
         clock = SimulatedClock(simulation, name)
         client = GroupCommit(client=SimulatedPlatform(simulation, name), clock=clock)
-        self.pauses = PauseWatch(now=simulation.now)
+        self.pauses = PauseDetector(now=simulation.now)
         self.slots = SimulatedSlots(simulation, name)
         self.calls = ServiceCalls(
             store=OperationStore(client=client, clock=clock),
             slots=self.slots,
             sender=SimulatedSender(simulation, name),
-            gate=WorldGate(simulation),
+            gate=SimulatedGate(simulation),
             pauses=self.pauses,
             retries=NoRetries(),
             clock=clock,
         )
 
 
-def create_simulation(*names: str) -> World:
+def create_simulation(*names: str) -> OperationSimulation:
     """Return a simulation of these instances; call with a running loop."""
-    simulation = World()
+    simulation = OperationSimulation()
     for name in names:
         simulation.nodes[name] = Node(simulation, name)
     return simulation
--- a/tests/operation_world.py
+++ b/tests/operation_simulation.py
@@ -14,12 +14,13 @@
 from typing import TYPE_CHECKING
 
 from guavamast.errors import ErrorCode, Outcome, Refusal
+from guavamast.fleet_objects import CallRule
 from guavamast.operations import (
     OPERATIONS_TABLE,
-    Answer,
     Operation,
     OperationKey,
     OperationState,
+    Response,
     compute_request_digest,
     decode_operation,
     encode_operation,
@@ -27,7 +28,6 @@
 from guavamast.platform_client import Write
 from guavamast.service_call import ServiceCall
 from guavamast.standins.platform import TableState
-from guavamast.world import CallRule
 
 if TYPE_CHECKING:
     from collections.abc import Callable
@@ -80,7 +80,7 @@
     earlier_unanswered: bool
     """Whether another request of the key had no reply when this one was made."""
     task: asyncio.Task[None] | None = None
-    response: Answer | None = None
+    response: Response | None = None
     refusal: Refusal | None = None
     runs_at_reply: int = 0
     """Runs of the key by other requests when this one had its reply."""
@@ -109,7 +109,7 @@
 
 
 @dataclass(slots=True)
-class World:
+class OperationSimulation:
     """All instances, the platform's tables and the endpoints."""
 
     tables: TableState = field(default_factory=TableState)
@@ -200,7 +200,7 @@
             self.now = min(end, self.now + 1.0)
             for name, node in self.nodes.items():
                 if name not in self.dead and name not in self.paused:
-                    node.pauses.beat(now=self.now)
+                    node.pauses.tick(now=self.now)
 
     def kill(self, instance: str) -> None:
         """Kill an instance as kill -9 does: its steps never resume, and nothing is cleaned up."""
@@ -305,7 +305,7 @@
 
     def _find_conflicting_responses(self) -> list[str]:
         found = []
-        responses: dict[str, Answer] = {}
+        responses: dict[str, Response] = {}
         bodies: dict[str, bytes] = {}
         for request in self.requests:
             if request.response is None:
--- a/tests/order_world.py
+++ b/tests/order_simulation.py
@@ -10,19 +10,19 @@
 
 from guavamast.clocks import Clock
 from guavamast.fleet import parse_configuration
-from guavamast.leases import LeaseHolder, LeaseTerms
-from guavamast.order_giver import OrderGiver
+from guavamast.fleet_objects import Fencing
+from guavamast.leases import LeaseHolder, LeaseParameters
+from guavamast.order_issuer import OrderIssuer
 from guavamast.orders import EndpointReport, Order, OrderOutcome, OrderSender
-from guavamast.world import Fencing
 from tests.fake_platform import FakePlatform
 
 if TYPE_CHECKING:
     from collections.abc import Iterable
 
+    from guavamast.fleet_objects import Configuration, Endpoint
     from guavamast.platform_client import Check, Row, Write
-    from guavamast.world import Configuration, Endpoint
 
-PARAMETERS = LeaseTerms()
+PARAMETERS = LeaseParameters()
 FLEET = """\
 [class chat]
 tier = 1
@@ -194,15 +194,15 @@
             platform=simulation.platform,
             clock=self.clock,
             holder=name,
-            make_nonce=lambda: f"{name}-{next(numbers)}",
-            terms=PARAMETERS,
+            generate_nonce=lambda: f"{name}-{next(numbers)}",
+            parameters=PARAMETERS,
         )
-        self.giver = OrderGiver(
+        self.giver = OrderIssuer(
             platform=simulation.platform,
             leases=self.leases,
             sender=self.sender,
             clock=self.clock,
-            terms=PARAMETERS,
+            parameters=PARAMETERS,
         )
 
     async def run(
--- a/tests/test_addresses_properties.py
+++ b/tests/test_addresses_properties.py
@@ -43,7 +43,7 @@
     """Responses that callers cache for a while."""
 
     @given(VIEWS, st.sampled_from(["sierra", "wallonie-a", "elsewhere"]), st.integers(0, 2**40))
-    def test_answers_hold_serving_instances_of_the_callers_region_first(
+    def test_responses_list_serving_instances_of_the_callers_region_first(
         self, view: MembershipView, hint: str, seed: int
     ) -> None:
         response = choose_addresses(view, caller_hint=hint, seed=seed, validity_s=10.0)
@@ -67,7 +67,7 @@
             self.assertGreater(len(domains), 1)
 
     @given(st.integers(2, 40), st.integers(0, 2**31), st.floats(1.0, 500.0))
-    def test_a_run_of_answers_is_even_whatever_one_old_load_says(
+    def test_consecutive_responses_are_even_despite_one_stale_load(
         self, count: int, seed: int, load: float
     ) -> None:
         """Guards against all callers being sent to the least loaded instance.
--- a/tests/test_allotments_properties.py
+++ b/tests/test_allotments_properties.py
@@ -9,7 +9,7 @@
 from hypothesis import strategies as st
 
 from guavamast.allotments import BURST_S, HANDOVER_S, Allotment, AllotmentAsk, AllotmentDispatcher
-from guavamast.world import Contract, Organisation
+from guavamast.fleet_objects import Contract, Organisation
 
 RATE = 3.0
 CONCURRENT = 7
@@ -101,7 +101,7 @@
             self.assertLessEqual(tokens, RATE * now + factor * RATE * BURST_S)
 
     @given(steps=STEPS)
-    def test_home_is_exact_again_after_the_caution(self, steps: list) -> None:
+    def test_home_allots_the_exact_limit_after_the_handover(self, steps: list) -> None:
         home = AllotmentDispatcher()
         home.record_view_change(now=0.0)
         answers = [
--- a/tests/test_single_fetch.py
+++ b/tests/test_at_most_once_fetch.py
@@ -7,7 +7,7 @@
 
 from tornado.httpclient import HTTPRequest
 
-from guavamast.single_fetch import AnswerLost, NotSent, fetch_once
+from guavamast.at_most_once_fetch import AnswerLost, NotSent, fetch_once
 
 
 class RawServer:
@@ -34,7 +34,7 @@
         writer.close()
 
 
-class SingleFetchTest(unittest.IsolatedAsyncioTestCase):
+class AtMostOnceFetchTest(unittest.IsolatedAsyncioTestCase):
     """The HTTP client neither retries nor follows redirects nor accepts truncated responses."""
 
     async def start(self, response: bytes) -> RawServer:
@@ -73,7 +73,7 @@
             await self.fetch(server.url)
         self.assertEqual(len(server.received), 1)
 
-    async def test_cut_answer_is_not_taken_for_a_whole_one(self) -> None:
+    async def test_truncated_response_is_not_accepted_as_whole(self) -> None:
         for response in (
             b"HTTP/1.1 200 OK\r\nContent-Length: 20\r\n\r\n{}",
             b"HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n2\r\n{}\r\n",
--- a/tests/test_single_runs.py
+++ b/tests/test_at_most_once_runs.py
@@ -6,13 +6,13 @@
 
 from guavamast.errors import Outcome
 from tests.operation_fakes import create_simulation
-from tests.operation_world import Fault
+from tests.operation_simulation import Fault
 
 
-class SingleRunsTest(unittest.IsolatedAsyncioTestCase):
+class AtMostOnceRunsTest(unittest.IsolatedAsyncioTestCase):
     """The reported outcome of a key matches what is known about its run."""
 
-    async def test_slot_refused_after_another_request_ran(self) -> None:
+    async def test_slot_rejected_after_another_request_ran(self) -> None:
         # Two requests of one key. The second finds no row and waits for a slot; meanwhile the first
         # runs, its response is lost and it gets "outcome unknown". If the second's rejection for
         # lack of a slot said "not run", the caller would pay again under a new key.
@@ -27,7 +27,7 @@
         await simulation.finish(late_last=False)
         self.assertEqual(second.refusal.outcome, Outcome.OUTCOME_UNKNOWN)
 
-    async def test_late_insert_of_a_refused_request(self) -> None:
+    async def test_late_insert_of_a_rejected_request(self) -> None:
         # The insert's response is lost and the row can't be read, so the caller gets "not run". The
         # platform applies the insert much later: the row would stay started and block the key for
         # good though nothing was sent, as no attempt is left to mark it as not run.
@@ -63,7 +63,7 @@
         await simulation.finish(late_last=False)
         self.assertEqual(simulation.runs, [])
 
-    async def test_caller_that_is_gone_does_not_stop_the_run(self) -> None:
+    async def test_disconnected_caller_does_not_stop_the_run(self) -> None:
         # The caller disconnects during the send and its handler is cancelled. The run must continue
         # until it is recorded, else the key stays started and no caller ever gets the response.
         simulation = create_simulation("a", "b")
--- a/tests/test_cli.py
+++ b/tests/test_cli.py
@@ -17,15 +17,15 @@
 
 from guavamast.cli import run
 from guavamast.clocks import SystemClock
+from guavamast.fleet_objects import EndpointState
+from guavamast.operator_handlers import build_operator_routes
 from guavamast.operator_tokens import TokenFileAuthenticator
-from guavamast.operators import make_operator_routes
-from guavamast.states import set_state
-from guavamast.world import EndpointState
+from guavamast.state_edits import set_state
 from tests.fake_platform import FakePlatform
-from tests.test_fleet import GOOD
-from tests.test_operators import FakeDaemon
+from tests.test_fleet import VALID_FLEET
+from tests.test_operator_handlers import FakeDaemon
 from tests.test_plan_store import FASTER, make_store
-from tests.test_settings import GOOD as SETTINGS
+from tests.test_settings import VALID_SETTINGS as SETTINGS
 
 
 @dataclass(frozen=True, slots=True, kw_only=True)
@@ -57,7 +57,7 @@
         self.daemon = FakeDaemon()
 
     async def asyncSetUp(self) -> None:
-        routes = make_operator_routes(
+        routes = build_operator_routes(
             store=make_store(self.platform),
             authenticator=TokenFileAuthenticator(path=Path(self.tokens), callers=self.daemon),
             status=self.daemon,
@@ -88,7 +88,7 @@
         return json.loads(result.out)["id"]
 
     async def test_plan_confirm_and_read(self) -> None:
-        path = self.write("fleet.ini", GOOD)
+        path = self.write("fleet.ini", VALID_FLEET)
         shown = await self.run_operator_command("plan", path)
         self.assertEqual((shown.code, shown.err), (0, ""))
         self.assertIn("plan p1 against version 0", shown.out)
@@ -96,7 +96,7 @@
         confirmed = await self.run_operator_command("confirm", "p1")
         self.assertEqual((confirmed.code, confirmed.out), (0, "version 1\n"))
         show = await self.run_operator_command("show")
-        self.assertEqual(show.out, f"# version 1\n{GOOD}\n")
+        self.assertEqual(show.out, f"# version 1\n{VALID_FLEET}\n")
         audit = await self.run_operator_command("audit")
         self.assertRegex(audit.out, r"1 +\d{4}-\d\d-\d\dT\d\d:\d\d:\d\dZ +anna +p1 +10 ")
         status = await self.run_operator_command("status")
@@ -107,7 +107,7 @@
                 json.loads((await self.run_operator_command(command, "--json")).out), dict
             )
 
-    async def test_findings_carry_the_operators_file(self) -> None:
+    async def test_findings_name_the_operators_file(self) -> None:
         path = self.write("fleet.ini", "[class a]\ntier = 0\n")
         result = await self.run_operator_command("plan", path)
         self.assertEqual((result.code, result.out), (2, ""))
@@ -115,13 +115,13 @@
         self.assertEqual(len(result.err.splitlines()), 4)
 
     async def test_conflict_and_unknown_have_their_exit_codes(self) -> None:
-        first, second = await self.plan(GOOD), await self.plan(FASTER)
+        first, second = await self.plan(VALID_FLEET), await self.plan(FASTER)
         self.assertEqual((await self.run_operator_command("confirm", second)).code, 0)
         conflict = await self.run_operator_command("confirm", first)
         self.assertEqual(conflict.code, 3)
         self.assertTrue(conflict.err.startswith("plan_conflict plan p1 "))
         self.assertIn("anna", conflict.err)
-        third = await self.plan(GOOD)
+        third = await self.plan(VALID_FLEET)
         self.platform.faults.append("lost_then_down")
         unknown = await self.run_operator_command("confirm", third)
         self.assertEqual(unknown.code, 4)
@@ -129,7 +129,7 @@
         again = await self.run_operator_command("confirm", third)
         self.assertEqual((again.code, again.out), (0, "version 2\n"))
 
-    async def test_confirm_whose_instance_dies_is_unknown(self) -> None:
+    async def test_confirm_is_unknown_when_the_connection_closes(self) -> None:
         # The connection closes without a response after the confirmation is sent. The plan may
         # be in force, so the command must not report a failure.
         server = await asyncio.start_server(lambda _, writer: writer.close(), "127.0.0.1", 0)
@@ -143,7 +143,7 @@
         self.assertTrue(refused.err.startswith("unreachable "))
 
     async def test_drain_is_a_plan(self) -> None:
-        await self.run_operator_command("confirm", await self.plan(GOOD))
+        await self.run_operator_command("confirm", await self.plan(VALID_FLEET))
         drained = json.loads(
             (await self.run_operator_command("drain", "endpoint", "engine-1", "--json")).out
         )
@@ -163,7 +163,7 @@
             self.assertTrue(result.err.startswith("not_found "), result.err)
         self.assertEqual((await self.run_operator_command("drain", "cluster", "x")).code, 2)
 
-    async def test_token_of_nobody(self) -> None:
+    async def test_rejects_an_unknown_token(self) -> None:
         self.tokens = self.write("other", "wrong\n")
         result = await self.run_operator_command("status")
         self.assertEqual(result.code, 1)
@@ -173,7 +173,7 @@
 class LocalCommandsTest(unittest.TestCase):
     """Invalid command lines and files yield one line with an error code, no traceback."""
 
-    def test_a_word_too_many_runs_nothing(self) -> None:
+    def test_surplus_argument_runs_nothing(self) -> None:
         # fire detects a surplus argument only after calling the function, so a plan could be
         # confirmed although a usage error is reported. Nothing listens on port 1: the error
         # "unreachable" would show that the command had started.
@@ -205,10 +205,10 @@
         self.assertEqual(run_command("--help").code, 0)
         self.assertIn("confirm PLAN", run_command("confirm", "--help").out)
 
-    def test_check_tells_settings_from_a_fleet(self) -> None:
+    def test_check_distinguishes_settings_from_fleet_files(self) -> None:
         with tempfile.TemporaryDirectory() as directory:
-            files = {"fleet.ini": GOOD, "instance.ini": SETTINGS, "empty.ini": "# nothing\n"}
-            files["bad.ini"] = GOOD.replace("tier = 3", "teir = 3")
+            files = {"fleet.ini": VALID_FLEET, "instance.ini": SETTINGS, "empty.ini": "# nothing\n"}
+            files["bad.ini"] = VALID_FLEET.replace("tier = 3", "teir = 3")
             files["drain.ini"] = "[instance entry-01]\nstate = gone\n"
             for name, text in files.items():
                 (Path(directory) / name).write_text(text)
@@ -245,9 +245,13 @@
     """`set_state` changes a state in place and leaves all other lines unchanged."""
 
     def test_sets_and_adds(self) -> None:
-        changed = set_state(GOOD, kind="endpoint", name="engine-1", state=EndpointState.LEAVING)
-        self.assertEqual(changed.replace("\nstate = leaving", "", 1), GOOD)
+        changed = set_state(
+            VALID_FLEET, kind="endpoint", name="engine-1", state=EndpointState.LEAVING
+        )
+        self.assertEqual(changed.replace("\nstate = leaving", "", 1), VALID_FLEET)
         back = set_state(changed, kind="endpoint", name="engine-1", state=EndpointState.ACTIVE)
         self.assertEqual(back, changed.replace("state = leaving", "state = active", 1))
-        added = set_state(GOOD, kind="instance", name="entry-09", state=EndpointState.LEAVING)
-        self.assertEqual(added, GOOD + "\n[instance entry-09]\nstate = leaving\n")
+        added = set_state(
+            VALID_FLEET, kind="instance", name="entry-09", state=EndpointState.LEAVING
+        )
+        self.assertEqual(added, VALID_FLEET + "\n[instance entry-09]\nstate = leaving\n")
--- a/tests/test_cli_properties.py
+++ b/tests/test_cli_properties.py
@@ -39,7 +39,7 @@
 
     @example("audit", ["__class__", "__class__"])
     @given(FIRST_WORDS, st.lists(WORDS, max_size=7))
-    def test_ends_with_an_exit_code(self, first: str, words: list[str]) -> None:
+    def test_returns_a_known_exit_code(self, first: str, words: list[str]) -> None:
         before = dict(COMMANDS)
         result = run_command(first, *words)
         self.assertIn(result.code, (0, 1, 2))
--- a/tests/test_estimates.py
+++ b/tests/test_estimates.py
@@ -67,7 +67,7 @@
             self.assertGreater(estimate, produced)
         self.assertEqual(self.lengths.estimate(make_ask(max_tokens=60), quantile=0.9), 60)
 
-    def test_new_organisation_takes_what_all_show_and_then_its_own(self) -> None:
+    def test_new_organisation_uses_shared_lengths_then_its_own(self) -> None:
         other = make_ask("other")
         before = self.lengths.estimate(other, quantile=0.5)
         self.assertAlmostEqual(before, self.samples[125], delta=0.25 * before)
@@ -99,7 +99,7 @@
             weight.observe(make_ask(), make_release(), now=0.0)
         self.assertEqual(weight.get(now=0.0), 1.0)
 
-    def test_failures_keep_a_trickle_and_silence_brings_probes(self) -> None:
+    def test_failures_keep_minimum_weight_and_idle_time_raises_it(self) -> None:
         # Failure: an endpoint that failed gets no more requests, so nothing shows its recovery. Its
         # weight must not reach 0 and must rise while the endpoint is idle.
         weight = StragglerWeight(now=0.0)
--- a/tests/test_examples.py
+++ b/tests/test_examples.py
@@ -5,11 +5,11 @@
 import unittest
 from pathlib import Path
 
-from guavamast.checks import check_files
+from guavamast.file_checks import check_files
 from guavamast.fleet import parse_configuration
+from guavamast.fleet_objects import Configuration, EndpointKind
 from guavamast.plans import WarningCode, compute_plan
 from guavamast.settings import load_settings
-from guavamast.world import Configuration, EndpointKind
 
 EXAMPLES = Path(__file__).resolve().parent.parent / "examples"
 SIZES = {"agence": (13, 4, 9, 4, 10), "cotopaxi": (14, 3, 6, 3, 10)}
--- a/tests/test_fleet.py
+++ b/tests/test_fleet.py
@@ -6,11 +6,11 @@
 
 from guavamast.findings import FindingCode, FindingsError
 from guavamast.fleet import check_configuration, parse_configuration
-from guavamast.world import EndpointKind, EndpointState, Fencing
+from guavamast.fleet_objects import EndpointKind, EndpointState, Fencing
 
 KEY_A = "a" * 64
 KEY_B = "b" * 64
-GOOD = f"""\
+VALID_FLEET = f"""\
 [class drafting]
 tier = 1
 first_token_ms = 400
@@ -77,8 +77,8 @@
     """A valid configuration is parsed; an invalid one is rejected with all of its findings."""
 
     def test_reads_every_section(self) -> None:
-        fleet = parse_configuration(GOOD, file="fleet.ini", version=7)
-        self.assertEqual((fleet.version, fleet.text), (7, GOOD))
+        fleet = parse_configuration(VALID_FLEET, file="fleet.ini", version=7)
+        self.assertEqual((fleet.version, fleet.text), (7, VALID_FLEET))
         self.assertEqual(fleet.classes["nightly"].queue_limit, 500)
         contract = fleet.organisations["agence"].contract
         self.assertEqual(
@@ -93,14 +93,14 @@
         self.assertFalse(fleet.calls["portal", "pay"].idempotent)
         self.assertEqual(fleet.leaving_instances, frozenset({"entry-04"}))
 
-    def test_classes_of_one_tier_are_refused_only_where_they_share_endpoints(self) -> None:
+    def test_classes_of_one_tier_are_rejected_only_where_they_share_endpoints(self) -> None:
         # drafting and payment are both of tier 1, but one runs at the engine, one at the service.
-        self.assertEqual(list_codes(GOOD), [])
-        shared = GOOD.replace("pay:payment", "pay:payment, mail:payment")
+        self.assertEqual(list_codes(VALID_FLEET), [])
+        shared = VALID_FLEET.replace("pay:payment", "pay:payment, mail:payment")
         self.assertEqual(list_codes(shared), [(16, FindingCode.DUPLICATE_TIER)])
 
     def test_reports_all_findings_together(self) -> None:
-        text = GOOD.replace("tier = 3", "tier = 3\ntier = 2").replace("= 0.1", "= 1.5")
+        text = VALID_FLEET.replace("tier = 3", "tier = 3\ntier = 2").replace("= 0.1", "= 1.5")
         text = text.replace("completion_s = 10", "completion_s = 10 min")
         text = text.replace("chat:drafting", "chat:draftng").replace("kind = service", "knd = s")
         text = text.replace("models = small,", "models = smal,").replace("[model large]", "large]")
@@ -126,28 +126,32 @@
             parse_configuration(text, file="fleet.ini", version=1)
         self.assertEqual(len(caught.exception.findings), 12)
 
-    def test_names_the_nearest_and_the_unit(self) -> None:
-        text = GOOD.replace("tier = 1\nfirst_token_ms = 400", "teir = 1\nfirst_token_ms = 0.4s")
+    def test_suggests_the_nearest_name_and_the_unit(self) -> None:
+        text = VALID_FLEET.replace(
+            "tier = 1\nfirst_token_ms = 400", "teir = 1\nfirst_token_ms = 0.4s"
+        )
         findings = check_configuration(text, file="fleet.ini")
         messages = "\n".join(map(str, findings))
         self.assertIn("did you mean tier?", messages)
         self.assertIn("fleet.ini:3: wrong_unit first_token_ms: '0.4s'", messages)
         self.assertIn("write 400", messages)
 
-    def test_refuses_what_can_not_be_met(self) -> None:
-        text = GOOD.replace("kind = engine", "kind = service\nservice = x").replace(
+    def test_rejects_missing_capacity_and_too_large_shares(self) -> None:
+        text = VALID_FLEET.replace("kind = engine", "kind = service\nservice = x").replace(
             "models = small, large\n", ""
         )
         codes = [code for _, code in list_codes(text)]
         self.assertEqual(codes.count(FindingCode.NO_CAPACITY), 2, "the two models")
-        shares = GOOD.replace("= 0.1", "= 0.6").replace(
+        shares = VALID_FLEET.replace("= 0.1", "= 0.6").replace(
             "completion_s = 10", "completion_s = 1\nguaranteed_share = 0.41"
         )
         self.assertEqual(
             list_codes(shares), [(17, FindingCode.OUT_OF_RANGE), (20, FindingCode.SHARE_SUM)]
         )
 
-    def test_keys_and_urls_have_one_owner(self) -> None:
-        second = GOOD[GOOD.index("[organisation agence]") : GOOD.index("[endpoint portal-1]")]
-        text = GOOD + second.replace("agence", "other").replace("engine-1", "engine-2")
+    def test_keys_and_urls_are_unique(self) -> None:
+        second = VALID_FLEET[
+            VALID_FLEET.index("[organisation agence]") : VALID_FLEET.index("[endpoint portal-1]")
+        ]
+        text = VALID_FLEET + second.replace("agence", "other").replace("engine-1", "engine-2")
         self.assertEqual([code for _, code in list_codes(text)], [FindingCode.DUPLICATE_VALUE] * 2)
--- a/tests/test_fleet_properties.py
+++ b/tests/test_fleet_properties.py
@@ -11,8 +11,8 @@
 from guavamast.fleet import check_configuration, parse_configuration
 from guavamast.inifile import read_ini
 from guavamast.settings import parse_settings
-from tests.test_fleet import GOOD as FLEET
-from tests.test_settings import GOOD as SETTINGS
+from tests.test_fleet import VALID_FLEET as FLEET
+from tests.test_settings import VALID_SETTINGS as SETTINGS
 
 LINES = st.sampled_from([*FLEET.splitlines(), *SETTINGS.splitlines(), "", "  tail", "=", "[", "[]"])
 ARBITRARY_TEXT = st.text(alphabet=st.characters(codec="utf-8"), max_size=40)
@@ -37,7 +37,7 @@
     """The parsers and checkers return an object, or findings with a line of the text."""
 
     @given(TEXTS | edit_fleets())
-    def test_fleet_ends_in_findings_or_a_configuration(self, text: str) -> None:
+    def test_fleet_text_gives_findings_or_a_configuration(self, text: str) -> None:
         findings = check_configuration(text, file="f")
         for finding in findings:
             self.assertLessEqual(0, finding.line)
@@ -51,7 +51,7 @@
             self.assertEqual(configuration.version, 3)
 
     @given(TEXTS)
-    def test_settings_end_in_findings_or_settings(self, text: str) -> None:
+    def test_settings_text_gives_findings_or_settings(self, text: str) -> None:
         try:
             parse_settings(text, file="f")
         except FindingsError as error:
@@ -62,7 +62,7 @@
         self.assertEqual(len(read_ini("junk\n", file="").findings), 1)
 
     @given(TEXTS | edit_fleets())
-    def test_places_point_at_the_text(self, text: str) -> None:
+    def test_line_numbers_match_the_text(self, text: str) -> None:
         lines = text.split("\n")
         for section in read_ini(text, file="f").sections:
             self.assertIn(f"[{section.name}]", lines[section.line - 1])
--- a/tests/test_fleet_reader_properties.py
+++ b/tests/test_fleet_reader_properties.py
@@ -12,11 +12,11 @@
 from guavamast import fleet_reader
 from guavamast.findings import FindingsError
 from guavamast.fleet import parse_configuration
-from guavamast.fleet_reader import AcceptedReader
-from tests.test_fleet import GOOD
+from guavamast.fleet_reader import IncrementalReader
+from tests.test_fleet import VALID_FLEET
 from tests.test_fleet_properties import edit_fleets
 
-SECTIONS = GOOD.split("\n[")
+SECTIONS = VALID_FLEET.split("\n[")
 
 
 @st.composite
@@ -28,12 +28,14 @@
     return "\n".join([start, *draw(st.lists(st.sampled_from(others + indented), max_size=12))])
 
 
-class AcceptedReaderProperties(unittest.TestCase):
+class IncrementalReaderProperties(unittest.TestCase):
     """Incremental and full parsing agree on every text that can be accepted."""
 
-    @given(st.lists(edit_fleets() | shuffle_fleets() | st.just(GOOD), min_size=1, max_size=6))
-    def test_agrees_with_reading_the_whole(self, texts: list[str]) -> None:
-        reader = AcceptedReader()
+    @given(
+        st.lists(edit_fleets() | shuffle_fleets() | st.just(VALID_FLEET), min_size=1, max_size=6)
+    )
+    def test_equals_a_full_parse(self, texts: list[str]) -> None:
+        reader = IncrementalReader()
         for version, text in enumerate(texts, start=1):
             try:
                 full = parse_configuration(text, file="f", version=version)
@@ -46,13 +48,13 @@
             self.assertEqual(read, full)
             self.assertEqual(list(read.endpoints), list(full.endpoints))
 
-    def test_reads_only_what_changed(self) -> None:
-        reader = AcceptedReader()
-        before = reader.read(GOOD, version=1)
+    def test_parses_only_changed_sections(self) -> None:
+        reader = IncrementalReader()
+        before = reader.read(VALID_FLEET, version=1)
         with mock.patch.object(
             fleet_reader, "read_section_object", wraps=fleet_reader.read_section_object
         ) as read:
-            after = reader.read(GOOD.replace("slots = 8", "slots = 9"), version=2)
+            after = reader.read(VALID_FLEET.replace("slots = 8", "slots = 9"), version=2)
         self.assertEqual(read.call_count, 1)
         self.assertEqual(after.endpoints["engine-1"].slots, 9)
         self.assertIs(after.organisations["agence"], before.organisations["agence"])
--- a/tests/test_group_commit.py
+++ b/tests/test_group_commit.py
@@ -8,14 +8,14 @@
 from guavamast.group_commit import GroupCommit
 from guavamast.platform_client import Check, PlatformAnswerLost, TransactionConflict, Write
 from tests.operation_fakes import SimulatedClock, SimulatedPlatform
-from tests.operation_world import Fault, World
+from tests.operation_simulation import Fault, OperationSimulation
 
 
 class GroupCommitTest(unittest.IsolatedAsyncioTestCase):
     """Callers share a write, but not each other's conflicts."""
 
     def setUp(self) -> None:
-        self.simulation = World()
+        self.simulation = OperationSimulation()
         client = SimulatedPlatform(self.simulation, "a")
         self.group = GroupCommit(client=client, clock=SimulatedClock(self.simulation, "a"))
 
@@ -31,7 +31,7 @@
         while self.simulation.steps:
             await self.go_on()
 
-    async def test_lone_transaction_goes_at_once(self) -> None:
+    async def test_lone_transaction_is_sent_at_once(self) -> None:
         self.insert("k")
         await self.simulation.settle()
         self.assertEqual([step.label for step in self.simulation.steps], ["write"])
@@ -54,7 +54,7 @@
         results = await asyncio.gather(*tasks, return_exceptions=True)
         self.assertEqual([type(result) for result in results], [list, TransactionConflict, list])
 
-    async def test_lost_answer_is_lost_for_each(self) -> None:
+    async def test_lost_response_is_lost_for_each(self) -> None:
         tasks = [self.insert("k1"), self.insert("k2")]
         await self.simulation.settle()
         self.assertEqual(len(self.simulation.steps), 1)
--- a/tests/test_heartbeats.py
+++ b/tests/test_heartbeat_links.py
@@ -12,12 +12,12 @@
 
 from guavamast._daemon import bind_socket, get_bound_address
 from guavamast.configuration_spread import ConfigurationSpread, Source
+from guavamast.fleet_objects import FailureDomain, Instance
 from guavamast.heartbeats import HeartbeatLinks
 from guavamast.members import MemberState
 from guavamast.membership import Membership, MembershipTiming
 from guavamast.metrics import NoMetrics
 from guavamast.peer_grpc import PeerBase
-from guavamast.world import FailureDomain, Instance
 
 if TYPE_CHECKING:
     from collections.abc import Callable, Iterable
--- a/tests/test_hosted_endpoints.py
+++ b/tests/test_hosted_endpoints.py
@@ -8,19 +8,19 @@
 from guavamast._slot_wire import encode_ask, encode_release
 from guavamast.clocks import SystemClock
 from guavamast.fleet import parse_configuration
+from guavamast.fleet_objects import FailureDomain, Instance
 from guavamast.hosted_endpoints import HostedEndpoints
 from guavamast.keeper_host import KeeperHost
-from guavamast.leases import LeaseHolder, LeaseTerms
+from guavamast.leases import LeaseHolder, LeaseParameters
 from guavamast.members import Member, MembershipView, MemberState
 from guavamast.metrics import NoMetrics
-from guavamast.order_giver import OrderGiver
 from guavamast.order_http import HttpOrderSender
+from guavamast.order_issuer import OrderIssuer
 from guavamast.order_loop import OrderLoop
 from guavamast.slots import Ask, LoadReport, Release
 from guavamast.standins.engine import EngineStandin
-from guavamast.world import FailureDomain, Instance
 from tests.fake_platform import FakePlatform
-from tests.order_world import ENGINE, FLEET
+from tests.order_simulation import ENGINE, FLEET
 
 NOW = 100.0
 
@@ -66,14 +66,18 @@
 
     def build_loop(self) -> OrderLoop:
         """Return the order loop on an in-memory platform."""
-        platform, clock, terms = FakePlatform(), SystemClock(), LeaseTerms()
+        platform, clock, terms = FakePlatform(), SystemClock(), LeaseParameters()
         leases = LeaseHolder(
-            platform=platform, clock=clock, holder="a", make_nonce=lambda: "n", terms=terms
+            platform=platform, clock=clock, holder="a", generate_nonce=lambda: "n", parameters=terms
         )
-        giver = OrderGiver(
-            platform=platform, leases=leases, sender=HttpOrderSender(), clock=clock, terms=terms
+        giver = OrderIssuer(
+            platform=platform,
+            leases=leases,
+            sender=HttpOrderSender(),
+            clock=clock,
+            parameters=terms,
         )
-        return OrderLoop(giver=giver, kept=self.kept, clock=clock)
+        return OrderLoop(issuer=giver, kept=self.kept, clock=clock)
 
     def ask(self, ask_id: str) -> str:
         """Request a slot and return the kind of the last response."""
@@ -90,7 +94,7 @@
             max_tokens=1,
             deadline=NOW + 30.0,
         )
-        self.host.take(peer_pb2.EntryMessage(ask=encode_ask(ask, now=NOW)), entry="entry")
+        self.host.receive(peer_pb2.EntryMessage(ask=encode_ask(ask, now=NOW)), entry="entry")
         # A new keeper grants nothing until it has a load report of its endpoint.
         self.host.record_load(LoadReport(endpoint="e0", as_of=NOW, running=0, kv_free=1.0))
         kinds = []
@@ -106,7 +110,7 @@
         self.assertEqual(self.ask("r3"), "refuse", "a hold outlasts a new configuration")
         await self.loop.run_round()
         self.assertEqual(self.engine.state.orders, [])
-        self.host.take(
+        self.host.receive(
             encode_release(Release(ask_id="r1", endpoint="e0", used=True)), entry="entry"
         )
         await self.loop.run_round()
@@ -115,7 +119,7 @@
         self.assertEqual(self.ask("r4"), "grant")
         self.assertEqual(len(self.engine.state.orders), 1)
 
-    async def test_keeps_what_the_view_says(self) -> None:
+    async def test_lists_the_endpoints_kept_by_the_membership_view(self) -> None:
         self.assertEqual([item.name for item in self.kept.list_kept()], ["e0"])
         self.view = build_view("b")
         self.assertEqual(self.kept.list_kept(), [])
--- a/tests/test_keeping.py
+++ b/tests/test_keeper_selection.py
@@ -4,9 +4,9 @@
 
 import unittest
 
-from guavamast.keeping import find_keeper
+from guavamast.fleet_objects import Endpoint, EndpointKind, FailureDomain, Instance
+from guavamast.keeper_selection import select_keeper
 from guavamast.members import Member, MembershipView, MemberState
-from guavamast.world import Endpoint, EndpointKind, FailureDomain, Instance
 
 
 def make_member(name: str, *, region: str, state: MemberState = MemberState.LIVE) -> Member:
@@ -29,7 +29,7 @@
     )
 
 
-class KeepingTest(unittest.TestCase):
+class KeeperSelectionTest(unittest.TestCase):
     """The keeper is in the endpoint's region while a member serves there."""
 
     def test_prefers_region(self) -> None:
@@ -37,7 +37,7 @@
         members += [make_member(f"s{i}", region="south") for i in range(3)]
         view = MembershipView(members=tuple(members))
         for number in range(20):
-            keeper = find_keeper(make_endpoint(f"e{number}", "south-a"), view)
+            keeper = select_keeper(make_endpoint(f"e{number}", "south-a"), view)
             self.assertEqual(keeper.instance.failure_domain.region, "south")
 
     def test_losing_one_member_moves_only_its_endpoints(self) -> None:
@@ -46,11 +46,11 @@
         after = MembershipView(members=tuple(members[1:]))
         for number in range(50):
             endpoint = make_endpoint(f"e{number}", "north-a")
-            old = find_keeper(endpoint, before).instance.name
+            old = select_keeper(endpoint, before).instance.name
             if old != "n0":
-                self.assertEqual(find_keeper(endpoint, after).instance.name, old)
+                self.assertEqual(select_keeper(endpoint, after).instance.name, old)
 
     def test_leaving_member_keeps_nothing(self) -> None:
         leaving = make_member("n0", region="north", state=MemberState.LEAVING)
         view = MembershipView(members=(leaving,))
-        self.assertIsNone(find_keeper(make_endpoint("e", "north-a"), view))
+        self.assertIsNone(select_keeper(make_endpoint("e", "north-a"), view))
--- a/tests/test_keepers.py
+++ b/tests/test_keepers.py
@@ -6,9 +6,9 @@
 from typing import TYPE_CHECKING, Final
 
 from guavamast.errors import ErrorCode
+from guavamast.fleet_objects import Configuration, Endpoint, EndpointKind, ServiceClass
 from guavamast.keepers import EndpointKeeper
 from guavamast.slots import Ask, Granted, LoadReport, Paused, Queued, Refused, Release
-from guavamast.world import Configuration, Endpoint, EndpointKind, ServiceClass
 
 if TYPE_CHECKING:
     from guavamast.slots import KeeperEvent
@@ -72,7 +72,7 @@
 class StarvationTest(unittest.TestCase):
     """A lower class gets its share under overload of higher tiers."""
 
-    def test_overload_of_top_tier_leaves_room_at_the_door(self) -> None:
+    def test_overload_of_top_tier_does_not_reject_lower_class(self) -> None:
         # Failure: while drafting overloads the engine, each tagging ask is rejected as "deadline
         # unreachable". Its wait was estimated as if all drafting asks went before it even on the
         # class's own share, so it never waited and never got a start by share.
@@ -147,7 +147,7 @@
         (event,) = keeper.ask(make_ask("s", "summaries"), now=1.1)
         self.assertIsInstance(event, Paused)
 
-    def test_call_that_may_not_run_twice_is_left_alone(self) -> None:
+    def test_non_idempotent_call_is_not_paused(self) -> None:
         keeper = make_keeper()
         keeper.ask(make_ask("s", "summaries", idempotent=False), now=0.0)
         events = keeper.ask(make_ask("d", "drafting"), now=0.0)
@@ -169,7 +169,7 @@
             order += [event.ask.ask_id for event in keeper.release(release, now=1.1)]
         self.assertEqual(order, ["fresh", "late"])
 
-    def test_late_ask_without_a_chance_is_told_at_once(self) -> None:
+    def test_late_ask_that_cannot_meet_its_deadline_is_rejected_early(self) -> None:
         keeper = make_keeper()
         events = []
         for number in range(400):
@@ -186,9 +186,9 @@
             events += keeper.ask(make_ask(f"d{number}", "drafting", deadline=now + 30.0), now=now)
         refused = [event.ask for event in events if isinstance(event, Refused)]
         self.assertGreater(len(refused), 300)
-        self.assertLess(keeper.make_probe(now=40.0).queued, 90)
+        self.assertLess(keeper.build_probe(now=40.0).queued, 90)
 
-    def test_first_burst_is_kept(self) -> None:
+    def test_first_burst_is_not_rejected(self) -> None:
         # Failure: most of 200 callers of a fleet that has just started are rejected within half a
         # second although its engines respond in 20 ms. The wait was computed from a default.
         keeper = make_keeper(slots=16)
@@ -213,7 +213,7 @@
         (event,) = tick_until(keeper, 6.0)
         self.assertIsInstance(event, Granted)
 
-    def test_wrong_report_never_closes_an_engine(self) -> None:
+    def test_wrong_report_does_not_block_an_engine(self) -> None:
         keeper = make_keeper(slots=8)
         keeper.record_load(LoadReport(endpoint="e", as_of=1.0, running=0, kv_free=0.0), now=1.0)
         for number in range(2):
@@ -235,7 +235,7 @@
 class RefusalTest(unittest.TestCase):
     """Asks that can't meet their deadline are rejected at once; estimates can be corrected."""
 
-    def test_unreachable_deadline_is_refused_with_a_time_to_come_back(self) -> None:
+    def test_unreachable_deadline_is_rejected_with_a_retry_time(self) -> None:
         keeper = make_keeper()
         for number in range(8):
             keeper.ask(make_ask(f"seen{number}", "summaries"), now=0.0)
--- a/tests/test_keepers_properties.py
+++ b/tests/test_keepers_properties.py
@@ -12,10 +12,16 @@
 
 from guavamast._round_robin import QUANTUM
 from guavamast.errors import ErrorCode
+from guavamast.fleet_objects import (
+    Configuration,
+    Endpoint,
+    EndpointKind,
+    EndpointState,
+    ServiceClass,
+)
 from guavamast.keepers import EndpointKeeper
-from guavamast.queues import DEBT_CEILING, MAX_WORK
+from guavamast.queues import MAX_CREDIT, MAX_WORK
 from guavamast.slots import Ask, Granted, KeeperEvent, LoadReport, Paused, Queued, Refused, Release
-from guavamast.world import Configuration, Endpoint, EndpointKind, EndpointState, ServiceClass
 
 SHARES: Final = {"drafting": 0.0, "tagging": 0.2, "summaries": 0.3}
 LIMITS: Final = {"drafting": 4, "tagging": 4, "summaries": 4}
@@ -24,7 +30,7 @@
 ENTRIES: Final = ("a", "b")
 ORGANISATIONS: Final = ("florist", "plumber", "baker")
 MAX_PASSED_OVER: Final = {
-    name: (DEBT_CEILING + MAX_WORK) / share + 2 for name, share in SHARES.items() if share
+    name: (MAX_CREDIT + MAX_WORK) / share + 2 for name, share in SHARES.items() if share
 }
 """Non-strict starts within which a waiting class gets one: from the credit after its longest run to
 the maximum credit, plus one for each class with a share."""
@@ -457,7 +463,7 @@
 
     @invariant()
     def slots_do_not_leak(self) -> None:
-        probe = self.keeper.make_probe(now=self.now)
+        probe = self.keeper.build_probe(now=self.now)
         assert probe.in_flight == len(self.list_asks(State.GRANTED, State.PAUSED))
         assert probe.queued == len(self.list_asks(State.QUEUED))
 
@@ -470,7 +476,7 @@
     @invariant()
     def deficits_are_bounded(self) -> None:
         for queue in self.keeper._queue.list_classes():  # noqa: SLF001
-            assert -MAX_WORK <= queue.credit <= DEBT_CEILING
+            assert -MAX_WORK <= queue.credit <= MAX_CREDIT
             for deficit in queue.round_robin.list_deficits():
                 assert -DEFICIT_LIMIT <= deficit <= QUANTUM
 
@@ -499,7 +505,7 @@
                     self.end_ask(tracked)
             self.handle(self.keeper.tick(now=self.now))
         assert not self.list_asks(State.NEW, State.QUEUED, State.GRANTED, State.PAUSED)
-        assert self.keeper.make_probe(now=self.now).in_flight == 0
+        assert self.keeper.build_probe(now=self.now).in_flight == 0
 
 
 KeeperTest = KeeperMachine.TestCase
--- a/tests/test_limits_properties.py
+++ b/tests/test_limits_properties.py
@@ -11,6 +11,7 @@
 
 from guavamast.allotments import BURST_S, PREFETCH_S, VALIDITY_S, Allotment, AllotmentDispatcher
 from guavamast.errors import ErrorCode
+from guavamast.fleet_objects import Contract, FailureDomain, Instance, Organisation
 from guavamast.limits import (
     ASK_RETRY_INTERVAL_S,
     ASK_TIMEOUT_S,
@@ -19,7 +20,6 @@
     EntryLimiter,
 )
 from guavamast.members import Member, MembershipView, MemberState
-from guavamast.world import Contract, FailureDomain, Instance, Organisation
 
 ENTRIES = 4
 RATE = 3.0
@@ -126,7 +126,7 @@
     @example(phases=[([1, 1, 1, 1], 200, 1)], seed=1, delay_ticks=2)
     @example(phases=[([5, 0, 0, 0], 20, 200), ([0, 5, 5, 5], 200, 200)], seed=1, delay_ticks=2)
     @given(phases=PHASES, seed=st.integers(0, 99), delay_ticks=st.integers(1, 8))
-    def test_limits_hold_while_the_home_is_heard(
+    def test_limits_hold_while_the_home_answers(
         self, phases: list, seed: int, delay_ticks: int
     ) -> None:
         self.assertLess(delay_ticks * TICK_S, ASK_TIMEOUT_S)
@@ -139,7 +139,7 @@
         delay_ticks=st.integers(1, 100),
         loss=st.sampled_from([0.0, 0.3, 0.9]),
     )
-    def test_late_and_lost_answers_cost_at_most_the_even_parts(
+    def test_late_and_lost_answers_exceed_the_limit_by_at_most_the_even_shares(
         self, phases: list, seed: int, delay_ticks: int, loss: float
     ) -> None:
         """An organisation gets more than its limit.
@@ -180,7 +180,7 @@
             self.exchange(now=now)
         self.assertGreaterEqual(granted, 0.95 * RATE * 40)
 
-    def test_concurrency_is_refused_with_its_code(self) -> None:
+    def test_concurrency_is_rejected_with_its_code(self) -> None:
         for _ in range(CONCURRENT + 1):
             self.entry.admit(ORGANISATION, now=0.0)
         self.exchange(now=0.0)
@@ -195,7 +195,7 @@
         self.assertEqual(last.state, AdmissionState.REFUSED)
         self.assertEqual(last.code, ErrorCode.CONCURRENCY_LIMITED)
 
-    def test_unheard_home_leaves_an_even_part(self) -> None:
+    def test_unreachable_home_leaves_an_even_share(self) -> None:
         """All callers are rejected, or an organisation gets its limit many times over.
 
         The home is unreachable. Rejecting all requests would be an outage, and admitting all would
@@ -213,7 +213,7 @@
         self.assertLessEqual(granted, share + 1)
         self.assertGreaterEqual(granted, share * 0.9 - 1)
 
-    def test_running_requests_are_reported_after_their_part_ran_out(self) -> None:
+    def test_running_requests_are_reported_after_their_allotment_expired(self) -> None:
         """An organisation runs more concurrent requests than its limit.
 
         The entry's allotment expired while the home was unreachable. If the next ask did not
--- a/tests/test_log_report.py
+++ b/tests/test_log_report.py
@@ -11,7 +11,7 @@
 from typing import Any
 
 from guavamast.cli import run
-from guavamast.log_report import GroupTally, read_lines, show_report, tally
+from guavamast.log_report import GroupTally, count_outcomes, decode_lines, format_report
 
 
 def format_line(event: str, **fields: Any) -> str:
@@ -45,7 +45,9 @@
     """Each request that ended or was rejected counts once, in its group."""
 
     def count(self, by: str) -> dict[str, dict[str, int]]:
-        return {group.name: dict(group.outcomes) for group in tally(read_lines(LINES), by=by)}
+        return {
+            group.name: dict(group.outcomes) for group in count_outcomes(decode_lines(LINES), by=by)
+        }
 
     def test_by_route(self) -> None:
         self.assertEqual(
@@ -64,16 +66,16 @@
         seconds = self.count("second")
         self.assertEqual(seconds["    1"], {"failed": 1, "refused no room in time": 1})
 
-    def test_an_error_of_the_endpoint_is_no_answer_in_time(self) -> None:
+    def test_an_endpoint_error_does_not_count_as_in_time(self) -> None:
         line = format_line("ended", request_id="x", outcome="answered", status=500, late=None)
-        groups = tally(read_lines([line]), by="route")
+        groups = count_outcomes(decode_lines([line]), by="route")
         self.assertEqual(groups[0].outcomes["error"], 1)
 
     def test_the_table_names_each_outcome(self) -> None:
-        table = show_report(tally(read_lines(LINES), by="route"))
+        table = format_report(count_outcomes(decode_lines(LINES), by="route"))
         self.assertIn("LATE PAUSE", table)
         self.assertIn("100/100", table)
-        self.assertEqual(show_report(list[GroupTally]()), "none")
+        self.assertEqual(format_report(list[GroupTally]()), "none")
 
     def test_the_command_prints_the_table_of_all_files(self) -> None:
         with tempfile.TemporaryDirectory() as directory:
--- a/tests/test_operations_processes.py
+++ b/tests/test_operations_processes.py
@@ -150,7 +150,7 @@
         outcomes = {log.outcomes[-1] for log in self.logs}
         self.assertIn("answered", outcomes)
 
-    async def test_entry_frozen_past_the_deadlines(self) -> None:
+    async def test_entry_paused_past_the_deadlines(self) -> None:
         # The entry is paused during sixty approvals until all their deadlines have passed. Callers
         # retry at the other instance meanwhile; then the entry resumes. What it sent before has run
         # once at most, and what it had not sent is never sent.
@@ -171,7 +171,7 @@
         for first, second in zip(self.logs[:60], retried, strict=True):
             self.assertLessEqual(len({*first.responses, *second.responses}), 1, first.key)
 
-    async def test_service_frozen_past_the_deadline(self) -> None:
+    async def test_service_paused_past_the_deadline(self) -> None:
         # The service is paused during an approval, and the caller's deadline passes: outcome
         # unknown. The service resumes, the entry records its response, and the other instance
         # serves it.
@@ -196,7 +196,7 @@
         self.assertEqual(retry.code, 200)
         self.assertEqual(await self.fleet.read_runs(), {"frozen": 1})
 
-    async def test_platform_loses_answers_and_goes_down(self) -> None:
+    async def test_platform_loses_responses_and_goes_down(self) -> None:
         # During approvals the platform first closes connections after its writes, then answers
         # 503. No key runs twice, rejections as not run are true, and after the outage each key gets
         # a response.
@@ -212,7 +212,7 @@
         outcomes = {log.outcomes[-1] for log in self.logs}
         self.assertEqual(outcomes, {"answered"})
 
-    async def test_same_keys_at_both_instances_while_answers_are_lost(self) -> None:
+    async def test_same_keys_at_both_instances_while_responses_are_lost(self) -> None:
         # Callers send each key to both instances at once, first without a fault, then while the
         # services close connections after the run. An insert without its check, or a second send
         # after a lost response, would run a key twice.
@@ -226,7 +226,7 @@
         lost = [log for log in self.logs if log.key.startswith("lost")]
         self.assertIn("outcome_unknown", {log.outcomes[-1] for log in lost})
 
-    async def test_answers_lost_by_both_and_entry_killed(self) -> None:
+    async def test_responses_lost_by_both_and_entry_killed(self) -> None:
         # Platform and services close connections after their work, and the entry is killed.
         sending = asyncio.ensure_future(self.send_requests("pair", count=40, number=0))
         await self.wait_for_runs(5)
--- a/tests/test_operations_properties.py
+++ b/tests/test_operations_properties.py
@@ -12,12 +12,12 @@
 from hypothesis import given, settings
 from hypothesis import strategies as st
 
-from guavamast.operations import compute_sweep_interval, find_due_prefix
+from guavamast.operations import compute_sweep_interval, select_sweep_prefix
 from tests.operation_fakes import ENDPOINTS, create_simulation
-from tests.operation_world import FAULTS, Fault
+from tests.operation_simulation import FAULTS, Fault
 
 if TYPE_CHECKING:
-    from tests.operation_world import CallerRequest, Step, World
+    from tests.operation_simulation import CallerRequest, OperationSimulation, Step
 
 NAMES = ("a", "b", "c")
 KEYS = ("k1", "k2")
@@ -76,7 +76,7 @@
 STARTS = st.builds(Start, st.integers(1, len(NAMES)), st.booleans(), st.booleans())
 
 
-async def apply_event(simulation: World, event: Event) -> None:
+async def apply_event(simulation: OperationSimulation, event: Event) -> None:
     """Apply one event, if it is possible."""
     name = NAMES[event.pick % len(NAMES)]
     if event.kind is EventKind.ASK and name not in simulation.dead:
@@ -96,7 +96,7 @@
     await simulation.settle()
 
 
-def change_environment(simulation: World, event: Event, name: str) -> None:
+def change_environment(simulation: OperationSimulation, event: Event, name: str) -> None:
     """Kill, pause or resume an instance, or change slots or configuration."""
     if event.kind is EventKind.KILL and len(simulation.dead) < len(NAMES) - 1:
         simulation.kill(name)
@@ -129,7 +129,7 @@
 
     @settings(max_examples=HISTORY_COUNT)
     @given(STARTS, st.lists(EVENTS, min_size=30, max_size=90))
-    def test_promises_hold(self, start: Start, events: list[Event]) -> None:
+    def test_guarantees_hold(self, start: Start, events: list[Event]) -> None:
         self.assertEqual(asyncio.run(run_history(start, events)), [])
 
 
@@ -140,12 +140,12 @@
     def test_every_key_is_swept(self, retention_s: float, now: float, key: str) -> None:
         interval_s = compute_sweep_interval(retention_s)
         self.assertGreaterEqual(interval_s, 1.0)
-        first = find_due_prefix(retention_s=retention_s, now=now)
+        first = select_sweep_prefix(retention_s=retention_s, now=now)
         count = 16 ** len(first)
         number = int(key[: len(first)], 16)
         due = now + (number - int(first, 16)) % count * interval_s
         found = {
-            find_due_prefix(retention_s=retention_s, now=due + shift * interval_s)
+            select_sweep_prefix(retention_s=retention_s, now=due + shift * interval_s)
             for shift in (-0.5, 0.0, 0.5)
         }
         self.assertIn(key[: len(first)], found)
@@ -188,7 +188,7 @@
     return simulation.find_violations()
 
 
-async def run_until_replied(simulation: World, request: CallerRequest) -> None:
+async def run_until_replied(simulation: OperationSimulation, request: CallerRequest) -> None:
     """Resume the steps of one instance until its caller has a reply."""
     for _ in range(100):
         await simulation.settle()
@@ -198,7 +198,9 @@
         await simulation.resume(min(steps, key=lambda step: step.due), Fault.NONE)
 
 
-async def apply_injection(simulation: World, injection: Injection | None, step: Step) -> None:
+async def apply_injection(
+    simulation: OperationSimulation, injection: Injection | None, step: Step
+) -> None:
     """Resume a step with an injected fault, if any."""
     if injection is None or injection.fault is not None:
         await simulation.resume(step, Fault.NONE if injection is None else injection.fault)
--- a/tests/test_operators.py
+++ b/tests/test_operator_handlers.py
@@ -14,19 +14,19 @@
 
 from guavamast.clocks import SystemClock
 from guavamast.fleet import parse_configuration
+from guavamast.fleet_objects import Configuration
 from guavamast.fleet_status import FleetStatus, InstanceStatus, StatusSource
-from guavamast.operator_tokens import CallerKeys, TokenFileAuthenticator, look_up_operator
-from guavamast.operators import make_operator_routes
-from guavamast.world import Configuration
+from guavamast.operator_handlers import build_operator_routes
+from guavamast.operator_tokens import CallerKeyDirectory, TokenFileAuthenticator, look_up_operator
 from tests.fake_platform import FakePlatform
-from tests.test_fleet import GOOD
+from tests.test_fleet import VALID_FLEET
 from tests.test_plan_store import FASTER, make_store
 
 if TYPE_CHECKING:
     from tornado.httpclient import HTTPResponse
 
 
-class FakeDaemon(StatusSource, CallerKeys):
+class FakeDaemon(StatusSource, CallerKeyDirectory):
     """Test double of the entry daemon."""
 
     def __init__(self) -> None:
@@ -57,7 +57,7 @@
             raise RuntimeError("not now")
         self.configuration = configuration
 
-    def knows_key(self, key_sha256: str) -> bool:
+    def has_key(self, key_sha256: str) -> bool:
         return key_sha256 == hashlib.sha256(b"callers-key").hexdigest()
 
 
@@ -74,7 +74,7 @@
         self.tokens.write_text("# operators\nanna secret-a\nbert secret-b\n")
         self.platform = FakePlatform()
         self.daemon = FakeDaemon()
-        routes = make_operator_routes(
+        routes = build_operator_routes(
             store=make_store(self.platform),
             authenticator=TokenFileAuthenticator(path=self.tokens, callers=self.daemon),
             status=self.daemon,
@@ -98,28 +98,28 @@
 
     def test_first_plan_of_a_fleet_without_configuration(self) -> None:
         self.assertEqual(self.read(self.call("/v1/configuration"), 200)["version"], 0)
-        plan = self.read(self.call("/v1/plans", GOOD), 201)
+        plan = self.read(self.call("/v1/plans", VALID_FLEET), 201)
         self.assertEqual(plan["base_version"], 0)
         self.assertEqual(plan["proposed_by"], "anna")
         self.assertEqual(self.read(self.call("/v1/configuration"), 200)["text"], "")
         path = f"/v1/plans/{plan['id']}"
         self.assertIsNone(self.read(self.call(path), 200)["accepted_version"])
         self.assertEqual(self.read(self.call(f"{path}/confirm", ""), 200), {"version": 1})
-        self.assertEqual(self.daemon.configuration.text, GOOD)
+        self.assertEqual(self.daemon.configuration.text, VALID_FLEET)
         self.assertEqual(self.read(self.call(path), 200)["accepted_version"], 1)
-        self.assertEqual(self.read(self.call("/v1/configuration"), 200)["text"], GOOD)
+        self.assertEqual(self.read(self.call("/v1/configuration"), 200)["text"], VALID_FLEET)
         self.assertEqual(self.read(self.call("/v1/configuration?version=1"), 200)["version"], 1)
         record = self.read(self.call("/v1/audit"), 200)["records"][0]
         self.assertEqual((record["who"], record["version"]), ("anna", 1))
 
-    def test_findings_are_all_told(self) -> None:
+    def test_reports_all_findings(self) -> None:
         error = self.read(self.call("/v1/plans", "[class a]\ntier = x\n[b]\n"), 400)["error"]
         self.assertEqual(error["code"], "configuration_invalid")
         self.assertEqual(len(error["findings"]), 5)
         self.assertEqual(error["findings"][-1]["line"], 3)
 
     def test_conflict_shows_the_difference(self) -> None:
-        first = self.read(self.call("/v1/plans", GOOD), 201)["id"]
+        first = self.read(self.call("/v1/plans", VALID_FLEET), 201)["id"]
         second = self.read(self.call("/v1/plans", FASTER, token="secret-b"), 201)["id"]
         self.read(self.call(f"/v1/plans/{second}/confirm", "", token="secret-b"), 200)
         error = self.read(self.call(f"/v1/plans/{first}/confirm", ""), 409)["error"]
@@ -129,28 +129,28 @@
         self.assertEqual(len(error["difference"]), 10)
 
     def test_unknown_outcome_and_outage(self) -> None:
-        plan = self.read(self.call("/v1/plans", GOOD), 201)["id"]
+        plan = self.read(self.call("/v1/plans", VALID_FLEET), 201)["id"]
         self.platform.faults.append("lost_then_down")
         response = self.call(f"/v1/plans/{plan}/confirm", "")
         self.assertEqual(self.read(response, 503)["error"]["outcome"], "outcome_unknown")
         self.assertIn("Retry-After", response.headers)
         self.assertEqual(self.read(self.call(f"/v1/plans/{plan}/confirm", ""), 200)["version"], 1)
-        self.daemon.configuration = parse_configuration(GOOD, file="f", version=1)
+        self.daemon.configuration = parse_configuration(VALID_FLEET, file="f", version=1)
         self.platform.down_calls = 2
         shown = self.read(self.call("/v1/configuration"), 200)
         self.assertEqual((shown["version"], shown["source"]), (1, "instance"))
         self.assertEqual(self.read(self.call("/v1/audit"), 503)["error"]["outcome"], "not_run")
 
-    def test_accepted_stays_accepted_when_spreading_fails(self) -> None:
+    def test_confirmation_succeeds_when_the_local_update_fails(self) -> None:
         # The version is in force on the platform, so an error response would mislead the
         # operator. The response names the version; instances pick it up by polling.
-        plan = self.read(self.call("/v1/plans", GOOD), 201)["id"]
+        plan = self.read(self.call("/v1/plans", VALID_FLEET), 201)["id"]
         self.daemon.fails_to_accept = True
         with self.assertLogs("absl", "ERROR"):
             response = self.call(f"/v1/plans/{plan}/confirm", "")
         self.assertEqual(self.read(response, 200), {"version": 1})
 
-    def test_keeps_others_out(self) -> None:
+    def test_rejects_requests_without_an_operator_token(self) -> None:
         paths = ["/v1/plans", "/v1/plans/p1/confirm", "/v1/plans/p1", "/v1/configuration"]
         for path in [*paths, "/v1/status", "/v1/audit"]:
             body = "" if path.endswith(("plans", "confirm")) else None
@@ -165,8 +165,8 @@
         with self.assertLogs("absl", "ERROR"):
             self.assertEqual(self.call("/v1/status").code, 401)
 
-    def test_status_names_who_is_behind(self) -> None:
-        plan = self.read(self.call("/v1/plans", GOOD), 201)["id"]
+    def test_status_lists_instances_on_older_versions(self) -> None:
+        plan = self.read(self.call("/v1/plans", VALID_FLEET), 201)["id"]
         self.call(f"/v1/plans/{plan}/confirm", "")
         status = self.read(self.call("/v1/status"), 200)
         self.assertEqual((status["configuration_version"], status["behind"]), (1, ["entry-02"]))
@@ -178,9 +178,9 @@
         self.assertEqual(self.call("/v1/configuration?version=7").code, 404)
         for limit in ("0", "-1", "x", "1" * 30, "1e3"):
             self.assertEqual(self.call(f"/v1/audit?limit={limit}").code, 400)
-        self.assertEqual(self.call("/v1/plans", GOOD + "#" * 2_000_000).code, 201)
+        self.assertEqual(self.call("/v1/plans", VALID_FLEET + "#" * 2_000_000).code, 201)
 
-    def test_large_bodies_are_not_kept(self) -> None:
+    def test_large_bodies_are_rejected_unbuffered(self) -> None:
         # An endless body would exhaust the entry's memory, even without a token. The connection
         # is closed at the handler's own limit, although this listener accepts 100 megabytes.
         for path, size, token in (
--- a/tests/test_order_http.py
+++ b/tests/test_order_http.py
@@ -4,10 +4,10 @@
 
 import unittest
 
+from guavamast.fleet_objects import Endpoint, EndpointKind
 from guavamast.order_http import HttpOrderSender
 from guavamast.orders import EndpointReport, Order, OrderOutcome
 from guavamast.standins.engine import EngineStandin
-from guavamast.world import Endpoint, EndpointKind
 
 
 def build_order(fencing: int, version: str) -> Order:
--- a/tests/test_order_loop.py
+++ b/tests/test_order_loop.py
@@ -7,13 +7,13 @@
 from typing import TYPE_CHECKING
 from unittest import mock
 
+from guavamast.fleet_objects import Fencing
 from guavamast.order_loop import KeptEndpoints, OrderLoop
-from guavamast.world import Fencing
-from tests.order_world import Holder, OrderSimulation, build_fleet
+from tests.order_simulation import Holder, OrderSimulation, build_fleet
 
 if TYPE_CHECKING:
+    from guavamast.fleet_objects import Configuration, Endpoint
     from guavamast.orders import EndpointReport
-    from guavamast.world import Configuration, Endpoint
 
 
 class FakeKeptEndpoints(KeptEndpoints):
@@ -48,7 +48,7 @@
         self.simulation = OrderSimulation(fencing=Fencing.CHECKED)
         self.holder = Holder(self.simulation, "a")
         self.kept = FakeKeptEndpoints(build_fleet(engines=4))
-        self.loop = OrderLoop(giver=self.holder.giver, kept=self.kept, clock=self.holder.clock)
+        self.loop = OrderLoop(issuer=self.holder.giver, kept=self.kept, clock=self.holder.clock)
 
     async def run_rounds(self, count: int) -> None:
         """Run rounds with a pause after each."""
@@ -62,7 +62,7 @@
         self.assertEqual(len(self.simulation.reported), 4)
         self.assertEqual((self.kept.out, self.kept.max_out), (set(), 1))
 
-    async def test_silent_engines_are_waited_for_together(self) -> None:
+    async def test_unresponsive_engines_are_polled_concurrently(self) -> None:
         # Each engine that doesn't respond costs a timeout. Polled one after another, such engines
         # would delay the loading of the others by the sum of the timeouts.
         sender, waiting, most = self.holder.sender, 0, 0
@@ -80,7 +80,7 @@
             await self.loop.run_round()
         self.assertEqual(most, 4)
 
-    async def test_an_outage_holds_up_nothing_for_good(self) -> None:
+    async def test_rollout_resumes_after_a_platform_outage(self) -> None:
         # The platform fails for a while during a rollout. The loop must continue, and an endpoint
         # that has loaded gets work again although its list entry can't be removed.
         await self.run_rounds(2)
@@ -92,7 +92,7 @@
         await self.run_rounds(20)
         self.assertEqual(len(self.simulation.reported), 4)
 
-    async def test_an_endpoint_that_another_keeps_is_let_go(self) -> None:
+    async def test_endpoint_kept_by_another_instance_is_released(self) -> None:
         self.kept.running = 1
         await self.run_rounds(3)
         self.assertEqual(self.kept.out, {"e0"})
--- a/tests/test_orders.py
+++ b/tests/test_orders.py
@@ -4,11 +4,11 @@
 
 import unittest
 
-from guavamast.order_giver import OUT_OF_USE_KEY, ROLLOUT_TABLE, decode_out_of_use
+from guavamast.fleet_objects import Fencing
+from guavamast.order_issuer import OUT_OF_USE_KEY, ROLLOUT_TABLE, decode_out_of_use
 from guavamast.platform_client import PlatformUnavailable
 from guavamast.rollouts import RolloutLimits, may_take_out
-from guavamast.world import Fencing
-from tests.order_world import PARAMETERS, Holder, OrderSimulation, build_fleet
+from tests.order_simulation import PARAMETERS, Holder, OrderSimulation, build_fleet
 
 FULL_WAIT_S = (PARAMETERS.duration_s + PARAMETERS.order_time_s) * (1.0 + PARAMETERS.clock_drift)
 
@@ -20,7 +20,7 @@
         """Return the endpoints that the platform lists as out of use."""
         return decode_out_of_use(simulation.platform.find_row(ROLLOUT_TABLE, OUT_OF_USE_KEY))
 
-    async def test_loads_and_gives_everything_back(self) -> None:
+    async def test_loads_the_model_and_puts_the_endpoint_back_into_use(self) -> None:
         simulation = OrderSimulation(fencing=Fencing.CHECKED)
         holder, fleet = Holder(simulation, "a"), build_fleet()
         await holder.run(fleet)
@@ -97,7 +97,7 @@
         self.assertEqual(simulation.reported["e0"], {"m": "2"})
         self.assertFalse(second.giver.is_out_of_use("e0"))
 
-    async def test_lost_answer_is_not_ordered_twice(self) -> None:
+    async def test_order_with_a_lost_response_is_not_sent_twice(self) -> None:
         # The engine accepts the order and its response is lost. A retry would start a load of many
         # minutes a second time; the report shows the effect, so nothing is sent again.
         simulation = OrderSimulation(fencing=Fencing.CHECKED)
@@ -121,7 +121,7 @@
         self.assertEqual([order.version for order in holder.sender.sent], ["1", "2"])
         self.assertEqual(simulation.reported["e0"], {"m": "2"})
 
-    async def test_rate_limited_store_is_asked_less_and_less(self) -> None:
+    async def test_retries_back_off_while_the_store_is_rate_limited(self) -> None:
         simulation = OrderSimulation(fencing=Fencing.CHECKED)
         holder, fleet = Holder(simulation, "a"), build_fleet()
         holder.sender.faults.extend(["limited"] * 5)
@@ -177,14 +177,14 @@
 
     def test_floor_and_number(self) -> None:
         fleet = build_fleet(engines=4)
-        limits = RolloutLimits(loading=3, floor=0.5)
+        limits = RolloutLimits(max_loading=3, min_slot_share=0.5)
         endpoint = fleet.endpoints["e0"]
         allowed = [
             may_take_out(fleet, endpoint, out=out, limits=limits)
             for out in ([], ["e1"], ["e1", "e2"], ["e0", "e1"], ["gone", "e0"])
         ]
         self.assertEqual(allowed, [True, True, False, True, True])
-        few = RolloutLimits(loading=1, floor=0.0)
+        few = RolloutLimits(max_loading=1, min_slot_share=0.0)
         self.assertFalse(may_take_out(fleet, endpoint, out=["e1"], limits=few))
 
     def test_a_group_of_one_can_load(self) -> None:
--- a/tests/test_orders_properties.py
+++ b/tests/test_orders_properties.py
@@ -10,13 +10,13 @@
 from hypothesis import given
 from hypothesis import strategies as st
 
-from guavamast.order_giver import OUT_OF_USE_KEY, ROLLOUT_TABLE, decode_out_of_use
+from guavamast.fleet_objects import Fencing
+from guavamast.order_issuer import OUT_OF_USE_KEY, ROLLOUT_TABLE, decode_out_of_use
 from guavamast.platform_client import PlatformAnswerLost, PlatformError
-from guavamast.world import Fencing
-from tests.order_world import PARAMETERS, Holder, OrderSimulation, build_fleet
+from tests.order_simulation import PARAMETERS, Holder, OrderSimulation, build_fleet
 
 if TYPE_CHECKING:
-    from guavamast.world import Configuration
+    from guavamast.fleet_objects import Configuration
 
 DELAYS = st.lists(
     st.sampled_from([*[0.0] * 12, 1.0, 9.0, 25.0, 40.0, 200.0]), min_size=20, max_size=60
@@ -131,7 +131,7 @@
                 self.assertLessEqual(earlier.at, later.sent_at)
 
     @given(draw_scenarios(ANY_TIME))
-    def test_ends_with_the_configuration_whatever_happened(self, scenario: Scenario) -> None:
+    def test_converges_to_the_configuration_after_any_faults(self, scenario: Scenario) -> None:
         runner = ScenarioRunner(scenario)
 
         async def play() -> None:
--- a/tests/test_placement.py
+++ b/tests/test_placement.py
@@ -5,10 +5,7 @@
 import unittest
 from dataclasses import replace
 
-from guavamast.members import Member, MembershipView, MemberState
-from guavamast.placement import PROBE_LIFETIME_S, EndpointChooser, Wanted
-from guavamast.slots import Probe
-from guavamast.world import (
+from guavamast.fleet_objects import (
     Configuration,
     Endpoint,
     EndpointKind,
@@ -16,6 +13,9 @@
     FailureDomain,
     Instance,
 )
+from guavamast.members import Member, MembershipView, MemberState
+from guavamast.placement import PROBE_LIFETIME_S, EndpointChooser, EndpointRequirements
+from guavamast.slots import Probe
 
 DOMAINS = {"near-a": "near", "near-b": "near", "far-a": "far"}
 
@@ -76,7 +76,9 @@
 class EndpointChooserTest(unittest.TestCase):
     """Which endpoints are chosen, and which never are."""
 
-    def count_first(self, chooser: EndpointChooser, requirements: Wanted, *, now: float) -> dict:
+    def count_first(
+        self, chooser: EndpointChooser, requirements: EndpointRequirements, *, now: float
+    ) -> dict:
         counts: dict[str, int] = {}
         for _ in range(200):
             first = chooser.choose(requirements, now=now)[0]
@@ -85,20 +87,24 @@
 
     def test_unknown_model_gives_none(self) -> None:
         chooser = make_chooser(make_engine("a"))
-        self.assertEqual(chooser.choose(Wanted(tier=1, model="other"), now=0.0), [])
+        self.assertEqual(chooser.choose(EndpointRequirements(tier=1, model="other"), now=0.0), [])
 
     def test_leaving_and_excluded_are_never_chosen(self) -> None:
         chooser = make_chooser(
             make_engine("a"), make_engine("b"), make_engine("c", leaving=True), make_engine("d")
         )
-        requirements = Wanted(tier=1, model="m", excluded=frozenset({"b"}), count=4, prefix_key="p")
+        requirements = EndpointRequirements(
+            tier=1, model="m", excluded=frozenset({"b"}), count=4, prefix_key="p"
+        )
         for step in range(100):
             self.assertEqual(set(chooser.choose(requirements, now=step / 10)), {"a", "d"})
 
-    def test_prefix_keeps_its_home_until_the_home_is_loaded(self) -> None:
+    def test_prefix_keeps_its_affinity_endpoint_until_that_is_loaded(self) -> None:
         engines = [make_engine(f"e{number}") for number in range(6)]
         chooser = make_chooser(*engines)
-        requirements = Wanted(tier=1, model="m", prefix_key="dossier", prompt_tokens=2000)
+        requirements = EndpointRequirements(
+            tier=1, model="m", prefix_key="dossier", prompt_tokens=2000
+        )
         for engine in engines:
             chooser.record_probe(make_probe(engine.name), now=0.0)
         affinity = chooser.choose(requirements, now=0.0)[0]
@@ -109,16 +115,18 @@
         )
         self.assertNotEqual(chooser.choose(requirements, now=0.0)[0], affinity)
 
-    def test_own_region_goes_before_a_far_one(self) -> None:
+    def test_local_region_is_preferred(self) -> None:
         chooser = make_chooser(
             make_engine("a"), make_engine("b", "near-b"), make_engine("c", "far-a")
         )
         for name in "abc":
             chooser.record_probe(make_probe(name), now=0.0)
-        first = [chooser.choose(Wanted(tier=1, model="m"), now=0.0)[0] for _ in range(6)]
+        first = [
+            chooser.choose(EndpointRequirements(tier=1, model="m"), now=0.0)[0] for _ in range(6)
+        ]
         self.assertNotIn("c", first)
 
-    def test_crashed_endpoint_is_left_at_once_and_gets_one_trial(self) -> None:
+    def test_crashed_endpoint_is_avoided_at_once_and_gets_one_trial(self) -> None:
         """Guards against slow responses while a third of the endpoints could serve the caller.
 
         A crashed endpoint refuses connections at once, so its keeper sees free slots and its probe
@@ -129,7 +137,7 @@
         chooser.record_outcome("a", succeeded=False, now=0.0)
         chooser.record_probe(make_probe("a"), now=0.0)
         chooser.record_probe(make_probe("b", in_flight=4, estimated_wait_s=3.0), now=0.0)
-        requirements = Wanted(tier=1, model="m", count=1)
+        requirements = EndpointRequirements(tier=1, model="m", count=1)
         self.assertEqual(self.count_first(chooser, requirements, now=0.1), {"b": 200})
         chooser.record_probe(make_probe("a"), now=1.0)
         chooser.record_probe(make_probe("b", in_flight=4, estimated_wait_s=3.0), now=1.0)
@@ -137,32 +145,35 @@
         chooser.record_outcome("a", succeeded=True, now=1.5)
         self.assertGreater(self.count_first(chooser, requirements, now=1.5)["a"], 1)
 
-    def test_call_that_may_not_be_repeated_makes_no_trial(self) -> None:
+    def test_non_idempotent_call_makes_no_trial(self) -> None:
         chooser = make_chooser(make_engine("a"), make_engine("b"))
         chooser.record_outcome("a", succeeded=False, now=0.0)
-        requirements = Wanted(tier=1, model="m", count=1, idempotent=False)
+        requirements = EndpointRequirements(tier=1, model="m", count=1, idempotent=False)
         self.assertEqual(self.count_first(chooser, requirements, now=100.0), {"b": 200})
 
     def test_last_endpoint_is_chosen_although_it_failed(self) -> None:
         chooser = make_chooser(make_engine("a"))
         chooser.record_outcome("a", succeeded=False, now=0.0)
-        self.assertEqual(chooser.choose(Wanted(tier=1, model="m"), now=0.0), ["a"])
+        self.assertEqual(chooser.choose(EndpointRequirements(tier=1, model="m"), now=0.0), ["a"])
 
-    def test_full_endpoint_with_a_lower_tier_goes_before_one_full_of_the_own(self) -> None:
+    def test_full_endpoint_with_lower_tier_work_is_preferred(self) -> None:
         chooser = make_chooser(make_engine("a"), make_engine("b"))
         full = {"in_flight": 4, "queued": 4, "estimated_wait_s": 4.0}
         chooser.record_probe(make_probe("a", lowest_tier=1, **full), now=0.0)
         chooser.record_probe(make_probe("b", lowest_tier=3, **full), now=0.0)
-        self.assertEqual(chooser.choose(Wanted(tier=1, model="m"), now=0.0), ["b", "a"])
         self.assertEqual(
-            set(chooser.choose(Wanted(tier=3, model="m", count=2), now=0.0)), {"a", "b"}
+            chooser.choose(EndpointRequirements(tier=1, model="m"), now=0.0), ["b", "a"]
+        )
+        self.assertEqual(
+            set(chooser.choose(EndpointRequirements(tier=3, model="m", count=2), now=0.0)),
+            {"a", "b"},
         )
 
     def test_old_probe_is_discarded(self) -> None:
         chooser = make_chooser(make_engine("a"), make_engine("b"))
         chooser.record_probe(make_probe("a", estimated_wait_s=60.0, in_flight=4), now=0.0)
         chooser.record_probe(make_probe("b"), now=0.0)
-        requirements = Wanted(tier=1, model="m", count=1)
+        requirements = EndpointRequirements(tier=1, model="m", count=1)
         self.assertNotIn("a", self.count_first(chooser, requirements, now=0.1))
         later = PROBE_LIFETIME_S + 0.1
         self.assertGreater(self.count_first(chooser, requirements, now=later).get("a", 0), 0)
--- a/tests/test_placement_properties.py
+++ b/tests/test_placement_properties.py
@@ -7,9 +7,9 @@
 from hypothesis import given
 from hypothesis import strategies as st
 
-from guavamast.placement import Wanted
+from guavamast.fleet_objects import Configuration
+from guavamast.placement import EndpointRequirements
 from guavamast.prefix_ring import PrefixRing
-from guavamast.world import Configuration
 from tests.test_placement import make_chooser, make_engine, make_probe, make_view
 
 NAMES = tuple("abcdefgh")
@@ -50,7 +50,7 @@
                 engines = {each: make_engine(each, leaving=each in leaving) for each in NAMES}
                 chooser.configure(Configuration(version=2, endpoints=engines), make_view())
             else:
-                requirements = Wanted(
+                requirements = EndpointRequirements(
                     tier=1, model="m", prefix_key=name, excluded=excluded, count=count
                 )
                 chosen = chooser.choose(requirements, now=now)
@@ -61,7 +61,7 @@
                 self.assertEqual(bool(chosen), bool(left))
 
     @given(steps=STEPS, seed=st.integers(0, 999))
-    def test_failed_endpoint_is_left_while_another_works(self, steps: list, seed: int) -> None:
+    def test_failed_endpoint_is_avoided_while_another_works(self, steps: list, seed: int) -> None:
         chooser = make_chooser(make_engine("a"), make_engine("b"), seed=seed)
         now = 0.0
         for _, name, wait_s, _ in steps:
@@ -69,7 +69,7 @@
             chooser.record_probe(make_probe("a"), now=now)
             chooser.record_probe(make_probe("b", in_flight=4, estimated_wait_s=9.0), now=now)
             chooser.record_outcome("a", succeeded=False, now=now)
-            requirements = Wanted(tier=1, model="m", prefix_key=name, count=1)
+            requirements = EndpointRequirements(tier=1, model="m", prefix_key=name, count=1)
             self.assertEqual(chooser.choose(requirements, now=now + 0.2), ["b"])
 
 
@@ -77,13 +77,15 @@
     """Prefixes keep their affinity endpoint when other endpoints are added or removed."""
 
     @given(key=st.text(max_size=5), names=st.frozensets(st.sampled_from(NAMES), min_size=2))
-    def test_home_moves_only_with_its_own_endpoint(self, key: str, names: frozenset) -> None:
+    def test_affinity_endpoint_changes_only_when_it_leaves(
+        self, key: str, names: frozenset
+    ) -> None:
         first, second = PrefixRing(names).select(key, 2)
         for removed in names - {first}:
             self.assertEqual(PrefixRing(names - {removed}).select(key, 1), [first])
         self.assertEqual(PrefixRing(names - {first}).select(key, 1), [second])
 
-    def test_shares_are_near_even(self) -> None:
+    def test_shares_are_nearly_even(self) -> None:
         names = [f"e{number}" for number in range(10)]
         ring = PrefixRing(names)
         selected = [ring.select(f"prefix-{number}", 1)[0] for number in range(5000)]
--- a/tests/test_plan_store_properties.py
+++ b/tests/test_plan_store_properties.py
@@ -14,7 +14,7 @@
 from guavamast.plan_store import ConfirmationUnknown, PlanConflict, PlanStore
 from guavamast.platform_client import PlatformUnavailable
 from tests.fake_platform import FakePlatform
-from tests.test_fleet import GOOD
+from tests.test_fleet import VALID_FLEET
 
 FAULTS = st.sampled_from(["ok", "ok", "down", "lost", "cut", "late", "lost_then_down"])
 STEPS = st.lists(
@@ -56,7 +56,7 @@
 
     async def propose(self, number: int) -> None:
         """Propose a changed number of slots."""
-        text = GOOD.replace("slots = 8", f"slots = {number + 1}")
+        text = VALID_FLEET.replace("slots = 8", f"slots = {number + 1}")
         try:
             self.plans.append((await self.store.propose(text, who="anna", now=0.0)).id)
         except PlatformUnavailable:
@@ -79,9 +79,7 @@
     """Each version comes from one plan, each plan gives one version, versions never decrease."""
 
     @given(STEPS)
-    def test_one_plan_a_version_and_one_version_a_plan(
-        self, steps: list[tuple[str, int, str]]
-    ) -> None:
+    def test_plans_and_versions_map_one_to_one(self, steps: list[tuple[str, int, str]]) -> None:
         asyncio.run(self.check(steps))
 
     async def check(self, steps: list[tuple[str, int, str]]) -> None:
--- a/tests/test_plans.py
+++ b/tests/test_plans.py
@@ -5,12 +5,12 @@
 import unittest
 
 from guavamast.fleet import parse_configuration
+from guavamast.fleet_objects import Configuration
 from guavamast.plans import Plan, WarningCode, compute_plan
-from guavamast.world import Configuration
-from tests.test_fleet import GOOD
+from tests.test_fleet import VALID_FLEET
 
-BASE = parse_configuration(GOOD, file="f", version=4)
-ACTIVE = GOOD.replace("state = leaving\n\n[call", "\n[call").replace(
+BASE = parse_configuration(VALID_FLEET, file="f", version=4)
+ACTIVE = VALID_FLEET.replace("state = leaving\n\n[call", "\n[call").replace(
     "[instance entry-04]\nstate = leaving", "[instance entry-04]\nstate = active"
 )
 
@@ -37,16 +37,16 @@
         self.assertEqual(len(shown.changes), 10)
 
     def test_nothing_changes(self) -> None:
-        shown = plan(GOOD, GOOD + "# a remark\n")
+        shown = plan(VALID_FLEET, VALID_FLEET + "# a remark\n")
         self.assertEqual(shown.changes, ())
         self.assertIn(WarningCode.NOTHING_CHANGES, self.list_warnings(shown))
 
     def test_changes_of_nested_values(self) -> None:
-        after = GOOD.replace("concurrent = 64", "concurrent = 65").replace(
+        after = VALID_FLEET.replace("concurrent = 64", "concurrent = 65").replace(
             "idempotent = no", "idempotent = yes"
         )
         shown = plan(
-            GOOD,
+            VALID_FLEET,
             after.replace("small, large", "small").replace(
                 "[model large]\nversion = 2026-10\n", ""
             ),
@@ -64,8 +64,8 @@
         self.assertIn(WarningCode.CALL_MADE_IDEMPOTENT, warnings)
         self.assertIn("large", warnings[WarningCode.MODEL_WITHOUT_ENDPOINTS])
 
-    def test_drains_and_what_is_left(self) -> None:
-        shown = plan(ACTIVE, GOOD)
+    def test_drains_and_remaining_capacity(self) -> None:
+        shown = plan(ACTIVE, VALID_FLEET)
         self.assertEqual(shown.drains, ("endpoint portal-1", "instance entry-04"))
         warnings = self.list_warnings(shown)
         self.assertIn("payment", warnings[WarningCode.CLASS_WITHOUT_ENDPOINTS])
@@ -74,14 +74,16 @@
         self.assertEqual((payment.endpoints_before, payment.endpoints_after), (1, 0))
 
     def test_lower_capacity_and_removal_without_drain(self) -> None:
-        engine = GOOD[GOOD.index("[endpoint engine-1]") : GOOD.index("[endpoint portal-1]")]
+        engine = VALID_FLEET[
+            VALID_FLEET.index("[endpoint engine-1]") : VALID_FLEET.index("[endpoint portal-1]")
+        ]
         second = engine.replace("engine-1", "engine-2").replace("9001", "9002")
-        warnings = self.list_warnings(plan(GOOD + second, GOOD))
+        warnings = self.list_warnings(plan(VALID_FLEET + second, VALID_FLEET))
         self.assertIn("from 16 to 8 slots", warnings[WarningCode.CAPACITY_LOWER])
         self.assertIn("engine-2", warnings[WarningCode.REMOVED_WITHOUT_DRAIN])
 
     def test_endpoints_that_ignore_fencing_numbers(self) -> None:
-        ignored = GOOD.replace("fencing = checked", "fencing = ignored")
+        ignored = VALID_FLEET.replace("fencing = checked", "fencing = ignored")
         newer = ignored.replace("version = 3", "version = 4")
         shown = plan(ignored, newer)
         self.assertEqual(shown.fencing_ignored, ("engine-1",))
@@ -89,8 +91,8 @@
         quiet = plan(ignored, ignored.replace("slots = 8", "slots = 9"))
         self.assertNotIn(WarningCode.FENCING_IGNORED, self.list_warnings(quiet))
 
-    def test_class_that_a_higher_tier_can_hold_back(self) -> None:
-        after = GOOD.replace("guaranteed_share = 0.1\n", "")
+    def test_warns_when_a_higher_tier_can_starve_a_class(self) -> None:
+        after = VALID_FLEET.replace("guaranteed_share = 0.1\n", "")
         self.assertIn(
-            "nightly", self.list_warnings(plan(GOOD, after))[WarningCode.CLASS_WITHOUT_SHARE]
+            "nightly", self.list_warnings(plan(VALID_FLEET, after))[WarningCode.CLASS_WITHOUT_SHARE]
         )
--- a/tests/test_platform_store_client.py
+++ b/tests/test_platform_store_client.py
@@ -47,7 +47,7 @@
         except asyncio.IncompleteReadError:
             writer.close()
 
-    async def test_a_kept_connection_that_fell_silent_is_replaced(self) -> None:
+    async def test_an_unresponsive_idle_connection_is_replaced(self) -> None:
         """The client still reads the store, so the instance need not serve with stale state.
 
         Its idle connections become unresponsive without an error, while new ones work.
@@ -57,7 +57,7 @@
         self.assertEqual((await self.client.read_endpoints()).store_time, 5.0)
         self.assertEqual(self.accepted, 4)
 
-    async def test_a_silent_store_is_an_error(self) -> None:
+    async def test_an_unresponsive_store_raises_store_error(self) -> None:
         self.silent_connections = set(range(9))
         with self.assertRaises(StoreError):
             await self.client.read_endpoints()
--- a/tests/test_platform_wire.py
+++ b/tests/test_platform_wire.py
@@ -61,7 +61,7 @@
         self.assertEqual(settings.peers.port, 7340)
         self.assertEqual(settings.revocation_s, 5.0)
 
-    def test_the_link_may_be_left_out_but_not_be_wrong(self) -> None:
+    def test_link_rate_is_optional_but_validated(self) -> None:
         self.assertEqual(decode_settings(SETTINGS, file="f").link_mbps, 0.0)
         wide = SETTINGS | {"limits": {"link_mbps": 100.0}}
         self.assertEqual(decode_settings(wide, file="f").link_mbps, 100.0)
@@ -87,7 +87,7 @@
         self.assertIsNone(decode_endpoint("i", ENDPOINT | {"state": "odd"}, row_version=3))
 
     @given(fields=JSON)
-    def test_rows_of_other_writers_name_none(self, fields: object) -> None:
+    def test_rows_of_unknown_shape_are_ignored(self, fields: object) -> None:
         self.assertIsNone(decode_endpoint("i", fields, row_version=1))
 
     @given(name=st.sampled_from(sorted(ENDPOINT)), value=JSON)
@@ -168,7 +168,7 @@
         self.assertEqual(sent["x-request-deadline-ms"], "1250")
         self.assertEqual(sent["x-model"], "m")
 
-    def test_facts_of_a_request(self) -> None:
+    def test_request_headers_are_decoded(self) -> None:
         request = self.codec.decode_request(
             method="POST",
             target="/p?q=1",
@@ -186,7 +186,7 @@
         self.assertEqual((request.prompt_tokens, request.output_tokens), (1210, 80))
         self.assertEqual((request.api_key, request.timeout_s, request.path), ("k", 1.5, "/p"))
 
-    def test_facts_of_an_answer(self) -> None:
+    def test_response_headers_are_decoded(self) -> None:
         head = self.codec.decode_response(
             200,
             [
