--- a/tests/test_queues_properties.py
+++ b/tests/test_queues_properties.py
@@ -8,9 +8,9 @@
 from hypothesis import strategies as st
 
 from guavamast._round_robin import QUANTUM, RoundRobin, WaitingAsk
-from guavamast.queues import DEBT_CEILING, MAX_WORK, Start, WaitingQueue
+from guavamast.fleet_objects import Configuration, ServiceClass
+from guavamast.queues import MAX_CREDIT, MAX_WORK, Start, WaitingQueue
 from guavamast.slots import Ask
-from guavamast.world import Configuration, ServiceClass
 
 COST_LIMIT = 5_000.0
 
@@ -106,7 +106,7 @@
         st.lists(st.tuples(st.sampled_from(["high", "low"]), st.booleans()), max_size=60),
         st.sampled_from([0.1, 0.5, 1.0]),
     )
-    def test_debt_is_bounded(self, starts: list[tuple[str, bool]], share: float) -> None:
+    def test_credit_is_bounded(self, starts: list[tuple[str, bool]], share: float) -> None:
         queue = make_queue(share)
         for number, (name, strict) in enumerate([("low", True), *starts]):
             ask = make_ask(number, class_name=name)
@@ -116,7 +116,7 @@
             start = queue.pop_next(rate=1.0, slots=4, now=0.0, strict=strict)
             self.assertFalse(strict and start.by_share)
             for service_class in queue.list_classes():
-                self.assertTrue(-MAX_WORK <= service_class.credit <= DEBT_CEILING)
+                self.assertTrue(-MAX_WORK <= service_class.credit <= MAX_CREDIT)
 
     @given(
         st.lists(
@@ -141,14 +141,14 @@
             running += [start] if start.by_share else []
             gap = 0 if start.waiting.ask.class_name == "low" else gap + 1
             if len(running) < max(1.0, share * slots):
-                self.assertLessEqual(gap, (DEBT_CEILING + MAX_WORK) / share + 1)
+                self.assertLessEqual(gap, (MAX_CREDIT + MAX_WORK) / share + 1)
             else:
                 gap = 0
             for _ in range(min(finished, len(running))):
                 queue.finish(running.pop(), cost=1.0)
             self.assertLess(len(running), max(1.0, share * slots) + 1)
 
-    def test_long_start_pays_its_work_and_gets_it_back_when_unused(self) -> None:
+    def test_long_start_is_charged_its_work_and_refunded_when_unused(self) -> None:
         queue = make_queue(0.5)
         for number in range(9):
             ask = make_ask(number, class_name="high")
--- a/tests/test_service_calls.py
+++ b/tests/test_service_calls.py
@@ -12,12 +12,13 @@
 from guavamast.clocks import SystemClock
 from guavamast.endpoint_sender import HttpEndpointSender
 from guavamast.errors import ErrorCode, GuavamastError, Outcome, Refusal
+from guavamast.fleet_objects import CallRule, Endpoint, EndpointKind
 from guavamast.group_commit import GroupCommit
 from guavamast.metrics import NoMetrics
 from guavamast.operation_store import OperationStore
 from guavamast.operations import OperationState, check_key
 from guavamast.platform_http import HttpPlatformClient
-from guavamast.send_gates import PauseWatch
+from guavamast.send_gates import PauseDetector
 from guavamast.service_calls import (
     RetryPolicy,
     ServiceCall,
@@ -29,9 +30,8 @@
 from guavamast.standins.faults import Fault
 from guavamast.standins.platform import PlatformStandin
 from guavamast.standins.service import ServiceStandin
-from guavamast.world import CallRule, Endpoint, EndpointKind
-from tests.operation_fakes import WorldGate
-from tests.operation_world import World
+from tests.operation_fakes import SimulatedGate
+from tests.operation_simulation import OperationSimulation
 
 
 class StaticSlotSource(SlotSource):
@@ -114,8 +114,8 @@
             store=self.store,
             slots=self.slots,
             sender=HttpEndpointSender(),
-            gate=WorldGate(World()),
-            pauses=PauseWatch(now=time.monotonic()),
+            gate=SimulatedGate(OperationSimulation()),
+            pauses=PauseDetector(now=time.monotonic()),
             retries=TwoRetries(),
             clock=clock,
             metrics=self.metrics,
@@ -152,7 +152,7 @@
         self.assertEqual((caught.exception.code, caught.exception.outcome), (code, outcome))
         return caught.exception
 
-    async def test_recorded_answer_is_served_again_by_another_instance(self) -> None:
+    async def test_recorded_response_is_served_again_by_another_instance(self) -> None:
         for key, body in (("small", b'{"a": 1}'), ("large", b'{"a": "%s"}' % (b"x" * 500))):
             first = await self.run_call(key=key, body=body)
             self.assertEqual(await self.run_call(key=key, body=body), first)
@@ -169,7 +169,7 @@
         )
         self.assertEqual(reused.status, 422)
 
-    async def test_changed_object_is_not_served_as_the_answer(self) -> None:
+    async def test_altered_object_is_not_served_as_the_response(self) -> None:
         await self.run_call(body=b'{"a": "%s"}' % (b"x" * 500))
         name = next(iter(self.platform.objects))
         self.platform.objects[name] = self.platform.objects[name][:-1]
@@ -179,7 +179,7 @@
             body=b'{"a": "%s"}' % (b"x" * 500),
         )
 
-    async def test_second_ask_while_the_first_runs(self) -> None:
+    async def test_duplicate_request_while_the_first_runs(self) -> None:
         self.services[0].fault = Fault(kind="slow", delay_s=0.5)
         first = asyncio.ensure_future(self.run_call())
         while not self.services[0].log.runs:
@@ -193,7 +193,7 @@
         )
         await first
 
-    async def test_answer_that_outlasts_the_deadline_is_recorded(self) -> None:
+    async def test_response_after_the_deadline_is_recorded(self) -> None:
         # The caller's deadline passes while the service runs, and it gets an unknown outcome. The
         # entry keeps waiting, so that a later request gets the response of the only run.
         self.services[0].fault = Fault(kind="slow", delay_s=0.5)
@@ -204,7 +204,7 @@
         await self.calls.drain()
         self.assertEqual((await self.run_call(calls=self.build_calls()))["run"], 1)
 
-    async def test_lost_answers_of_the_platform_cost_neither_run_nor_answer(self) -> None:
+    async def test_lost_platform_responses_cause_no_second_run_and_no_lost_response(self) -> None:
         # Every write takes effect but the connection closes before its response; reads succeed.
         # Each write must be verified by a read, with one run and its response recorded.
         original = self.platform.is_faulty
@@ -230,11 +230,11 @@
     async def test_no_new_call_while_too_many_rows_wait(self) -> None:
         # An intermittent outage lets calls run whose rows can't be finished; each is kept in
         # memory. Without a limit the entry grows until it is killed, and all of them are lost.
-        with patch("guavamast.repairs.REPAIR_LIMIT", 0):
+        with patch("guavamast.deferred_writes.MAX_DEFERRED_WRITES", 0):
             await self.expect_rejection(ErrorCode.PLATFORM_UNAVAILABLE, Outcome.NOT_RUN)
         self.assertEqual(self.services[0].log.total, 0)
 
-    async def test_outage_after_the_run_delays_the_record_and_not_the_answer(self) -> None:
+    async def test_outage_after_the_run_delays_the_record_but_not_the_response(self) -> None:
         self.services[0].fault = Fault(kind="slow", delay_s=0.3)
         first = asyncio.ensure_future(self.run_call())
         while not self.services[0].log.runs:
@@ -248,7 +248,7 @@
         self.assertEqual(self.metrics.gauges, {"operations.unwritten": 0})
         self.assertEqual(await self.run_call(calls=self.build_calls()), response)
 
-    async def test_dead_endpoint_is_passed_over_before_a_byte_was_sent(self) -> None:
+    async def test_unreachable_endpoint_is_skipped_before_any_byte_is_sent(self) -> None:
         self.services[0].stop()
         self.assertEqual((await self.run_call())["run"], 1)
         self.services[1].stop()
@@ -256,7 +256,7 @@
         view = await self.calls.get_operation("acme", "other")
         self.assertEqual(view.state, OperationState.NOT_RUN)
 
-    async def test_only_idempotent_calls_are_sent_again(self) -> None:
+    async def test_only_idempotent_calls_are_retried(self) -> None:
         self.services[0].fault = Fault(kind="crash", ran=True)
         await self.expect_rejection(ErrorCode.ENDPOINT_FAILED, Outcome.OUTCOME_UNKNOWN)
         self.assertEqual([s.log.total for s in self.services], [1, 0])
@@ -276,7 +276,7 @@
         left = [row.value["key"] for row in self.platform.tables.scan("operations", "")]
         self.assertEqual(left, ["crashed"])
 
-    def test_keys_that_can_not_travel(self) -> None:
+    def test_invalid_idempotency_keys_are_rejected(self) -> None:
         check_key("a/b?c#d")
         for key in ("", "a b", "é", "x" * 201, "a\n"):
             with self.subTest(key=key), self.assertRaises(GuavamastError):
--- a/tests/test_settings.py
+++ b/tests/test_settings.py
@@ -9,7 +9,7 @@
 from guavamast.findings import FindingCode, FindingsError
 from guavamast.settings import load_settings, parse_settings
 
-GOOD = """\
+VALID_SETTINGS = """\
 [instance]
 name = entry-01
 failure_domain = namur-a
@@ -27,7 +27,7 @@
     """Valid settings are parsed; invalid ones are rejected with all of their findings."""
 
     def test_fills_defaults(self) -> None:
-        settings = parse_settings(GOOD, file="a.ini")
+        settings = parse_settings(VALID_SETTINGS, file="a.ini")
         self.assertEqual(settings.instance.failure_domain.region, "be-wallonie")
         self.assertEqual(settings.objects_url, "http://127.0.0.1:7001")
         self.assertEqual((settings.seeds, settings.statsd), ((), ""))
@@ -35,7 +35,7 @@
         self.assertEqual((settings.drain_wait_s, settings.log_level), (600.0, "info"))
 
     def test_reads_every_optional_section(self) -> None:
-        text = GOOD + (
+        text = VALID_SETTINGS + (
             "[peers]\nseeds = 127.0.0.1:1, 127.0.0.2:1\n[operators]\ntoken_file = tokens\n"
             "[metrics]\nstatsd = 127.0.0.1:8125\n[log]\nlevel = debug\nformat = json\n"
             "[limits]\nmax_body_bytes = 4096\noperation_retention_s = 86400\n"
@@ -51,7 +51,9 @@
         self.assertEqual((settings.max_body_bytes, settings.address_validity_s), (4096, 5.0))
 
     def test_reports_all_findings_together(self) -> None:
-        text = GOOD.replace("127.0.0.1:0", "localhost:0", 1).replace("[platform]", "[plattform]")
+        text = VALID_SETTINGS.replace("127.0.0.1:0", "localhost:0", 1).replace(
+            "[platform]", "[plattform]"
+        )
         text += "[leaving]\ndrain_wait_s = 10 min\n[peers]\nseeds = 127.0.0.1:0\n"
         with self.assertRaises(FindingsError) as caught:
             parse_settings(text, file="a.ini")
@@ -68,7 +70,7 @@
 
     def test_one_address_for_two_listeners(self) -> None:
         with self.assertRaises(FindingsError) as caught:
-            parse_settings(GOOD.replace("127.0.0.1:0", "127.0.0.1:80"), file="a.ini")
+            parse_settings(VALID_SETTINGS.replace("127.0.0.1:0", "127.0.0.1:80"), file="a.ini")
         self.assertEqual(
             [(finding.line, finding.code) for finding in caught.exception.findings],
             [(7, FindingCode.DUPLICATE_VALUE)],
--- a/tests/test_slot_finder.py
+++ b/tests/test_slot_finder.py
@@ -9,14 +9,14 @@
 from typing import TYPE_CHECKING
 
 from guavamast.errors import ErrorCode, Outcome, Refusal, SendLatch
-from guavamast.slot_finder import SlotFinder, SlotWish
-from guavamast.slot_holds import AskRefused, SlotHold
+from guavamast.slot_finder import SlotFinder, SlotRequirements
+from guavamast.slot_hold import AskRefused, SlotHold
 from guavamast.slots import Ask, Queued, Release
 
 if TYPE_CHECKING:
     from collections.abc import Callable
 
-    from guavamast.placement import Wanted
+    from guavamast.placement import EndpointRequirements
 
 
 class ScriptedLinks:
@@ -56,7 +56,7 @@
 def make_finder(links: ScriptedLinks) -> SlotFinder:
     """Return a finder that tries the endpoints in the script's order."""
 
-    def choose(requirements: Wanted, *, now: float) -> list[str]:  # noqa: ARG001
+    def choose(requirements: EndpointRequirements, *, now: float) -> list[str]:  # noqa: ARG001
         return [name for name in links.script if name not in requirements.excluded][:2]
 
     state = SimpleNamespace(
@@ -65,9 +65,9 @@
     return SlotFinder(state=state, links=links, clock=time.monotonic)
 
 
-def make_requirements(timeout_s: float = 10.0) -> SlotWish:
+def make_requirements(timeout_s: float = 10.0) -> SlotRequirements:
     """Return the requirements of a request of the top tier."""
-    return SlotWish(
+    return SlotRequirements(
         organisation="o",
         class_name="c",
         tier=1,
@@ -80,12 +80,12 @@
 class SlotFinderTest(unittest.IsolatedAsyncioTestCase):
     """A request asks one keeper after another and uses one grant."""
 
-    async def test_full_keepers_are_passed_by(self) -> None:
+    async def test_full_keepers_are_skipped(self) -> None:
         links = ScriptedLinks(a="refuse", b="refuse", c="grant")
         hold = await make_finder(links).find(make_requirements(), SendLatch())
         self.assertEqual(hold.ask.endpoint, "c")
 
-    async def test_queued_ask_is_raced_and_the_loser_withdrawn(self) -> None:
+    async def test_queued_ask_is_raced_and_withdrawn_after_another_grant(self) -> None:
         # The first keeper queues the request, the second has a slot. The caller gets that slot at
         # once, and no abandoned ask stays in the first keeper's queue.
         links = ScriptedLinks(a="queue", b="grant", c="grant")
@@ -94,7 +94,7 @@
         self.assertEqual(hold.ask.endpoint, "b")
         self.assertEqual((links.asked, links.withdrawn), (["a", "b"], ["a"]))
 
-    async def test_two_grants_at_once_leave_one(self) -> None:
+    async def test_one_of_two_simultaneous_grants_is_released(self) -> None:
         # Both keepers grant in the same iteration of the event loop. One grant is used, the other
         # is released unused, so that no slot leaks.
         links = ScriptedLinks(a="queue", b="queue")
@@ -108,14 +108,14 @@
         other = "b" if hold.ask.endpoint == "a" else "a"
         self.assertEqual(links.released_unused + links.withdrawn, [other])
 
-    async def test_all_full_is_refused_as_not_run_with_a_time(self) -> None:
+    async def test_all_keepers_full_is_rejected_as_not_run_with_retry_after(self) -> None:
         links = ScriptedLinks(a="refuse", b="refuse")
         with self.assertRaises(Refusal) as caught:
             await make_finder(links).find(make_requirements(), SendLatch())
         self.assertIs(caught.exception.outcome, Outcome.NOT_RUN)
         self.assertEqual(caught.exception.retry_after_s, 3.0)
 
-    async def test_time_to_come_back_is_that_of_endpoints_that_stay(self) -> None:
+    async def test_retry_after_ignores_leaving_endpoints(self) -> None:
         # One endpoint leaves, the other is full for 3 s. With the delay of the leaving one, 0 s,
         # callers would retry in vain again and again.
         for script, expected in (({"a": "leaving", "b": "refuse"}, 3.0), ({"a": "leaving"}, 2.0)):
@@ -123,12 +123,12 @@
                 await make_finder(ScriptedLinks(**script)).find(make_requirements(), SendLatch())
             self.assertEqual(caught.exception.retry_after_s, expected)
 
-    async def test_no_endpoint_is_refused_at_once(self) -> None:
+    async def test_no_endpoint_is_rejected_at_once(self) -> None:
         with self.assertRaises(Refusal) as caught:
             await make_finder(ScriptedLinks()).find(make_requirements(), SendLatch())
         self.assertIs(caught.exception.code, ErrorCode.NO_ENDPOINT)
 
-    async def test_caller_that_goes_leaves_no_ask(self) -> None:
+    async def test_cancelled_caller_withdraws_its_asks(self) -> None:
         links = ScriptedLinks(a="queue", b="queue")
         search = asyncio.ensure_future(make_finder(links).find(make_requirements(), SendLatch()))
         await asyncio.sleep(0.01)
--- a/tests/test_slot_links.py
+++ b/tests/test_slot_links.py
@@ -10,15 +10,15 @@
 from grpclib.server import Server
 
 from guavamast import peer_pb2
+from guavamast.fleet_objects import Configuration, Endpoint, EndpointKind, ServiceClass
 from guavamast.keeper_host import KeeperHost
 from guavamast.metrics import NoMetrics
 from guavamast.peer_grpc import PeerBase
 from guavamast.peer_service import PeerService
-from guavamast.slot_holds import AskRefused, HoldState
+from guavamast.slot_hold import AskRefused, HoldState
 from guavamast.slot_links import SlotLinks
 from guavamast.slots import Ask, Release
 from guavamast.view_feed import ViewFeed
-from guavamast.world import Configuration, Endpoint, EndpointKind, ServiceClass
 from tests._waits import wait_until
 
 if TYPE_CHECKING:
@@ -67,7 +67,7 @@
 
     def count_in_flight(self) -> int:
         kept = self.host._keepers.get("e")
-        return kept.make_probe(now=time.monotonic()).in_flight if kept else 0
+        return kept.build_probe(now=time.monotonic()).in_flight if kept else 0
 
 
 class FrozenService(PeerBase):
@@ -133,7 +133,7 @@
         self.links.release(held, Release(ask_id="ask-1", endpoint="e", used=True))
         self.assertIs((await queued).state, HoldState.HELD)
 
-    async def test_unknown_endpoint_is_refused(self) -> None:
+    async def test_unknown_endpoint_is_rejected(self) -> None:
         ask = make_ask(1)
         self.first.host.configure(Configuration(version=2))
         with self.assertRaises(AskRefused):
@@ -152,7 +152,7 @@
         self.links.release(held, Release(ask_id="ask-1", endpoint="e", used=True))
         self.assertEqual((await queued).address, self.second.address)
 
-    async def test_only_keeper_that_comes_back_is_asked_again(self) -> None:
+    async def test_restarted_only_keeper_receives_the_asks_again(self) -> None:
         # The only keeper crashes with an ask in its queue and restarts at its address without
         # state. The entry sends it all asks again, so the caller only waits longer.
         self.addresses = [self.first.address]
@@ -180,7 +180,7 @@
         self.assertEqual((await queued).address, self.second.address)
         await wait_until(lambda: self.first.count_in_flight() == 0)
 
-    async def test_frozen_keeper_is_left(self) -> None:
+    async def test_asks_leave_a_frozen_keeper(self) -> None:
         # The keeper's process is frozen: its connection stays open and nothing is answered. The
         # ask moves to another keeper after the timeout instead of waiting until its deadline.
         frozen = Server([FrozenService()])
@@ -191,7 +191,7 @@
         held = await self.links.acquire(make_ask(1))
         self.assertEqual(held.address, self.first.address)
 
-    async def test_keeper_without_configuration_is_passed_over(self) -> None:
+    async def test_keeper_without_configuration_is_skipped(self) -> None:
         # A dispatcher that has just started knows no endpoint yet and would reject the ask. It
         # answers no hello until it is configured, so the entry uses the next keeper.
         unconfigured = Keeper(configured=False)
@@ -209,4 +209,4 @@
         await asyncio.gather(queued, return_exceptions=True)
         self.links.release(held, Release(ask_id="ask-1", endpoint="e", used=True))
         await wait_until(lambda: self.first.count_in_flight() == 0)
-        self.assertEqual(self.links.count_holds(), 0)
+        self.assertEqual(self.links.count_open_asks(), 0)
--- a/tests/test_races_properties.py
+++ b/tests/test_slot_race_properties.py
@@ -7,7 +7,7 @@
 from hypothesis import example, given
 from hypothesis import strategies as st
 
-from guavamast.races import RaceRules, SlotRace
+from guavamast.slot_race import RaceRules, SlotRace
 from guavamast.slots import Ask, Queued
 
 STEPS = st.lists(
@@ -43,12 +43,12 @@
 
     @example(steps=CROSSED_GRANTS)
     @given(steps=STEPS)
-    def test_one_grant_is_used_and_all_others_are_given_back(self, steps: list) -> None:
+    def test_one_grant_is_used_and_all_others_are_released(self, steps: list) -> None:
         """Guards against a request that runs at two engines.
 
         Two keepers grant at nearly the same time, the second while its withdrawal is in transit.
         """
-        rules = RaceRules(racers=2, wait_s=0.05, ask_limit=4)
+        rules = RaceRules(max_open_asks=2, wait_s=0.05, ask_limit=4)
         race = SlotRace(rules=rules)
         race.record_ask("0", "e0")
         asked = 1
@@ -80,7 +80,7 @@
         self.assertFalse(race.record_queued(Queued(ask=make_ask(0), estimated_wait_s=0.01)))
         self.assertTrue(race.record_queued(Queued(ask=make_ask(0), estimated_wait_s=0.06)))
 
-    def test_refusal_of_one_racer_waits_for_the_other(self) -> None:
+    def test_rejected_ask_waits_for_the_other_open_ask(self) -> None:
         race = SlotRace(rules=RaceRules())
         race.record_ask("0", "e0")
         race.record_ask("1", "e1")
--- a/tests/test_soak.py
+++ b/tests/test_soak.py
@@ -76,21 +76,21 @@
         again = replace(RUN, engine="portal-1")
         self.assert_broken(build_record([CALL], [RUN, again]), "ran 2 times")
 
-    def test_refusal_that_is_not_true(self) -> None:
+    def test_rejected_request_that_ran(self) -> None:
         refused = replace(CALL, status=503, body=b"")
         self.assert_broken(build_record([refused], [RUN]), "refused as not run")
 
-    def test_answers_of_others_and_wrong_bodies(self) -> None:
+    def test_crossed_responses_and_wrong_bodies(self) -> None:
         crossed = replace(CALL, answer_id="r2")
         self.assert_broken(build_record([crossed], [RUN]), "got the answer to r2")
         record = build_record([replace(CALL, body=b"answer r1!")], [RUN])
         self.assertEqual(len(check(record)), 2)
 
-    def test_denial_of_a_proper_request(self) -> None:
+    def test_denial_of_a_valid_request(self) -> None:
         denied = replace(CALL, status=401, body=b"")
         self.assert_broken(build_record([denied], []), "denied with 401")
 
-    def test_failures_while_nothing_is_disturbed(self) -> None:
+    def test_failures_without_a_fault(self) -> None:
         lost = replace(CALL, status=None, body=b"", whole=False)
         record = build_record([lost], [RUN])
         self.assert_broken(record, "nothing was disturbed")
@@ -104,12 +104,12 @@
         revoked = {"bakery": CALL.sent - REVOKE_S - 0.1}
         self.assertIn("its key was taken away", check(replace(record, revoked=revoked))[0])
 
-    def test_run_at_an_engine_that_left(self) -> None:
+    def test_run_on_a_drained_engine(self) -> None:
         record = build_record([CALL], [RUN])
         drains = {"portal-0": [Span(began=RUN.began - DRAIN_S - 0.1, ended=12.0)]}
         self.assert_broken(replace(record, drains=drains), "after it left")
 
-    def test_a_disturbed_instance_may_not_send_to_an_engine_that_left_either(self) -> None:
+    def test_a_paused_instance_may_not_send_to_a_drained_engine_either(self) -> None:
         record = build_record([CALL], [RUN])
         drains = {"portal-0": [Span(began=RUN.began - DRAIN_S - 0.1, ended=12.0)]}
         spans = [Span(began=RUN.began - 2.0, ended=RUN.began - 1.0)]
@@ -117,7 +117,7 @@
         self.assert_broken(frozen, "after it left")
         self.assertEqual(check(replace(frozen, outer_disruptions=spans)), [])
 
-    def test_run_that_was_changed_or_not_asked_for(self) -> None:
+    def test_altered_or_unrequested_run(self) -> None:
         changed = replace(RUN, intact=False)
         self.assert_broken(build_record([CALL], [changed]), "changed on its way")
         unrequested = replace(RUN, request_id="r9")
@@ -161,13 +161,13 @@
         await connection.send("GET", "/x", [("Host", "h"), ("X-Attempt-Id", "r1")], b"")
         return connection
 
-    async def test_passes_on(self) -> None:
+    async def test_forwards_both_ways(self) -> None:
         connection = await self.send_request()
         self.assertEqual((await connection.read_head()).status, 200)
         self.assertEqual(await connection.read_chunk(), b"answer r1")
         connection.close()
 
-    async def test_cut_one_way_runs_and_answers_nothing(self) -> None:
+    async def test_one_way_cut_runs_the_request_and_loses_the_response(self) -> None:
         self.link.fault = LinkFault.CUT_TO_CLIENT
         connection = await self.send_request()
         with self.assertRaises(TimeoutError):
@@ -175,7 +175,7 @@
         self.assertEqual(len(self.engine.runs), 1)
         connection.close()
 
-    async def test_silence_runs_nothing_and_a_reset_ends_it(self) -> None:
+    async def test_silent_link_runs_nothing_until_reset(self) -> None:
         self.link.fault = LinkFault.SILENT
         connection = await self.send_request()
         with self.assertRaises(TimeoutError):
@@ -189,14 +189,14 @@
 class SoakRunTest(unittest.IsolatedAsyncioTestCase):
     """Real instances under faults violate no guarantee."""
 
-    async def test_a_short_run_keeps_all_promises(self) -> None:
+    async def test_a_short_run_violates_no_guarantee(self) -> None:
         with tempfile.TemporaryDirectory() as directory:
             run = SoakRun(seed=CI_SEED, length_s=CI_LENGTH_S, instances=3, directory=directory)
             verdict = await run.run()
         self.assertEqual(verdict.broken, [], verdict.faults)
         self.assertGreater(verdict.answered, 0)
 
-    async def test_old_knowledge_sends_nothing_while_keys_are_still_accepted(self) -> None:
+    async def test_stale_state_sends_nothing_while_keys_are_accepted(self) -> None:
         """An instance that was frozen sends nothing to an engine that left meanwhile.
 
         With the usual short bound on revoked keys, an instance rejects all keys before its state of
