--- a/src/guavamast/configuration_delta.py
+++ b/src/guavamast/configuration_delta.py
@@ -38,7 +38,7 @@
     return int.from_bytes(blake2b(text.encode(), digest_size=8).digest())
 
 
-def make_delta(*, base: int, old: str, version: int, new: str) -> ConfigurationDelta:
+def create_delta(*, base: int, old: str, version: int, new: str) -> ConfigurationDelta:
     """Return the delta between two texts."""
     start = _count_common_start(old, new)
     limit = min(len(old), len(new)) - start
@@ -62,8 +62,8 @@
     """
     if delta.base != version or delta.start + delta.end > len(text):
         return None
-    made = text[: delta.start] + delta.middle + text[len(text) - delta.end :]
-    return made if compute_digest(made) == delta.digest else None
+    result = text[: delta.start] + delta.middle + text[len(text) - delta.end :]
+    return result if compute_digest(result) == delta.digest else None
 
 
 class DeltaChain:
--- a/src/guavamast/configuration_spread.py
+++ b/src/guavamast/configuration_spread.py
@@ -15,12 +15,12 @@
     ConfigurationDelta,
     DeltaChain,
     apply_delta,
-    make_delta,
+    create_delta,
 )
 
-PUSHED_CHARACTERS: Final = 2048
+MAX_PUSHED_CHARACTERS: Final = 2048
 """Largest delta that is sent unasked. Each instance may get it from every neighbour."""
-PEERS_WANTED: Final = 3
+MIN_PEERS: Final = 3
 """Peers that a new instance hears before it believes the highest, when the platform is down."""
 
 
@@ -48,15 +48,15 @@
 
     poll_s: float = 5.0
     """Mean time between two reads of the head row; the jitter is half of it either way."""
-    longest_poll_s: float = 30.0
+    max_poll_s: float = 30.0
     """Mean time between two reads in an outage of the platform."""
-    ask_timeout_s: float = 1.0
+    request_timeout_s: float = 1.0
     """Time after which another peer is asked for a text."""
-    peers_first_s: float = 2.0
+    peer_transfer_s: float = 2.0
     """Time that peers are given before the text is read from the platform."""
     outage_s: float = 3.0
     """Time without the platform after which a new instance takes a configuration from peers."""
-    peer_fresh_s: float = 10.0
+    peer_validity_s: float = 10.0
     """Age at which a peer's word on its version is dropped."""
     isolated_s: float = 8.0
     """Silence of everybody after which an instance is isolated."""
@@ -74,7 +74,7 @@
 @dataclass(slots=True, kw_only=True)
 class _PeerVersion:
     version: int
-    heard_at: float
+    received_at: float
 
 
 class ConfigurationSpread:
@@ -91,16 +91,16 @@
     """
 
     __slots__ = (
-        "_asked_at",
-        "_asked_peer",
+        "_requested_at",
+        "_requested_peer",
         "_behind_since",
         "_chain",
         "_head",
-        "_head_heard_at",
-        "_heard_at",
-        "_misses",
+        "_head_read_at",
+        "_received_at",
+        "_failed_polls",
         "_peers",
-        "_peers_wanted",
+        "_min_peers",
         "_random",
         "_started_at",
         "_text",
@@ -118,19 +118,19 @@
     ) -> None:
         self._timing = timing or SpreadTiming()
         self._random = Random(seed)
-        self._peers_wanted = PEERS_WANTED
+        self._min_peers = MIN_PEERS
         self._version = 0
         self._text = ""
         self._chain = DeltaChain()
         self._peers: dict[str, _PeerVersion] = {}
         self._head: int | None = None
-        self._head_heard_at = now
-        self._heard_at = now
+        self._head_read_at = now
+        self._received_at = now
         self._started_at = now
-        self._misses = 0
+        self._failed_polls = 0
         self._behind_since: float | None = None
-        self._asked_peer = ""
-        self._asked_at = now
+        self._requested_peer = ""
+        self._requested_at = now
         self.next_poll_at = now
         """When the head row is to be read next."""
 
@@ -163,18 +163,18 @@
         """
         if version <= self._version:
             return False
-        if source is Source.PEER and not self._may_believe_peers(version, now):
+        if source is Source.PEER and not self._may_accept_from_peers(version, now):
             return False
         if self._version:
             self._chain.append(
-                make_delta(base=self._version, old=self._text, version=version, new=text)
+                create_delta(base=self._version, old=self._text, version=version, new=text)
             )
         self._version, self._text = version, text
-        self._asked_peer = ""
-        self._note_behind(now)
+        self._requested_peer = ""
+        self._update_behind_since(now)
         return True
 
-    def take_offer(self, offer: ConfigurationOffer, *, now: float) -> bool:
+    def apply_offer(self, offer: ConfigurationOffer, *, now: float) -> bool:
         """Take a peer's offer into force.
 
         Returns:
@@ -197,24 +197,24 @@
     def hear_platform(self, head: int, *, now: float) -> None:
         """Note what the head row says; 0 when no configuration has been accepted yet."""
         self._head = max(head, self._head or 0)
-        self._head_heard_at = self._heard_at = now
-        self._misses = 0
-        self._note_behind(now)
+        self._head_read_at = self._received_at = now
+        self._failed_polls = 0
+        self._update_behind_since(now)
         self._set_next_poll(self._timing.poll_s, now)
 
     def miss_platform(self, *, now: float) -> None:
         """Note that the head row could not be read."""
-        self._misses += 1
-        mean = min(self._timing.poll_s * 2.0 ** (self._misses - 1), self._timing.longest_poll_s)
+        self._failed_polls += 1
+        mean = min(self._timing.poll_s * 2.0 ** (self._failed_polls - 1), self._timing.max_poll_s)
         self._set_next_poll(mean, now)
 
-    def hear_peer(self, name: str, version: int, *, now: float) -> None:
+    def record_peer_version(self, name: str, version: int, *, now: float) -> None:
         """Note the version that a peer has in force."""
-        self._peers[name] = _PeerVersion(version=version, heard_at=now)
-        self._heard_at = now
-        self._note_behind(now)
+        self._peers[name] = _PeerVersion(version=version, received_at=now)
+        self._received_at = now
+        self._update_behind_since(now)
 
-    def note_pushed(self, name: str) -> None:
+    def record_pushed(self, name: str) -> None:
         """Note that a peer has been sent the version in force here."""
         peer = self._peers.get(name)
         if peer is not None:
@@ -231,13 +231,13 @@
 
     def choose_push(self, name: str) -> ConfigurationOffer | None:
         """Return a small offer to send to a peer unasked, if it is known to be behind."""
-        offer = self.make_offer(self.find_peer_version(name))
+        offer = self.create_offer(self.find_peer_version(name))
         if offer is None or not offer.deltas:
             return None
         size = sum(len(delta.middle) for delta in offer.deltas)
-        return offer if size <= PUSHED_CHARACTERS else None
+        return offer if size <= MAX_PUSHED_CHARACTERS else None
 
-    def make_offer(self, above: int) -> ConfigurationOffer | None:
+    def create_offer(self, above: int) -> ConfigurationOffer | None:
         """Return what a peer at a version needs, or None when it has as much as this instance."""
         if above >= self._version:
             return None
@@ -248,9 +248,9 @@
 
     def set_neighbours(self, number: int) -> None:
         """Set how many neighbours there are; a small fleet has fewer peers to hear."""
-        self._peers_wanted = max(1, min(PEERS_WANTED, number))
+        self._min_peers = max(1, min(MIN_PEERS, number))
 
-    def wants_from(self, name: str, *, now: float) -> bool:
+    def should_request_from(self, name: str, *, now: float) -> bool:
         """Return whether this peer is the one to ask for a text now.
 
         One peer at a time is asked, of those with the highest version.
@@ -258,16 +258,16 @@
         peer = self._peers.get(name)
         if peer is None or peer.version <= self._version:
             return False
-        if self._asked_peer and now - self._asked_at < self._timing.ask_timeout_s:
+        if self._requested_peer and now - self._requested_at < self._timing.request_timeout_s:
             return False
         if peer.version < max(other.version for other in self._peers.values()):
             return False
         alone = all(p.version < peer.version for n, p in self._peers.items() if n != name)
-        if name == self._asked_peer and not alone:
+        if name == self._requested_peer and not alone:
             return False
-        return self._may_believe_peers(peer.version, now)
+        return self._may_accept_from_peers(peer.version, now)
 
-    def ask(self, name: str, *, now: float) -> int:
+    def record_request(self, name: str, *, now: float) -> int:
         """Note that a peer is asked for a text.
 
         Failure: a delta does not fit (another base) and the same answer would come for ever. A
@@ -276,8 +276,8 @@
         Returns:
             The version above which to ask.
         """
-        again = bool(self._asked_peer)
-        self._asked_peer, self._asked_at = name, now
+        again = bool(self._requested_peer)
+        self._requested_peer, self._requested_at = name, now
         return 0 if again else self._version
 
     def choose_snapshot(self, *, now: float) -> int | None:
@@ -288,10 +288,10 @@
         """
         if self._head is None or self._head <= self._version:
             return None
-        self._drop_old_peers(now)
+        self._drop_stale_peers(now)
         offered = any(peer.version >= self._head for peer in self._peers.values())
         waited = self._behind_since is not None and (
-            now - self._behind_since >= self._timing.peers_first_s
+            now - self._behind_since >= self._timing.peer_transfer_s
         )
         return None if offered and not waited else self._head
 
@@ -309,10 +309,10 @@
         """
         if not self._version:
             return Standing.WAITING
-        silent = now - self._heard_at > self._timing.isolated_s
+        silent = now - self._received_at > self._timing.isolated_s
         return Standing.ISOLATED if silent and others_known else Standing.CURRENT
 
-    def _may_believe_peers(self, version: int, now: float) -> bool:
+    def _may_accept_from_peers(self, version: int, now: float) -> bool:
         """Whether a peer's version may be taken.
 
         Failure: a new instance asks the one peer that was cut off for an hour, takes an old
@@ -323,21 +323,23 @@
             return True
         if self._head is not None:
             return version >= self._head
-        fresh = [p for p in self._peers.values() if now - p.heard_at <= self._timing.peer_fresh_s]
-        outage = self._misses > 0 and now - self._started_at >= self._timing.outage_s
+        fresh = [
+            p for p in self._peers.values() if now - p.received_at <= self._timing.peer_validity_s
+        ]
+        outage = self._failed_polls > 0 and now - self._started_at >= self._timing.outage_s
         highest = max((peer.version for peer in fresh), default=0)
-        return outage and len(fresh) >= self._peers_wanted and version >= highest
+        return outage and len(fresh) >= self._min_peers and version >= highest
 
-    def _note_behind(self, now: float) -> None:
+    def _update_behind_since(self, now: float) -> None:
         highest = max((p.version for p in self._peers.values()), default=0)
         if max(highest, self._head or 0) <= self._version:
             self._behind_since = None
         elif self._behind_since is None:
             self._behind_since = now
 
-    def _drop_old_peers(self, now: float) -> None:
-        limit = now - self._timing.peer_fresh_s
-        self._peers = {n: p for n, p in self._peers.items() if p.heard_at >= limit}
+    def _drop_stale_peers(self, now: float) -> None:
+        limit = now - self._timing.peer_validity_s
+        self._peers = {n: p for n, p in self._peers.items() if p.received_at >= limit}
 
     def _set_next_poll(self, mean_s: float, now: float) -> None:
         self.next_poll_at = now + mean_s * self._random.uniform(0.5, 1.5)
--- a/src/guavamast/heartbeat_exchange.py
+++ b/src/guavamast/heartbeat_exchange.py
@@ -23,9 +23,9 @@
 
 DETAILS_PER_MESSAGE: Final = 8
 """Records a message whose load or version alone changed; bounds the bytes of a busy fleet."""
-MISMATCH_S: Final = 2.5
+DIGEST_MISMATCH_S: Final = 2.5
 """Time for which digests differ until all records are asked for; news goes round in less."""
-ASK_INTERVAL_S: Final = 1.0
+FULL_SYNC_INTERVAL_S: Final = 1.0
 """Shortest time between two requests of one instance for all records.
 
 Failure: many instances go at once, the digests of all links differ, and each end asks each
@@ -39,22 +39,22 @@
 
     peer: str = ""
     """Name of the other end; empty until its first message."""
-    heard_at: float | None = None
+    received_at: float | None = None
     """When its last message came."""
-    told_own: tuple[int, MemberState] | None = None
-    told_news: int | None = None
+    sent_own: tuple[int, MemberState] | None = None
+    sent_state_sequence: int | None = None
     """Sequence number up to which news was told; None stands for nothing said yet."""
-    told_details: int = 0
-    differs_since: float = float("-inf")
+    sent_detail_sequence: int = 0
+    mismatch_since: float = float("-inf")
     """Since when the digests have differed; the first one that does counts at once."""
-    told_version: int = -1
-    asks_members: bool = False
-    owes_members: bool = False
-    owed_offer: ConfigurationOffer | None = field(default=None)
+    sent_version: int = -1
+    requests_members: bool = False
+    must_send_members: bool = False
+    pending_offer: ConfigurationOffer | None = field(default=None)
 
 
 @dataclass(frozen=True, slots=True, kw_only=True)
-class HeardChanges:
+class ReceivedChanges:
     """What one message changed."""
 
     members: bool
@@ -69,26 +69,26 @@
         spread: This instance's configuration.
     """
 
-    __slots__ = ("_asked_at", "_digest", "_digest_sequence", "_membership", "_spread")
+    __slots__ = ("_requested_at", "_digest", "_digest_sequence", "_membership", "_spread")
 
     def __init__(self, *, membership: Membership, spread: ConfigurationSpread) -> None:
         self._membership = membership
         self._spread = spread
-        self._asked_at = float("-inf")
+        self._requested_at = float("-inf")
         self._digest = 0
         self._digest_sequence = -1
 
     def has_news(self, state: ExchangeState, *, now: float) -> bool:
         """Return whether a message should be sent before the next period."""
         return (
-            state.told_own != self._describe_own()
-            or state.owes_members
-            or state.asks_members
-            or state.owed_offer is not None
-            or state.told_version != self._spread.version
-            or state.told_news is None
-            or self._membership.news_sequence > state.told_news
-            or self._spread.wants_from(state.peer, now=now)
+            state.sent_own != self._get_own_state()
+            or state.must_send_members
+            or state.requests_members
+            or state.pending_offer is not None
+            or state.sent_version != self._spread.version
+            or state.sent_state_sequence is None
+            or self._membership.state_sequence > state.sent_state_sequence
+            or self._spread.should_request_from(state.peer, now=now)
         )
 
     def make_message(self, state: ExchangeState, *, now: float) -> HeartbeatMessage:
@@ -113,7 +113,7 @@
 
     def take_message(
         self, message: HeartbeatMessage, state: ExchangeState, *, now: float
-    ) -> HeardChanges:
+    ) -> ReceivedChanges:
         """Take in a message of a stream.
 
         Args:
@@ -124,73 +124,76 @@
         Returns:
             Which of the things that others follow have changed.
         """
-        state.peer, state.heard_at = message.sender, now
-        changed = self._take_members(message, state, now)
-        configured = self._take_configuration(message, state, now)
-        return HeardChanges(members=changed, configuration=configured)
+        state.peer, state.received_at = message.sender, now
+        changed = self._apply_members(message, state, now)
+        configured = self._apply_configuration(message, state, now)
+        return ReceivedChanges(members=changed, configuration=configured)
 
     def compute_digest(self) -> int:
         """Return the digest of the members, computed again after a change alone."""
-        if self._digest_sequence != self._membership.news_sequence:
+        if self._digest_sequence != self._membership.state_sequence:
             self._digest = self._membership.compute_digest()
-            self._digest_sequence = self._membership.news_sequence
+            self._digest_sequence = self._membership.state_sequence
         return self._digest
 
-    def _describe_own(self) -> tuple[int, MemberState]:
+    def _get_own_state(self) -> tuple[int, MemberState]:
         me = self._membership.me
         return me.incarnation, me.state
 
     def _add_members(self, message: HeartbeatMessage, state: ExchangeState) -> None:
         membership = self._membership
         own = membership.me
-        if state.told_own != self._describe_own():
+        if state.sent_own != self._get_own_state():
             message.members.append(encode_member(own))
         else:
             message.members.append(encode_changing_fields(own))
-        if state.owes_members:
-            told = [member for member in membership.list_all() if member is not own]
-            message.members.extend(encode_member(member) for member in told)
-        elif state.told_news is not None and membership.news_sequence > state.told_news:
-            message.members.extend(self._encode_news(state.told_news))
-        if state.told_news is None or state.owes_members:
-            state.told_details = membership.sequence
+        if state.must_send_members:
+            members = [member for member in membership.list_all() if member is not own]
+            message.members.extend(encode_member(member) for member in members)
+        elif (
+            state.sent_state_sequence is not None
+            and membership.state_sequence > state.sent_state_sequence
+        ):
+            message.members.extend(self._encode_updates(state.sent_state_sequence))
+        if state.sent_state_sequence is None or state.must_send_members:
+            state.sent_detail_sequence = membership.sequence
         self._add_details(message, state)
-        message.wants_members = state.asks_members
-        state.told_own = self._describe_own()
-        state.told_news = membership.news_sequence
-        state.owes_members = state.asks_members = False
+        message.wants_members = state.requests_members
+        state.sent_own = self._get_own_state()
+        state.sent_state_sequence = membership.state_sequence
+        state.must_send_members = state.requests_members = False
 
-    def _encode_news(self, after: int) -> list[MemberMessage]:
+    def _encode_updates(self, after: int) -> list[MemberMessage]:
         return [
             (
                 encode_member(news.member)
                 if news.new_incarnation
                 else encode_changing_fields(news.member)
             )
-            for news in self._membership.list_news(after=after)
+            for news in self._membership.list_updates(after=after)
         ]
 
     def _add_details(self, message: HeartbeatMessage, state: ExchangeState) -> None:
-        if self._membership.sequence == state.told_details:
+        if self._membership.sequence == state.sent_detail_sequence:
             return
-        details = self._membership.list_details(after=state.told_details)
+        details = self._membership.list_detail_changes(after=state.sent_detail_sequence)
         sent = details[:DETAILS_PER_MESSAGE]
         message.members.extend(encode_changing_fields(member) for _, member in sent)
         complete = len(sent) == len(details)
-        state.told_details = self._membership.sequence if complete else sent[-1][0]
+        state.sent_detail_sequence = self._membership.sequence if complete else sent[-1][0]
 
-    def _take_members(self, message: HeartbeatMessage, state: ExchangeState, now: float) -> bool:
+    def _apply_members(self, message: HeartbeatMessage, state: ExchangeState, now: float) -> bool:
         membership = self._membership
-        before, news_before = membership.sequence, membership.news_sequence
+        before, state_before = membership.sequence, membership.state_sequence
         membership.merge(self._decode(message), now=now)
         # What came from this end need not be told back to it, unless older news waits as well.
-        if state.told_details == before:
-            state.told_details = membership.sequence
-        if state.told_news == news_before:
-            state.told_news = membership.news_sequence
+        if state.sent_detail_sequence == before:
+            state.sent_detail_sequence = membership.sequence
+        if state.sent_state_sequence == state_before:
+            state.sent_state_sequence = membership.state_sequence
         self._compare_digests(message, state, now)
-        state.owes_members = state.owes_members or message.wants_members
-        return membership.news_sequence != news_before
+        state.must_send_members = state.must_send_members or message.wants_members
+        return membership.state_sequence != state_before
 
     def _decode(self, message: HeartbeatMessage) -> list[Member]:
         decoded = (
@@ -200,39 +203,39 @@
 
     def _compare_digests(self, message: HeartbeatMessage, state: ExchangeState, now: float) -> None:
         if message.members_digest == self.compute_digest():
-            state.differs_since = float("inf")
+            state.mismatch_since = float("inf")
             return
-        state.differs_since = min(state.differs_since, now)
-        overdue = now - state.differs_since >= MISMATCH_S
-        if overdue and now - self._asked_at >= ASK_INTERVAL_S:
-            state.differs_since = self._asked_at = now
-            state.asks_members = True
+        state.mismatch_since = min(state.mismatch_since, now)
+        overdue = now - state.mismatch_since >= DIGEST_MISMATCH_S
+        if overdue and now - self._requested_at >= FULL_SYNC_INTERVAL_S:
+            state.mismatch_since = self._requested_at = now
+            state.requests_members = True
 
     def _add_configuration(
         self, message: HeartbeatMessage, state: ExchangeState, now: float
     ) -> None:
-        state.told_version = self._spread.version
-        offer = state.owed_offer or self._spread.choose_push(state.peer)
-        state.owed_offer = None
+        state.sent_version = self._spread.version
+        offer = state.pending_offer or self._spread.choose_push(state.peer)
+        state.pending_offer = None
         if offer is not None:
             message.configuration_text = offer.text
             message.configuration_changes.extend(_encode_delta(delta) for delta in offer.deltas)
-            self._spread.note_pushed(state.peer)
-        if self._spread.wants_from(state.peer, now=now):
+            self._spread.record_pushed(state.peer)
+        if self._spread.should_request_from(state.peer, now=now):
             message.wants_configuration = True
-            message.wants_configuration_above = self._spread.ask(state.peer, now=now)
+            message.wants_configuration_above = self._spread.record_request(state.peer, now=now)
 
-    def _take_configuration(
+    def _apply_configuration(
         self, message: HeartbeatMessage, state: ExchangeState, now: float
     ) -> bool:
         spread = self._spread
         before = spread.version
-        spread.hear_peer(message.sender, message.configuration_version, now=now)
+        spread.record_peer_version(message.sender, message.configuration_version, now=now)
         offer = _decode_offer(message)
         if offer is not None:
-            spread.take_offer(offer, now=now)
+            spread.apply_offer(offer, now=now)
         if message.wants_configuration:
-            state.owed_offer = spread.make_offer(message.wants_configuration_above)
+            state.pending_offer = spread.create_offer(message.wants_configuration_above)
         self._membership.set_configuration_version(spread.version)
         return spread.version != before
 
--- a/src/guavamast/heartbeat_link.py
+++ b/src/guavamast/heartbeat_link.py
@@ -31,7 +31,16 @@
         now: The present time.
     """
 
-    __slots__ = ("_sent", "_stream", "_tasks", "_wake", "address", "heard_at", "state", "used_at")
+    __slots__ = (
+        "_sent",
+        "_stream",
+        "_tasks",
+        "_wake",
+        "address",
+        "received_at",
+        "state",
+        "used_at",
+    )
 
     def __init__(self, *, stream: ClientStream | ServerStream, address: str, now: float) -> None:
         self._stream = stream
@@ -40,7 +49,7 @@
         self._tasks: list[asyncio.Task[None]] = []
         self.address = address
         self.state = ExchangeState()
-        self.heard_at = now
+        self.received_at = now
         """When the last message came, or the stream was opened."""
         self.used_at = now
         """When the peer was last a neighbour."""
@@ -50,9 +59,9 @@
         self._sent.clear()
         self._wake.set()
 
-    def excuse(self, now: float) -> None:
+    def reset_silence(self, now: float) -> None:
         """Count the stream's silence from now on, after this process was paused."""
-        self.heard_at = max(self.heard_at, now)
+        self.received_at = max(self.received_at, now)
 
     def close(self) -> None:
         """End the stream."""
@@ -66,22 +75,22 @@
     async def run(
         self,
         *,
-        make: Callable[[], HeartbeatMessage],
-        take: Callable[[HeartbeatMessage], None],
+        build_message: Callable[[], HeartbeatMessage],
+        on_message: Callable[[HeartbeatMessage], None],
     ) -> bool:
         """Exchange messages until either end closes the stream.
 
         Args:
-            make: Makes the next message to send.
-            take: Takes a received message.
+            build_message: Makes the next message to send.
+            on_message: Takes a received message.
 
         Returns:
             Whether the stream broke, rather than being closed.
         """
         self._wake.set()
         self._tasks = [
-            asyncio.ensure_future(self._send(make)),
-            asyncio.ensure_future(self._receive(take)),
+            asyncio.ensure_future(self._send(build_message)),
+            asyncio.ensure_future(self._receive(on_message)),
         ]
         try:
             await asyncio.wait(self._tasks, return_when=asyncio.FIRST_COMPLETED)
@@ -95,16 +104,16 @@
                 raise error
         return bool(broken)
 
-    async def _send(self, make: Callable[[], HeartbeatMessage]) -> None:
+    async def _send(self, build_message: Callable[[], HeartbeatMessage]) -> None:
         while True:
             await self._wake.wait()
             self._wake.clear()
-            await self._stream.send_message(make())
+            await self._stream.send_message(build_message())
             self._sent.set()
 
-    async def _receive(self, take: Callable[[HeartbeatMessage], None]) -> None:
+    async def _receive(self, on_message: Callable[[HeartbeatMessage], None]) -> None:
         try:
             while (message := await self._stream.recv_message()) is not None:
-                take(message)
+                on_message(message)
         except (GRPCError, ProtocolError):
             return
--- a/src/guavamast/heartbeats.py
+++ b/src/guavamast/heartbeats.py
@@ -34,17 +34,17 @@
 """Time for which news is collected before it is passed on."""
 CONNECT_TIMEOUT_S: Final = 2.0
 """Longest time for opening a stream."""
-FIRST_RETRY_S: Final = 0.5
+INITIAL_RETRY_DELAY_S: Final = 0.5
 """Pause after a failed dial; doubles up to `LONGEST_RETRY_S`."""
-LONGEST_RETRY_S: Final = 5.0
+MAX_RETRY_DELAY_S: Final = 5.0
 """Longest pause between two dials of one address."""
-CONTACT_S: Final = 5.0
+RECONNECT_INTERVAL_S: Final = 5.0
 """Time between two dials of a seed or a gone instance, while there are neighbours."""
-LINGER_S: Final = 5.0
+UNUSED_STREAM_TIMEOUT_S: Final = 5.0
 """Time for which a stream to an instance that is no neighbour is kept."""
-SILENT_SHARE: Final = 0.75
+SILENT_STREAM_SHARE: Final = 0.75
 """Share of the time until suspicion after which a silent stream is replaced by a new one."""
-FAREWELL_S: Final = 0.5
+CLOSE_TIMEOUT_S: Final = 0.5
 """Longest time for telling neighbours that this process ends."""
 GAUGE_ROUNDS: Final = 10
 """Rounds between two sets of gauges."""
@@ -70,7 +70,7 @@
     __slots__ = (
         "_clock",
         "_closing",
-        "_contact_at",
+        "_reconnect_at",
         "_dialling",
         "_exchange",
         "_failures",
@@ -111,7 +111,7 @@
         self._retry_at: dict[str, float] = {}
         self._missing_since: dict[str, float] = {}
         self._flush: asyncio.TimerHandle | None = None
-        self._contact_at = 0.0
+        self._reconnect_at = 0.0
         self._ticked_at = clock()
         self._rounds = 0
         self._closing = False
@@ -138,7 +138,7 @@
         if self._links:
             await asyncio.wait(
                 [asyncio.ensure_future(link.wait_sent()) for link in self._links],
-                timeout=FAREWELL_S,
+                timeout=CLOSE_TIMEOUT_S,
             )
         if self._flush is not None:
             self._flush.cancel()
@@ -151,18 +151,18 @@
     def tell_soon(self) -> None:
         """Send what is new without waiting for the next period."""
         if self._flush is None:
-            self._flush = asyncio.get_running_loop().call_later(COALESCE_S, self._send_news)
+            self._flush = asyncio.get_running_loop().call_later(COALESCE_S, self._send_updates)
 
     def _run_round(self, now: float) -> None:
         paused = now - self._ticked_at > 2.0 * self._membership.timing.period_s
         self._ticked_at = now
-        before = self._membership.news_sequence
+        before = self._membership.state_sequence
         self._membership.tick(now=now)
-        if self._membership.news_sequence != before:
+        if self._membership.state_sequence != before:
             self._on_change()
         if paused:
             for link in self._links:
-                link.excuse(now)
+                link.reset_silence(now)
         self._update_links(now)
         for link in self._links:
             link.wake()
@@ -170,7 +170,7 @@
         if self._rounds % GAUGE_ROUNDS == 1:
             self._set_gauges(now)
 
-    def _send_news(self) -> None:
+    def _send_updates(self) -> None:
         self._flush = None
         now = self._clock()
         for link in self._links:
@@ -180,7 +180,7 @@
     def _update_links(self, now: float) -> None:
         neighbours = {m.instance.name: m for m in self._membership.list_neighbours()}
         self._spread.set_neighbours(len(neighbours))
-        self._close_useless(neighbours, now)
+        self._close_unused(neighbours, now)
         linked = {link.state.peer for link in self._links}
         for name, member in neighbours.items():
             if name in linked:
@@ -189,9 +189,9 @@
                 self._dial(member.instance.peer_address, name, now)
         for name in set(self._missing_since) - set(neighbours):
             del self._missing_since[name]
-        self._try_contact(bool(neighbours), now)
+        self._reconnect(bool(neighbours), now)
 
-    def _close_useless(self, neighbours: Iterable[str], now: float) -> None:
+    def _close_unused(self, neighbours: Iterable[str], now: float) -> None:
         timing = self._membership.timing
         own = self._membership.me.instance.name
         accepted = {link.state.peer for link in self._links if not link.address}
@@ -199,16 +199,16 @@
             peer = link.state.peer
             if peer in neighbours:
                 link.used_at = now
-            silent = now - link.heard_at
+            silent = now - link.received_at
             if link.address:
                 # Failure: the peer restarted or a route changed, this end's packets vanish and
                 # the stream looks open. A new stream comes before the peer would be suspected.
-                useless = silent > SILENT_SHARE * timing.suspect_after_s
-                useless = useless or now - link.used_at > LINGER_S
-                useless = useless or (peer < own and peer in accepted)
+                unused = silent > SILENT_STREAM_SHARE * timing.suspect_after_s
+                unused = unused or now - link.used_at > UNUSED_STREAM_TIMEOUT_S
+                unused = unused or (peer < own and peer in accepted)
             else:
-                useless = silent > timing.suspect_after_s + timing.gone_after_s
-            if useless:
+                unused = silent > timing.suspect_after_s + timing.gone_after_s
+            if unused:
                 link.close()
 
     def _should_dial(self, name: str, now: float) -> bool:
@@ -216,10 +216,10 @@
         waited = now - since >= 2.0 * self._membership.timing.period_s
         return waited or self._membership.me.instance.name < name
 
-    def _try_contact(self, connected: bool, now: float) -> None:
-        if connected and now < self._contact_at:
+    def _reconnect(self, connected: bool, now: float) -> None:
+        if connected and now < self._reconnect_at:
             return
-        self._contact_at = now + CONTACT_S * self._random.uniform(0.5, 1.5)
+        self._reconnect_at = now + RECONNECT_INTERVAL_S * self._random.uniform(0.5, 1.5)
         linked = {link.address for link in self._links}
         contacts = [c for c in self._membership.list_contacts() if c not in linked]
         ready = [c for c in contacts if self._retry_at.get(c, now) <= now]
@@ -254,16 +254,16 @@
                     channel.close()
         except _STREAM_ERRORS as error:
             if address in self._dialling:
-                self._note_failed_dial(address, name, error)
+                self._record_failed_dial(address, name, error)
         finally:
             self._dialling.discard(address)
             channel.close()
 
-    def _note_failed_dial(self, address: str, name: str, error: Exception) -> None:
+    def _record_failed_dial(self, address: str, name: str, error: Exception) -> None:
         now = self._clock()
         failures = self._failures.get(address, 0)
         self._failures[address] = failures + 1
-        pause = min(FIRST_RETRY_S * 2.0**failures, LONGEST_RETRY_S)
+        pause = min(INITIAL_RETRY_DELAY_S * 2.0**failures, MAX_RETRY_DELAY_S)
         self._retry_at[address] = now + pause * self._random.uniform(0.5, 1.5)
         self._metrics.count("heartbeat.dial_failed")
         if name and isinstance(error, ConnectionRefusedError):
@@ -280,14 +280,14 @@
         broken = True
         try:
             broken = await link.run(
-                make=lambda: self._exchange.make_message(link.state, now=self._clock()),
-                take=lambda message: self._take(link, message),
+                build_message=lambda: self._exchange.make_message(link.state, now=self._clock()),
+                on_message=lambda message: self._receive(link, message),
             )
         finally:
             self._links.discard(link)
-            self._note_ended(link, broken and not self._closing)
+            self._handle_ended(link, broken and not self._closing)
 
-    def _note_ended(self, link: HeartbeatLink, broken: bool) -> None:
+    def _handle_ended(self, link: HeartbeatLink, broken: bool) -> None:
         peer = link.state.peer
         if not peer or any(other.state.peer == peer for other in self._links):
             return
@@ -298,17 +298,17 @@
             self._missing_since[peer] = float("-inf")
             asyncio.get_running_loop().call_soon(lambda: self._update_links(self._clock()))
 
-    def _take(self, link: HeartbeatLink, message: HeartbeatMessage) -> None:
+    def _receive(self, link: HeartbeatLink, message: HeartbeatMessage) -> None:
         first = not link.state.peer
-        link.heard_at = self._clock()
-        changes = self._exchange.take_message(message, link.state, now=link.heard_at)
+        link.received_at = self._clock()
+        changes = self._exchange.take_message(message, link.state, now=link.received_at)
         if first:
             self._failures.pop(link.address, None)
             self._close_older(link)
         if changes.members or changes.configuration:
             self._on_change()
             self.tell_soon()
-        elif self._exchange.has_news(link.state, now=link.heard_at):
+        elif self._exchange.has_news(link.state, now=link.received_at):
             self.tell_soon()
 
     def _close_older(self, link: HeartbeatLink) -> None:
--- a/src/guavamast/member_records.py
+++ b/src/guavamast/member_records.py
@@ -46,7 +46,7 @@
     def __init__(self) -> None:
         self._numbers: dict[str, int] = {}
 
-    def note(self, name: str, number: int) -> None:
+    def record(self, name: str, number: int) -> None:
         """Note a change; numbers grow."""
         self._numbers.pop(name, None)
         self._numbers[name] = number
@@ -66,7 +66,7 @@
 
 
 @dataclass(frozen=True, slots=True, kw_only=True)
-class MemberNews:
+class MemberUpdate:
     """A change to be told."""
 
     member: Member
@@ -79,17 +79,17 @@
     """What one instance holds of another."""
 
     member: Member
-    heard_at: float
+    heartbeat_at: float
     """When its heartbeat was last seen to rise, or when it became a neighbour."""
     changed_at: float
     """When its incarnation or state changed."""
-    lost: bool = False
+    refused_connection: bool = False
     """Whether its address refused a connection since its last heartbeat."""
-    patience: float = 1.0
+    suspicion_factor: float = 1.0
     """Factor on the allowed silence."""
-    started: int = 0
+    incarnation_sequence: int = 0
     """Sequence number at which its incarnation became known."""
-    inherited: bool = False
+    first_seen_gone: bool = False
     """Whether it was gone when it was first heard of; such a record is not passed on."""
 
 
--- a/src/guavamast/membership.py
+++ b/src/guavamast/membership.py
@@ -10,7 +10,7 @@
 from dataclasses import dataclass, replace
 from typing import TYPE_CHECKING, Final
 
-from guavamast.member_records import ChangeLog, MemberNews, MemberRecord, join
+from guavamast.member_records import ChangeLog, MemberUpdate, MemberRecord, join
 from guavamast.members import Member, MembershipView, MemberState
 from guavamast.overlay import Overlay
 from guavamast.rendezvous import compute_weight
@@ -20,11 +20,11 @@
 
     from guavamast.world import Instance
 
-LARGEST_PATIENCE: Final = 16.0
+MAX_SUSPICION_FACTOR: Final = 16.0
 """Factor at which the growth of a neighbour's allowed silence stops."""
-PATIENCE_DECAY: Final = 0.98
+SUSPICION_FACTOR_DECAY: Final = 0.98
 """Factor by which it shrinks with each heartbeat in time; halves it in about 35."""
-LOAD_STEP: Final = 0.2
+MIN_LOAD_CHANGE: Final = 0.2
 """Smallest relative change of the load that is published; less does not change a choice."""
 
 
@@ -38,7 +38,7 @@
     """Silence after which a neighbour is suspected."""
     gone_after_s: float = 3.0
     """Time that a suspected instance has to refute."""
-    lost_gone_after_s: float = 1.0
+    refused_gone_after_s: float = 1.0
     """The same for one whose address refuses connections: no process is there to refute."""
     forget_after_s: float = 7200.0
     """Time after which a gone instance is forgotten; longer than regions lose each other for."""
@@ -69,13 +69,13 @@
     """
 
     __slots__ = (
-        "_details",
+        "_detail_changes",
         "_load",
         "_load_published_at",
         "_listed",
         "_me",
         "_neighbours",
-        "_news",
+        "_state_changes",
         "_overlay",
         "_overlay_stale",
         "_records",
@@ -85,7 +85,7 @@
         "_timing",
         "_watched",
         "left_at",
-        "news_sequence",
+        "state_sequence",
     )
 
     def __init__(
@@ -105,8 +105,8 @@
         )
         self._timing = timing or MembershipTiming()
         self._records: dict[str, MemberRecord] = {}
-        self._news = ChangeLog()
-        self._details = ChangeLog()
+        self._state_changes = ChangeLog()
+        self._detail_changes = ChangeLog()
         self._seeds: tuple[str, ...] = ()
         self._listed: tuple[str, ...] = ()
         self._overlay = Overlay()
@@ -120,7 +120,7 @@
         self._load_published_at = now
         self.left_at: float | None = None
         """When this instance began to leave."""
-        self.news_sequence = 0
+        self.state_sequence = 0
         """The value of `sequence` at the last change of any incarnation or state."""
 
     @property
@@ -153,12 +153,12 @@
 
     def tick(self, *, now: float) -> None:
         """Raise the own heartbeat and judge the neighbours by the age of theirs."""
-        self._allow_for_pause(now)
+        self._compensate_for_pause(now)
         self._ticked_at = now
         self._publish(now)
         self._update_overlay(now)
         for name in self._neighbours | self._watched:
-            self._judge(name, self._records[name], now)
+            self._check_record(name, self._records[name], now)
 
     def leave(self, *, now: float) -> None:
         """Tell others that this instance takes no new work; it stays in the overlay."""
@@ -182,7 +182,7 @@
             return
         if record.member.state == MemberState.LIVE:
             self._set_state(record, MemberState.SUSPECT, now)
-        record.lost = True
+        record.refused_connection = True
 
     def set_configuration_version(self, version: int) -> None:
         """Set the version of the configuration that is in force here."""
@@ -240,19 +240,19 @@
         unknown = [address for address in (*self._seeds, *self._listed) if address not in known]
         return tuple(dict.fromkeys([*unknown, *gone]))
 
-    def list_news(self, *, after: int) -> list[MemberNews]:
+    def list_updates(self, *, after: int) -> list[MemberUpdate]:
         """Return the records whose incarnation or state changed, oldest change first.
 
         Args:
             after: The value of `sequence` up to which the receiver has been told.
         """
-        changed = [self._records[name] for _, name in self._news.list_after(after)]
+        changed = [self._records[name] for _, name in self._state_changes.list_after(after)]
         return [
-            MemberNews(member=record.member, new_incarnation=record.started > after)
+            MemberUpdate(member=record.member, new_incarnation=record.incarnation_sequence > after)
             for record in changed
         ]
 
-    def list_details(self, *, after: int) -> list[tuple[int, Member]]:
+    def list_detail_changes(self, *, after: int) -> list[tuple[int, Member]]:
         """Return the records whose load or configuration version changed, oldest change first.
 
         Args:
@@ -261,7 +261,7 @@
         Returns:
             Each record with the sequence number of its change.
         """
-        changed = self._details.list_after(after)
+        changed = self._detail_changes.list_after(after)
         return [(number, self._records[name].member) for number, name in changed]
 
     def list_all(self) -> list[Member]:
@@ -270,53 +270,55 @@
         Failure: an instance that has forgotten a gone one hears of it again from one that has not
         yet, passes it on, and the record never dies. Only those that saw it leave pass it on.
         """
-        told = [record.member for record in self._records.values() if not record.inherited]
-        return [self._me, *told]
+        records = [record.member for record in self._records.values() if not record.first_seen_gone]
+        return [self._me, *records]
 
     def compute_digest(self) -> int:
         """Return a 64-bit sum over the members, equal where two instances agree on them."""
-        total = 0
+        digest = 0
         for member in (self._me, *(record.member for record in self._records.values())):
             if member.state != MemberState.GONE:
                 key = f"{member.incarnation} {member.state}"
-                total ^= compute_weight(key, member.instance.name)
-        return total
+                digest ^= compute_weight(key, member.instance.name)
+        return digest
 
-    def _refute(self, heard: Member) -> None:
-        outdated = heard.incarnation < self._me.incarnation
-        agrees = heard.incarnation == self._me.incarnation and heard.state <= self._me.state
+    def _refute(self, received: Member) -> None:
+        outdated = received.incarnation < self._me.incarnation
+        agrees = received.incarnation == self._me.incarnation and received.state <= self._me.state
         if outdated or agrees:
             return
-        self._me = replace(self._me, incarnation=heard.incarnation + 1)
-        self._count_news()
+        self._me = replace(self._me, incarnation=received.incarnation + 1)
+        self._advance_state_sequence()
 
-    def _merge_one(self, heard: Member, now: float) -> None:
-        name = heard.instance.name
+    def _merge_one(self, received: Member, now: float) -> None:
+        name = received.instance.name
         record = self._records.get(name)
         if record is None:
-            self._add_record(heard, now)
+            self._add_record(received, now)
             return
         known = record.member
-        record.member = joined = join(known, heard)
+        record.member = joined = join(known, received)
         if (joined.incarnation, joined.heartbeat) > (known.incarnation, known.heartbeat):
-            record.heard_at = now
-            record.lost = False
+            record.heartbeat_at = now
+            record.refused_connection = False
         if (joined.incarnation, joined.state) != (known.incarnation, known.state):
-            if record.inherited and joined.state == MemberState.GONE:
+            if record.first_seen_gone and joined.state == MemberState.GONE:
                 return
-            self._note_news(record, known, now)
+            self._record_state_change(record, known, now)
         if (joined.load, joined.configuration_version) != (known.load, known.configuration_version):
             self._sequence += 1
-            self._details.note(name, self._sequence)
+            self._detail_changes.record(name, self._sequence)
 
-    def _add_record(self, heard: Member, now: float) -> None:
-        gone = heard.state == MemberState.GONE
-        record = MemberRecord(member=heard, heard_at=now, changed_at=now, inherited=gone)
-        self._records[heard.instance.name] = record
+    def _add_record(self, received: Member, now: float) -> None:
+        gone = received.state == MemberState.GONE
+        record = MemberRecord(
+            member=received, heartbeat_at=now, changed_at=now, first_seen_gone=gone
+        )
+        self._records[received.instance.name] = record
         self._watch(record)
         if not gone:
-            record.started = self._count_news()
-            self._news.note(heard.instance.name, record.started)
+            record.incarnation_sequence = self._advance_state_sequence()
+            self._state_changes.record(received.instance.name, record.incarnation_sequence)
             self._overlay_stale = True
 
     def _watch(self, record: MemberRecord) -> None:
@@ -326,38 +328,38 @@
         else:
             self._watched.discard(name)
 
-    def _count_news(self) -> int:
+    def _advance_state_sequence(self) -> int:
         self._sequence += 1
-        self.news_sequence = self._sequence
+        self.state_sequence = self._sequence
         return self._sequence
 
-    def _note_news(self, record: MemberRecord, known: Member, now: float) -> None:
+    def _record_state_change(self, record: MemberRecord, known: Member, now: float) -> None:
         refuted = known.state == MemberState.SUSPECT and record.member.state == MemberState.LIVE
         if refuted and record.member.incarnation == known.incarnation + 1:
             # Failure: the one link between two live instances is cut. One suspects the other, is
             # refuted by way of the rest, and suspects again with each round. Doubling the allowed
             # silence bounds the noise; a restart (another incarnation) starts afresh.
-            record.patience = min(record.patience * 2.0, LARGEST_PATIENCE)
+            record.suspicion_factor = min(record.suspicion_factor * 2.0, MAX_SUSPICION_FACTOR)
         record.changed_at = now
-        record.inherited = False
+        record.first_seen_gone = False
         self._watch(record)
-        number = self._count_news()
-        self._news.note(known.instance.name, number)
+        number = self._advance_state_sequence()
+        self._state_changes.record(known.instance.name, number)
         if record.member.incarnation != known.incarnation:
-            record.started = number
+            record.incarnation_sequence = number
         self._overlay_stale = True
 
     def _set_state(self, record: MemberRecord, state: MemberState, now: float) -> None:
         known = record.member
         record.member = replace(known, state=state)
-        self._note_news(record, known, now)
+        self._record_state_change(record, known, now)
 
     def _set_own_state(self, state: MemberState) -> None:
         if state > self._me.state:
             self._me = replace(self._me, state=state)
-            self._count_news()
+            self._advance_state_sequence()
 
-    def _allow_for_pause(self, now: float) -> None:
+    def _compensate_for_pause(self, now: float) -> None:
         """Add the time in which this process did not run to what others are allowed.
 
         Failure: a process that was stopped for a minute wakes, finds all neighbours silent for a
@@ -368,7 +370,7 @@
         if gap <= self._timing.period_s:
             return
         for record in self._records.values():
-            record.heard_at = min(record.heard_at + gap, now)
+            record.heartbeat_at = min(record.heartbeat_at + gap, now)
             if record.member.state == MemberState.SUSPECT:
                 record.changed_at = min(record.changed_at + gap, now)
 
@@ -377,7 +379,7 @@
         timing = self._timing
         period = max(timing.load_period_s, len(self._records) / timing.loads_per_second)
         due = now - self._load_published_at >= period
-        if due and abs(self._load - load) > LOAD_STEP * max(load, self._load):
+        if due and abs(self._load - load) > MIN_LOAD_CHANGE * max(load, self._load):
             load = self._load
             self._load_published_at = now
         self._me = replace(self._me, heartbeat=self._me.heartbeat + 1, load=load)
@@ -396,31 +398,33 @@
         neighbours = self._overlay.find_neighbours(own.name, regions)
         for name in neighbours - self._neighbours:
             record = self._records[name]
-            record.heard_at = max(record.heard_at, now)
-            record.patience = 1.0
+            record.heartbeat_at = max(record.heartbeat_at, now)
+            record.suspicion_factor = 1.0
         self._neighbours = neighbours
 
-    def _judge(self, name: str, record: MemberRecord, now: float) -> None:
+    def _check_record(self, name: str, record: MemberRecord, now: float) -> None:
         timing = self._timing
         state = record.member.state
         if state == MemberState.GONE:
             if now - record.changed_at > timing.forget_after_s:
                 del self._records[name]
-                self._news.drop(name)
-                self._details.drop(name)
+                self._state_changes.drop(name)
+                self._detail_changes.drop(name)
                 self._watched.discard(name)
                 self._overlay.forget(name)
             return
-        silence = now - record.heard_at
+        silence = now - record.heartbeat_at
         if silence <= timing.period_s:
-            record.patience = max(1.0, record.patience * PATIENCE_DECAY)
-        allowed = timing.suspect_after_s * record.patience
+            record.suspicion_factor = max(1.0, record.suspicion_factor * SUSPICION_FACTOR_DECAY)
+        allowed = timing.suspect_after_s * record.suspicion_factor
         if state == MemberState.SUSPECT:
-            rest = timing.lost_gone_after_s if record.lost else timing.gone_after_s
-            if min(silence, now - record.changed_at) > rest:
+            refutation_time = (
+                timing.refused_gone_after_s if record.refused_connection else timing.gone_after_s
+            )
+            if min(silence, now - record.changed_at) > refutation_time:
                 self._set_state(record, MemberState.GONE, now)
         elif name in self._neighbours and silence > allowed:
             if state == MemberState.LIVE:
                 self._set_state(record, MemberState.SUSPECT, now)
-            elif record.lost or silence > allowed + timing.gone_after_s:
+            elif record.refused_connection or silence > allowed + timing.gone_after_s:
                 self._set_state(record, MemberState.GONE, now)
--- a/src/guavamast/overlay.py
+++ b/src/guavamast/overlay.py
@@ -39,12 +39,12 @@
             At most two names a ring.
         """
         region = regions[name]
-        near = [other for other, place in regions.items() if place == region]
+        in_region = [other for other, place in regions.items() if place == region]
         found: set[str] = set()
         for number in range(FLEET_RINGS):
             found |= self._find_adjacent(f"fleet-{number}", name, regions)
         for number in range(REGION_RINGS):
-            found |= self._find_adjacent(f"region-{region}-{number}", name, near)
+            found |= self._find_adjacent(f"region-{region}-{number}", name, in_region)
         return frozenset(found - {name})
 
     def forget(self, name: str) -> None:
@@ -52,15 +52,15 @@
         self._weights = {key: w for key, w in self._weights.items() if key[1] != name}
 
     def _find_adjacent(self, ring: str, name: str, candidates: Iterable[str]) -> set[str]:
-        own = self._place(ring, name)
-        places = [self._place(ring, other) for other in candidates if other != name]
-        if not places:
+        own = self._compute_position(ring, name)
+        positions = [self._compute_position(ring, other) for other in candidates if other != name]
+        if not positions:
             return set()
-        after = min((p for p in places if p > own), default=min(places))
-        before = max((p for p in places if p < own), default=max(places))
+        after = min((p for p in positions if p > own), default=min(positions))
+        before = max((p for p in positions if p < own), default=max(positions))
         return {after[1], before[1]}
 
-    def _place(self, ring: str, name: str) -> tuple[int, str]:
+    def _compute_position(self, ring: str, name: str) -> tuple[int, str]:
         weight = self._weights.get((ring, name))
         if weight is None:
             weight = compute_weight(ring, name)
--- a/tests/test_configuration_spread_properties.py
+++ b/tests/test_configuration_spread_properties.py
@@ -11,7 +11,7 @@
     CHAIN_CHARACTERS,
     DeltaChain,
     apply_delta,
-    make_delta,
+    create_delta,
 )
 from guavamast.configuration_spread import (
     ConfigurationOffer,
@@ -39,7 +39,7 @@
 
     @given(TEXTS, TEXTS, TEXTS)
     def test_a_delta_gives_the_new_text_or_none(self, old: str, new: str, other: str) -> None:
-        delta = make_delta(base=1, old=old, version=2, new=new)
+        delta = create_delta(base=1, old=old, version=2, new=new)
         self.assertEqual(apply_delta(delta, version=1, text=old), new)
         self.assertIn(apply_delta(delta, version=1, text=other), (new, None))
         self.assertIsNone(apply_delta(delta, version=3, text=old))
@@ -48,7 +48,7 @@
         chain = DeltaChain()
         for version in range(2, 12):
             text = "x" * (CHAIN_CHARACTERS // 4)
-            chain.append(make_delta(base=version - 1, old="", version=version, new=text))
+            chain.append(create_delta(base=version - 1, old="", version=version, new=text))
         self.assertEqual([delta.version for delta in chain.list_since(7)], [8, 9, 10, 11])
         self.assertEqual(chain.list_since(2), ())
 
@@ -75,9 +75,9 @@
             ahead.accept(version, text, source=Source.PLATFORM, now=LONG_AGO)
             if version <= behind:
                 peer.accept(version, text, source=Source.PLATFORM, now=LONG_AGO)
-        offer = ahead.make_offer(peer.version)
+        offer = ahead.create_offer(peer.version)
         if offer is not None:
-            self.assertTrue(peer.take_offer(offer, now=LONG_AGO))
+            self.assertTrue(peer.apply_offer(offer, now=LONG_AGO))
         self.assertEqual((peer.version, peer.text), (ahead.version, ahead.text))
 
     def test_a_delta_that_does_not_fit_leads_to_the_whole_text(self) -> None:
@@ -88,17 +88,17 @@
         """
         spread = make_spread()
         spread.accept(1, "mine", source=Source.PLATFORM, now=LONG_AGO)
-        spread.hear_peer("peer", 2, now=LONG_AGO)
-        self.assertTrue(spread.wants_from("peer", now=LONG_AGO))
-        self.assertEqual(spread.ask("peer", now=LONG_AGO), 1)
-        wrong = make_delta(base=1, old="theirs and longer", version=2, new="theirs, changed")
+        spread.record_peer_version("peer", 2, now=LONG_AGO)
+        self.assertTrue(spread.should_request_from("peer", now=LONG_AGO))
+        self.assertEqual(spread.record_request("peer", now=LONG_AGO), 1)
+        wrong = create_delta(base=1, old="theirs and longer", version=2, new="theirs, changed")
         self.assertFalse(
-            spread.take_offer(ConfigurationOffer(version=2, deltas=(wrong,)), now=LONG_AGO)
+            spread.apply_offer(ConfigurationOffer(version=2, deltas=(wrong,)), now=LONG_AGO)
         )
         self.assertEqual(spread.text, "mine")
         later = LONG_AGO + 1.5
-        self.assertTrue(spread.wants_from("peer", now=later))
-        self.assertEqual(spread.ask("peer", now=later), 0)
+        self.assertTrue(spread.should_request_from("peer", now=later))
+        self.assertEqual(spread.record_request("peer", now=later), 0)
 
     @given(st.lists(st.integers(1, 5), min_size=1, max_size=5))
     def test_a_new_instance_in_an_outage_takes_the_highest_of_several_peers(
@@ -111,7 +111,7 @@
         """
         spread = make_spread(head=None)
         for number, version in enumerate(versions):
-            spread.hear_peer(f"peer{number}", version, now=LONG_AGO)
+            spread.record_peer_version(f"peer{number}", version, now=LONG_AGO)
         spread.set_neighbours(14)
         for version in versions:
             taken = spread.accept(version, f"text {version}", source=Source.PEER, now=LONG_AGO)
@@ -139,7 +139,7 @@
         self.assertEqual(spread.judge(now=LONG_AGO + 7.0, others_known=True), Standing.CURRENT)
         self.assertEqual(spread.judge(now=late, others_known=True), Standing.ISOLATED)
         self.assertEqual(spread.judge(now=late, others_known=False), Standing.CURRENT)
-        spread.hear_peer("peer", 1, now=late)
+        spread.record_peer_version("peer", 1, now=late)
         self.assertEqual(spread.judge(now=late, others_known=True), Standing.CURRENT)
 
     @given(st.integers(0, 2**32), st.integers(1, 8))
@@ -155,7 +155,7 @@
         """All instances see a new head within seconds; reading a megabyte each would swamp it."""
         spread = make_spread(head=3)
         self.assertEqual(spread.choose_snapshot(now=LONG_AGO), 3)
-        spread.hear_peer("peer", 3, now=LONG_AGO)
+        spread.record_peer_version("peer", 3, now=LONG_AGO)
         self.assertIsNone(spread.choose_snapshot(now=LONG_AGO))
         self.assertEqual(spread.choose_snapshot(now=LONG_AGO + 2.0), 3)
 
--- a/tests/test_heartbeats.py
+++ b/tests/test_heartbeats.py
@@ -36,9 +36,9 @@
 
     drops: frozenset[str] = frozenset()
 
-    def _take(self, link: HeartbeatLink, message: HeartbeatMessage) -> None:
+    def _receive(self, link: HeartbeatLink, message: HeartbeatMessage) -> None:
         if message.sender not in self.drops:
-            super()._take(link, message)
+            super()._receive(link, message)
 
 
 class GossipService(PeerBase):
