--- a/src/guavamast/clocks.py
+++ b/src/guavamast/clocks.py
@@ -1,4 +1,4 @@
-"""Where code that waits takes the present time from."""
+"""Clock interface for code that waits, and its system implementation."""
 
 from __future__ import annotations
 
@@ -8,26 +8,26 @@
 
 
 class Clock(ABC):
-    """The time of this process and of the world."""
+    """Source of monotonic time, wall-clock time and sleeps."""
 
     @abstractmethod
     def read_monotonic(self) -> float:
-        """Return seconds that only grow, pauses of the process included; for deadlines."""
+        """Return monotonic seconds, which include pauses of the process; for deadlines."""
 
     @abstractmethod
     def read_wall(self) -> float:
-        """Return seconds since the epoch; for times that other instances read."""
+        """Return seconds since the epoch; for timestamps that other instances read."""
 
     @abstractmethod
     async def sleep(self, seconds: float) -> None:
-        """Wait."""
+        """Wait for a number of seconds."""
 
 
 class SystemClock(Clock):
     """The operating system's clocks."""
 
     def read_monotonic(self) -> float:
-        """Return seconds that only grow."""
+        """Return monotonic seconds."""
         return time.monotonic()
 
     def read_wall(self) -> float:
@@ -35,5 +35,5 @@
         return time.time()
 
     async def sleep(self, seconds: float) -> None:
-        """Wait on the running loop."""
+        """Wait on the running event loop."""
         await asyncio.sleep(seconds)
--- a/src/guavamast/configuration_delta.py
+++ b/src/guavamast/configuration_delta.py
@@ -1,8 +1,8 @@
-"""The difference between two versions of the configuration's text.
+"""Deltas between two versions of the configuration text.
 
-Failure: at 7,600 organisations the text has about a megabyte; sent whole at each of 690 changes a
-day it would use up the control traffic of an instance. Most changes touch one place, so the text
-between the common start and the common end is small.
+With 7,600 organisations the text has about a megabyte. Sent whole at each of 690 changes a day, it
+would use up the control traffic of an instance. Most changes touch one place, so the text between
+the common prefix and the common suffix is small.
 """
 
 from __future__ import annotations
@@ -13,24 +13,24 @@
 from typing import Final
 
 CHAIN_LENGTH: Final = 64
-"""Deltas kept for others."""
+"""Maximum number of deltas kept for peers."""
 CHAIN_CHARACTERS: Final = 262_144
-"""Characters kept in all deltas together; bounds the memory of an instance."""
+"""Maximum characters kept in all deltas together; bounds memory use."""
 
 
 @dataclass(frozen=True, slots=True, kw_only=True)
 class ConfigurationDelta:
-    """Makes the text of ``version`` from that of ``base``."""
+    """Change from the text of ``base`` to that of ``version``."""
 
     base: int
     version: int
     start: int
-    """Characters kept at the start."""
+    """Length of the common prefix in characters."""
     end: int
-    """Characters kept at the end."""
+    """Length of the common suffix in characters."""
     middle: str
     digest: int
-    """`compute_digest` of the resulting text."""
+    """`compute_digest` of the new text."""
 
 
 def compute_digest(text: str) -> int:
@@ -55,10 +55,10 @@
 
 
 def apply_delta(delta: ConfigurationDelta, *, version: int, text: str) -> str | None:
-    """Return the new text, or None when the delta does not belong to this one.
+    """Return the new text, or None when the delta does not apply to this text.
 
-    Failure: a delta of another base gives a text that nobody accepted. The digest of the result
-    travels with the delta, so such a text is dropped and the whole one is asked for.
+    A delta of another base would give a text that nobody accepted. The delta carries the digest of
+    its result, so such a text is dropped and the whole text is requested.
     """
     if delta.base != version or delta.start + delta.end > len(text):
         return None
@@ -67,7 +67,7 @@
 
 
 class DeltaChain:
-    """The recent deltas of one instance, each based on the one before it."""
+    """Recent deltas of one instance, each based on the previous one."""
 
     __slots__ = ("_deltas",)
 
@@ -75,13 +75,13 @@
         self._deltas: deque[ConfigurationDelta] = deque()
 
     def append(self, delta: ConfigurationDelta) -> None:
-        """Add a delta and drop old ones beyond the bounds."""
+        """Add a delta and drop the oldest ones beyond the bounds."""
         self._deltas.append(delta)
         while self._deltas and self._exceeds_bounds():
             self._deltas.popleft()
 
     def list_since(self, version: int) -> tuple[ConfigurationDelta, ...]:
-        """Return the deltas that lead from a version to the last one; none when they don't."""
+        """Return the deltas from a version to the latest one, or none if it is no kept base."""
         kept = list(self._deltas)
         for index, delta in enumerate(kept):
             if delta.base == version:
--- a/src/guavamast/configuration_spread.py
+++ b/src/guavamast/configuration_spread.py
@@ -1,7 +1,8 @@
-"""When an instance takes a version of the configuration, and from whom it gets the text.
+"""Distribution of the configuration: which version an instance accepts and where it gets the text.
 
-Versions ride on every heartbeat; small deltas are pushed along with a new version, larger texts are
-asked of one peer. A jittered poll of the platform's head row finds what the heartbeats missed.
+Every heartbeat carries the sender's version. Small deltas are pushed with a new version; larger
+texts are requested from one peer. A jittered poll of the platform's head row finds versions that
+the heartbeats missed.
 """
 
 from __future__ import annotations
@@ -19,52 +20,52 @@
 )
 
 MAX_PUSHED_CHARACTERS: Final = 2048
-"""Largest delta that is sent unasked. Each instance may get it from every neighbour."""
+"""Size of the largest delta that is pushed. An instance may get it from every neighbour."""
 MIN_PEERS: Final = 3
-"""Peers that a new instance hears before it believes the highest, when the platform is down."""
+"""Peers whose versions a new instance needs to accept the highest one in a platform outage."""
 
 
 class Source(StrEnum):
-    """Where a text came from."""
+    """Origin of a configuration text."""
 
     PLATFORM = "platform"
     PEER = "peer"
 
 
 class Standing(StrEnum):
-    """What an instance may do with the configuration that it has."""
+    """Whether an instance may use the configuration that it has."""
 
     WAITING = "waiting"
-    """It has none and serves operators only."""
+    """It has no configuration and serves operators only."""
     CURRENT = "current"
-    """It hears someone who would tell it of a change."""
+    """It is in contact with the platform or a peer, which would report a change."""
     ISOLATED = "isolated"
-    """It hears nobody: it finishes what it has and refuses new work as not run."""
+    """It is in contact with nobody: it finishes current work and rejects new work as not run."""
 
 
 @dataclass(frozen=True, slots=True, kw_only=True)
 class SpreadTiming:
-    """Times of the spread; ``docs/design/configuration-spread.md`` gives the reasons."""
+    """Timing of the distribution; ``docs/design/configuration-spread.md`` gives the reasons."""
 
     poll_s: float = 5.0
-    """Mean time between two reads of the head row; the jitter is half of it either way."""
+    """Mean interval between two reads of the head row; the jitter is half of it either way."""
     max_poll_s: float = 30.0
-    """Mean time between two reads in an outage of the platform."""
+    """Longest mean interval between two reads, in an outage of the platform."""
     request_timeout_s: float = 1.0
-    """Time after which another peer is asked for a text."""
+    """Timeout of a request for a text, after which another peer is asked."""
     peer_transfer_s: float = 2.0
-    """Time that peers are given before the text is read from the platform."""
+    """Time allowed for peers to send the text before it is read from the platform."""
     outage_s: float = 3.0
-    """Time without the platform after which a new instance takes a configuration from peers."""
+    """Time without the platform after which a new instance accepts a configuration from peers."""
     peer_validity_s: float = 10.0
-    """Age at which a peer's word on its version is dropped."""
+    """Age at which a version reported by a peer expires."""
     isolated_s: float = 8.0
-    """Silence of everybody after which an instance is isolated."""
+    """Time without contact to the platform or any peer after which an instance is isolated."""
 
 
 @dataclass(frozen=True, slots=True, kw_only=True)
 class ConfigurationOffer:
-    """What is sent to a peer that is behind: deltas, or the whole text when there are none."""
+    """Update for a peer that is behind: deltas, or the whole text if there are none."""
 
     version: int
     deltas: tuple[ConfigurationDelta, ...] = ()
@@ -78,16 +79,16 @@
 
 
 class ConfigurationSpread:
-    """The configuration's text on one instance and the decisions on how it is renewed.
+    """The configuration text of one instance and the decisions on how to update it.
 
-    The dispatcher reads the head row at `next_poll_at` and reports to `hear_platform` or
-    `miss_platform`, reads the snapshot that `choose_snapshot` names and passes it to `accept`;
-    it passes what an entry announces to `accept` as well. `HeartbeatLinks` does the rest.
+    The dispatcher reads the head row at `next_poll_at` and calls `hear_platform` or
+    `miss_platform`, reads the snapshot that `choose_snapshot` returns and passes it to `accept`;
+    it also passes what an entry announces to `accept`. `HeartbeatLinks` makes all other calls.
 
     Args:
-        now: The present time of a monotonic clock.
+        now: Current time of a monotonic clock.
         seed: Seed of the jitter; differs between instances.
-        timing: Times of the spread.
+        timing: Timing of the distribution.
     """
 
     __slots__ = (
@@ -132,34 +133,34 @@
         self._requested_peer = ""
         self._requested_at = now
         self.next_poll_at = now
-        """When the head row is to be read next."""
+        """Time at which the head row should be read next."""
 
     @property
     def version(self) -> int:
-        """The version in force here; 0 for none."""
+        """The version in force on this instance; 0 for none."""
         return self._version
 
     @property
     def text(self) -> str:
-        """The text of the version in force here."""
+        """The text of the version in force on this instance."""
         return self._text
 
     @property
     def head(self) -> int:
-        """The highest version of the head row that the platform has told; 0 for none."""
+        """The highest version read from the platform's head row; 0 for none."""
         return self._head or 0
 
     def accept(self, version: int, text: str, *, source: Source, now: float) -> bool:
-        """Take a version into force if it is higher and its source may be believed.
+        """Put a version in force if it is higher and its source may be trusted.
 
         Args:
-            version: Its number.
-            text: Its text.
-            source: Where it came from. What an entry announces was confirmed by the platform.
-            now: The present time.
+            version: The version number.
+            text: The text.
+            source: Its origin. What an entry announces was confirmed by the platform.
+            now: Current time.
 
         Returns:
-            Whether the version in force changed. It never goes back.
+            Whether the version in force changed. It never decreases.
         """
         if version <= self._version:
             return False
@@ -175,7 +176,7 @@
         return True
 
     def apply_offer(self, offer: ConfigurationOffer, *, now: float) -> bool:
-        """Take a peer's offer into force.
+        """Put a peer's offer in force.
 
         Returns:
             Whether the version in force changed.
@@ -188,14 +189,14 @@
         for delta in offer.deltas:
             if delta.version <= version:
                 continue
-            made = apply_delta(delta, version=version, text=text)
-            if made is None:
+            new_text = apply_delta(delta, version=version, text=text)
+            if new_text is None:
                 return False
-            version, text = delta.version, made
+            version, text = delta.version, new_text
         return self.accept(version, text, source=Source.PEER, now=now)
 
     def hear_platform(self, head: int, *, now: float) -> None:
-        """Note what the head row says; 0 when no configuration has been accepted yet."""
+        """Record the version of the head row; 0 if no configuration has been accepted yet."""
         self._head = max(head, self._head or 0)
         self._head_read_at = self._received_at = now
         self._failed_polls = 0
@@ -203,19 +204,19 @@
         self._set_next_poll(self._timing.poll_s, now)
 
     def miss_platform(self, *, now: float) -> None:
-        """Note that the head row could not be read."""
+        """Record that the head row could not be read."""
         self._failed_polls += 1
         mean = min(self._timing.poll_s * 2.0 ** (self._failed_polls - 1), self._timing.max_poll_s)
         self._set_next_poll(mean, now)
 
     def record_peer_version(self, name: str, version: int, *, now: float) -> None:
-        """Note the version that a peer has in force."""
+        """Record the version that a peer has in force."""
         self._peers[name] = _PeerVersion(version=version, received_at=now)
         self._received_at = now
         self._update_behind_since(now)
 
     def record_pushed(self, name: str) -> None:
-        """Note that a peer has been sent the version in force here."""
+        """Record that the version in force has been sent to a peer."""
         peer = self._peers.get(name)
         if peer is not None:
             peer.version = max(peer.version, self._version)
@@ -225,12 +226,12 @@
         self._peers.pop(name, None)
 
     def find_peer_version(self, name: str) -> int:
-        """Return the version that a peer told last; 0 when it told none."""
+        """Return the version that a peer reported last; 0 if it reported none."""
         peer = self._peers.get(name)
         return peer.version if peer else 0
 
     def choose_push(self, name: str) -> ConfigurationOffer | None:
-        """Return a small offer to send to a peer unasked, if it is known to be behind."""
+        """Return a small offer to push to a peer, if the peer is known to be behind."""
         offer = self.create_offer(self.find_peer_version(name))
         if offer is None or not offer.deltas:
             return None
@@ -238,7 +239,7 @@
         return offer if size <= MAX_PUSHED_CHARACTERS else None
 
     def create_offer(self, above: int) -> ConfigurationOffer | None:
-        """Return what a peer at a version needs, or None when it has as much as this instance."""
+        """Return the update for a peer at a version, or None if the peer is not behind."""
         if above >= self._version:
             return None
         deltas = self._chain.list_since(above)
@@ -247,13 +248,13 @@
         return ConfigurationOffer(version=self._version, text=self._text)
 
     def set_neighbours(self, number: int) -> None:
-        """Set how many neighbours there are; a small fleet has fewer peers to hear."""
+        """Set the number of neighbours; a small fleet requires fewer peers than `MIN_PEERS`."""
         self._min_peers = max(1, min(MIN_PEERS, number))
 
     def should_request_from(self, name: str, *, now: float) -> bool:
-        """Return whether this peer is the one to ask for a text now.
+        """Return whether to request a text from this peer now.
 
-        One peer at a time is asked, of those with the highest version.
+        One peer at a time is asked, among those with the highest version.
         """
         peer = self._peers.get(name)
         if peer is None or peer.version <= self._version:
@@ -268,23 +269,24 @@
         return self._may_accept_from_peers(peer.version, now)
 
     def record_request(self, name: str, *, now: float) -> int:
-        """Note that a peer is asked for a text.
+        """Record that a text is requested from a peer.
 
-        Failure: a delta does not fit (another base) and the same answer would come for ever. A
-        later request within one lag asks above 0, which is answered with the whole text.
+        If a delta does not apply (another base), the peer would send the same delta forever. So a
+        repeated request before the instance has caught up is for versions above 0, to which the
+        peer responds with the whole text.
 
         Returns:
-            The version above which to ask.
+            The version above which to request.
         """
         again = bool(self._requested_peer)
         self._requested_peer, self._requested_at = name, now
         return 0 if again else self._version
 
     def choose_snapshot(self, *, now: float) -> int | None:
-        """Return the version whose text is to be read from the platform now, if any.
+        """Return the version whose text should be read from the platform now, if any.
 
-        Failure: at each change all instances read a megabyte from the platform at once. Those
-        that have peers give them `SpreadTiming.peers_first_s` first.
+        Without a delay, all instances would read a megabyte from the platform at once at each
+        change. Instances with a peer that has the version wait for `SpreadTiming.peer_transfer_s`.
         """
         if self._head is None or self._head <= self._version:
             return None
@@ -296,16 +298,16 @@
         return None if offered and not waited else self._head
 
     def judge(self, *, now: float, others_known: bool) -> Standing:
-        """Return what this instance may do.
+        """Return whether this instance may use its configuration.
 
         Args:
-            now: The present time.
-            others_known: Whether membership knows of any other instance that has not left. An
-                instance alone serves on through an outage of the platform: nobody else is there
-                who could have confirmed a change.
+            now: Current time.
+            others_known: Whether membership has any other instance that has not left. A single
+                instance keeps serving through an outage of the platform, since no other instance
+                could have confirmed a change.
 
         Returns:
-            The standing.
+            The state of the configuration.
         """
         if not self._version:
             return Standing.WAITING
@@ -313,11 +315,11 @@
         return Standing.ISOLATED if silent and others_known else Standing.CURRENT
 
     def _may_accept_from_peers(self, version: int, now: float) -> bool:
-        """Whether a peer's version may be taken.
+        """Return whether a peer's version may be accepted.
 
-        Failure: a new instance asks the one peer that was cut off for an hour, takes an old
-        version and sends work to an endpoint that has left. With the platform's head known, no
-        less than that is taken; in an outage, the highest of several peers.
+        Without this check, a new instance could get an old version from a peer that was cut off
+        for an hour, and send work to an endpoint that has left. If the platform's head is known,
+        lower versions are rejected; in an outage, only the highest of several peers is accepted.
         """
         if self._version:
             return True
--- a/src/guavamast/heartbeat_exchange.py
+++ b/src/guavamast/heartbeat_exchange.py
@@ -1,8 +1,8 @@
-"""What rides on each heartbeat between two instances.
+"""Content of the heartbeats between two instances.
 
 A message carries the sender's own record, the records whose incarnation or state changed since the
 last message on the same stream, a few whose load or version changed, and a digest of all members by
-which the receiver sees that it misses something.
+which the receiver detects that its records differ.
 """
 
 from __future__ import annotations
@@ -22,31 +22,31 @@
     from guavamast.peer_pb2 import MemberMessage
 
 DETAILS_PER_MESSAGE: Final = 8
-"""Records a message whose load or version alone changed; bounds the bytes of a busy fleet."""
+"""Records per message whose load or version alone changed; bounds the bytes of a busy fleet."""
 DIGEST_MISMATCH_S: Final = 2.5
-"""Time for which digests differ until all records are asked for; news goes round in less."""
+"""Time for which digests may differ before a full sync; updates normally spread in less."""
 FULL_SYNC_INTERVAL_S: Final = 1.0
-"""Shortest time between two requests of one instance for all records.
+"""Shortest interval between two requests of one instance for all records.
 
-Failure: many instances go at once, the digests of all links differ, and each end asks each
-neighbour for everything. What one neighbour sends makes most of the other requests needless.
+Without this, when many instances leave at once, the digests of all links differ and each end
+requests all records from every neighbour. One neighbour's reply makes most other requests needless.
 """
 
 
 @dataclass(slots=True, kw_only=True)
 class ExchangeState:
-    """What one stream's two ends have told each other. A new stream starts with a new one."""
+    """What the two ends of one stream have sent each other; not kept for a later stream."""
 
     peer: str = ""
     """Name of the other end; empty until its first message."""
     received_at: float | None = None
-    """When its last message came."""
+    """Time at which its last message was received."""
     sent_own: tuple[int, MemberState] | None = None
     sent_state_sequence: int | None = None
-    """Sequence number up to which news was told; None stands for nothing said yet."""
+    """Sequence number up to which state changes were sent; None if nothing was sent yet."""
     sent_detail_sequence: int = 0
     mismatch_since: float = float("-inf")
-    """Since when the digests have differed; the first one that does counts at once."""
+    """Start of the digest mismatch; the initial value makes the first mismatch overdue at once."""
     sent_version: int = -1
     requests_members: bool = False
     must_send_members: bool = False
@@ -55,14 +55,14 @@
 
 @dataclass(frozen=True, slots=True, kw_only=True)
 class ReceivedChanges:
-    """What one message changed."""
+    """What a received message changed."""
 
     members: bool
     configuration: bool
 
 
 class HeartbeatExchange:
-    """Makes and takes heartbeat messages; holds no stream.
+    """Builds and applies heartbeat messages; does no I/O.
 
     Args:
         membership: This instance's membership.
@@ -79,7 +79,7 @@
         self._digest_sequence = -1
 
     def has_news(self, state: ExchangeState, *, now: float) -> bool:
-        """Return whether a message should be sent before the next period."""
+        """Return whether there are updates to send before the next period."""
         return (
             state.sent_own != self._get_own_state()
             or state.must_send_members
@@ -92,15 +92,15 @@
         )
 
     def make_message(self, state: ExchangeState, *, now: float) -> HeartbeatMessage:
-        """Return the next message of a stream and note it as told.
+        """Return the next message of a stream and record its content as sent.
 
         Args:
             state: The stream's state.
-            now: The present time.
+            now: Current time.
 
         Returns:
-            The message. Streams keep order and lose nothing while they last, so what is in it
-            needs no acknowledgement; a broken stream's successor starts with a digest.
+            The message. A stream is ordered and reliable while it lasts, so its content needs no
+            acknowledgement; the stream that replaces a broken one starts with a digest.
         """
         message = HeartbeatMessage(
             sender=self._membership.me.instance.name,
@@ -114,15 +114,15 @@
     def take_message(
         self, message: HeartbeatMessage, state: ExchangeState, *, now: float
     ) -> ReceivedChanges:
-        """Take in a message of a stream.
+        """Apply a message received on a stream.
 
         Args:
             message: The message.
-            state: The stream's state; afterwards `has_news` tells whether an answer is due.
-            now: The present time.
+            state: The stream's state; afterwards `has_news` returns whether a reply is due.
+            now: Current time.
 
         Returns:
-            Which of the things that others follow have changed.
+            Whether the members and the configuration changed.
         """
         state.peer, state.received_at = message.sender, now
         changed = self._apply_members(message, state, now)
@@ -130,7 +130,7 @@
         return ReceivedChanges(members=changed, configuration=configured)
 
     def compute_digest(self) -> int:
-        """Return the digest of the members, computed again after a change alone."""
+        """Return the digest of the members, cached until the next change."""
         if self._digest_sequence != self._membership.state_sequence:
             self._digest = self._membership.compute_digest()
             self._digest_sequence = self._membership.state_sequence
@@ -166,11 +166,11 @@
     def _encode_updates(self, after: int) -> list[MemberMessage]:
         return [
             (
-                encode_member(news.member)
-                if news.new_incarnation
-                else encode_changing_fields(news.member)
+                encode_member(update.member)
+                if update.new_incarnation
+                else encode_changing_fields(update.member)
             )
-            for news in self._membership.list_updates(after=after)
+            for update in self._membership.list_updates(after=after)
         ]
 
     def _add_details(self, message: HeartbeatMessage, state: ExchangeState) -> None:
@@ -186,7 +186,7 @@
         membership = self._membership
         before, state_before = membership.sequence, membership.state_sequence
         membership.merge(self._decode(message), now=now)
-        # What came from this end need not be told back to it, unless older news waits as well.
+        # Changes received from the peer need not be sent back, unless older ones are unsent too.
         if state.sent_detail_sequence == before:
             state.sent_detail_sequence = membership.sequence
         if state.sent_state_sequence == state_before:
--- a/src/guavamast/heartbeat_link.py
+++ b/src/guavamast/heartbeat_link.py
@@ -1,4 +1,4 @@
-"""One stream of heartbeats."""
+"""A single heartbeat stream."""
 
 from __future__ import annotations
 
@@ -21,14 +21,14 @@
 class HeartbeatLink:
     """Sends on a stream when woken and receives from it, each in a task of its own.
 
-    Failure: a peer that is stopped takes nothing from its socket, and a send to it never returns.
-    Only this link's sender waits then, and messages are made when they can be sent, so that none
-    pile up.
+    A stopped peer does not read from its socket, and a send to it never returns. In that case only
+    this link's sending task blocks, and messages are built only when they can be sent, so none
+    queue up.
 
     Args:
         stream: Either end of a ``Gossip`` stream.
-        address: The address that was dialled; empty where the peer dialled.
-        now: The present time.
+        address: The dialled address; empty if the peer dialled.
+        now: Current time.
     """
 
     __slots__ = (
@@ -50,26 +50,26 @@
         self.address = address
         self.state = ExchangeState()
         self.received_at = now
-        """When the last message came, or the stream was opened."""
+        """Time at which the last message was received or the stream was opened."""
         self.used_at = now
-        """When the peer was last a neighbour."""
+        """Time at which the peer was last a neighbour."""
 
     def wake(self) -> None:
-        """Send a message as soon as the stream takes one."""
+        """Send a message as soon as the stream accepts one."""
         self._sent.clear()
         self._wake.set()
 
     def reset_silence(self, now: float) -> None:
-        """Count the stream's silence from now on, after this process was paused."""
+        """Restart the measurement of silence after this process was paused."""
         self.received_at = max(self.received_at, now)
 
     def close(self) -> None:
-        """End the stream."""
+        """Close the stream."""
         for task in self._tasks:
             task.cancel()
 
     async def wait_sent(self) -> None:
-        """Wait until the message that was last asked for is sent."""
+        """Wait until the message of the last `wake` is sent."""
         await self._sent.wait()
 
     async def run(
@@ -81,11 +81,11 @@
         """Exchange messages until either end closes the stream.
 
         Args:
-            build_message: Makes the next message to send.
-            on_message: Takes a received message.
+            build_message: Returns the next message to send.
+            on_message: Called with each received message.
 
         Returns:
-            Whether the stream broke, rather than being closed.
+            Whether the stream broke rather than being closed.
         """
         self._wake.set()
         self._tasks = [
--- a/src/guavamast/heartbeats.py
+++ b/src/guavamast/heartbeats.py
@@ -1,7 +1,7 @@
-"""Streams of heartbeats to other dispatchers.
+"""Heartbeat streams to other dispatchers.
 
-There is one stream for each pair of neighbours. It is dialled by the end with the lower name, or by
-the other one when that fails to come.
+There is one stream for each pair of neighbours. The end with the lower name dials it; the other end
+dials if no stream is opened in time.
 """
 
 from __future__ import annotations
@@ -31,39 +31,39 @@
     from guavamast.peer_pb2 import HeartbeatMessage
 
 COALESCE_S: Final = 0.02
-"""Time for which news is collected before it is passed on."""
+"""Time for which updates are coalesced before they are sent."""
 CONNECT_TIMEOUT_S: Final = 2.0
-"""Longest time for opening a stream."""
+"""Timeout for opening a stream."""
 INITIAL_RETRY_DELAY_S: Final = 0.5
-"""Pause after a failed dial; doubles up to `LONGEST_RETRY_S`."""
+"""Delay after a failed dial; doubles up to `MAX_RETRY_DELAY_S`."""
 MAX_RETRY_DELAY_S: Final = 5.0
-"""Longest pause between two dials of one address."""
+"""Upper bound of the delay between two dials of one address, before jitter."""
 RECONNECT_INTERVAL_S: Final = 5.0
-"""Time between two dials of a seed or a gone instance, while there are neighbours."""
+"""Mean interval between two dials of a seed or a gone instance, while there are neighbours."""
 UNUSED_STREAM_TIMEOUT_S: Final = 5.0
-"""Time for which a stream to an instance that is no neighbour is kept."""
+"""Time for which a dialled stream to an instance that is no longer a neighbour is kept."""
 SILENT_STREAM_SHARE: Final = 0.75
-"""Share of the time until suspicion after which a silent stream is replaced by a new one."""
+"""Share of the time until suspicion after which a silent dialled stream is replaced."""
 CLOSE_TIMEOUT_S: Final = 0.5
-"""Longest time for telling neighbours that this process ends."""
+"""Timeout for announcing to the neighbours that this process ends."""
 GAUGE_ROUNDS: Final = 10
-"""Rounds between two sets of gauges."""
+"""Rounds between two updates of the gauges."""
 
 _STREAM_ERRORS: Final = (OSError, GRPCError, ProtocolError, StreamTerminatedError, TimeoutError)
 
 
 class HeartbeatLinks:
-    """Keeps the streams to this instance's neighbours and runs its failure detector.
+    """Maintains the streams to this instance's neighbours and runs its failure detector.
 
     The dispatcher awaits `run` in a task, passes each ``Gossip`` stream to `serve`, calls
     `tell_soon` after it changed the membership or the configuration itself, and awaits `close` at
     the end.
 
     Args:
-        membership: The membership to keep.
-        spread: The configuration to spread.
-        metrics: Where counts go.
-        on_change: Called after a message changed members or configuration.
+        membership: This instance's membership.
+        spread: The configuration to distribute.
+        metrics: Receives counters and gauges.
+        on_change: Called after members or configuration changed.
         clock: The monotonic clock.
     """
 
@@ -117,7 +117,7 @@
         self._closing = False
 
     async def run(self) -> None:
-        """Send heartbeats once a period until cancelled."""
+        """Send heartbeats once per period until cancelled."""
         period = self._membership.timing.period_s
         due = self._clock()
         while True:
@@ -126,11 +126,11 @@
             await asyncio.sleep(due - self._clock())
 
     async def serve(self, stream: Stream) -> None:
-        """Serve a ``Gossip`` stream that a peer dialled, until either end ends it."""
+        """Serve a ``Gossip`` stream that a peer dialled, until either end closes it."""
         await self._serve_link(HeartbeatLink(stream=stream, address="", now=self._clock()))
 
     async def close(self) -> None:
-        """Tell the neighbours that this process ends, and end all streams."""
+        """Announce to the neighbours that this process ends, and close all streams."""
         self._closing = True
         self._membership.end()
         for link in self._links:
@@ -149,7 +149,7 @@
         await asyncio.gather(*self._tasks, return_exceptions=True)
 
     def tell_soon(self) -> None:
-        """Send what is new without waiting for the next period."""
+        """Send pending updates soon, without waiting for the next period."""
         if self._flush is None:
             self._flush = asyncio.get_running_loop().call_later(COALESCE_S, self._send_updates)
 
@@ -180,7 +180,7 @@
     def _update_links(self, now: float) -> None:
         neighbours = {m.instance.name: m for m in self._membership.list_neighbours()}
         self._spread.set_neighbours(len(neighbours))
-        self._close_unused(neighbours, now)
+        self._close_obsolete(neighbours, now)
         linked = {link.state.peer for link in self._links}
         for name, member in neighbours.items():
             if name in linked:
@@ -191,7 +191,7 @@
             del self._missing_since[name]
         self._reconnect(bool(neighbours), now)
 
-    def _close_unused(self, neighbours: Iterable[str], now: float) -> None:
+    def _close_obsolete(self, neighbours: Iterable[str], now: float) -> None:
         timing = self._membership.timing
         own = self._membership.me.instance.name
         accepted = {link.state.peer for link in self._links if not link.address}
@@ -201,14 +201,14 @@
                 link.used_at = now
             silent = now - link.received_at
             if link.address:
-                # Failure: the peer restarted or a route changed, this end's packets vanish and
-                # the stream looks open. A new stream comes before the peer would be suspected.
-                unused = silent > SILENT_STREAM_SHARE * timing.suspect_after_s
-                unused = unused or now - link.used_at > UNUSED_STREAM_TIMEOUT_S
-                unused = unused or (peer < own and peer in accepted)
+                # If the peer restarted or a route changed, this end's packets are lost while the
+                # stream looks open. Replace it before the peer would be suspected.
+                obsolete = silent > SILENT_STREAM_SHARE * timing.suspect_after_s
+                obsolete = obsolete or now - link.used_at > UNUSED_STREAM_TIMEOUT_S
+                obsolete = obsolete or (peer < own and peer in accepted)
             else:
-                unused = silent > timing.suspect_after_s + timing.gone_after_s
-            if unused:
+                obsolete = silent > timing.suspect_after_s + timing.gone_after_s
+            if obsolete:
                 link.close()
 
     def _should_dial(self, name: str, now: float) -> bool:
@@ -221,8 +221,8 @@
             return
         self._reconnect_at = now + RECONNECT_INTERVAL_S * self._random.uniform(0.5, 1.5)
         linked = {link.address for link in self._links}
-        contacts = [c for c in self._membership.list_contacts() if c not in linked]
-        ready = [c for c in contacts if self._retry_at.get(c, now) <= now]
+        addresses = [c for c in self._membership.list_contacts() if c not in linked]
+        ready = [c for c in addresses if self._retry_at.get(c, now) <= now]
         self._retry_at = {a: at for a, at in self._retry_at.items() if at > now - 60.0}
         if ready:
             self._dial(self._random.choice(ready), "", now)
@@ -240,8 +240,8 @@
         channel = Channel(host, int(port))
         try:
             async with PeerStub(channel).Gossip.open() as stream:
-                # Failure: wait_for loses a cancellation that comes as the connection is made, and
-                # `close` waits for ever. The timeout's context doesn't.
+                # asyncio.wait_for loses a cancellation that arrives just as the connection is
+                # made, and `close` would wait forever. asyncio.timeout doesn't lose it.
                 async with asyncio.timeout(CONNECT_TIMEOUT_S):
                     await stream.send_request()
                 self._dialling.discard(address)
@@ -249,7 +249,7 @@
                 try:
                     await self._serve_link(link)
                 finally:
-                    # Failure: leaving the context waits for the peer's trailers, which a stopped
+                    # Leaving the stream's context waits for the peer's trailers, which a stopped
                     # peer never sends. It doesn't wait on a closed connection.
                     channel.close()
         except _STREAM_ERRORS as error:
@@ -275,8 +275,8 @@
         if self._closing:
             return
         self._links.add(link)
-        # grpclib cancels the handler of an accepted stream whose connection is lost, so an end
-        # by an exception counts as broken too.
+        # grpclib cancels the handler of an accepted stream whose connection is lost, so a stream
+        # that ends by an exception counts as broken too.
         broken = True
         try:
             broken = await link.run(
@@ -293,8 +293,8 @@
             return
         self._spread.forget_peer(peer)
         if broken:
-            # A process that ended takes its streams along. Dialling it at once tells, by a refused
-            # connection, that it is lost; waiting for silence takes seconds longer.
+            # The streams of a process break when it exits. Dialling its address at once detects
+            # this by a refused connection, seconds sooner than waiting for silence.
             self._missing_since[peer] = float("-inf")
             asyncio.get_running_loop().call_soon(lambda: self._update_links(self._clock()))
 
--- a/src/guavamast/member_codec.py
+++ b/src/guavamast/member_codec.py
@@ -1,4 +1,4 @@
-"""Members as messages."""
+"""Encoding of membership records as protocol messages."""
 
 from __future__ import annotations
 
@@ -17,7 +17,7 @@
 
 
 def encode_member(member: Member) -> MemberMessage:
-    """Return the whole record as a message."""
+    """Return a message with the whole record."""
     message = encode_changing_fields(member)
     message.failure_domain = member.instance.failure_domain.name
     message.region = member.instance.failure_domain.region
@@ -27,7 +27,7 @@
 
 
 def encode_changing_fields(member: Member) -> MemberMessage:
-    """Return a record without its instance, for a receiver that knows this incarnation."""
+    """Return a message without the instance, for a receiver that knows this incarnation."""
     return MemberMessage(
         name=member.instance.name,
         incarnation=member.incarnation,
@@ -43,13 +43,14 @@
 
     Args:
         message: A whole record, or one without its instance.
-        known: What the receiver knows of the same name.
+        known: The receiver's record of the same name.
 
     Returns:
-        The record, or None when its instance is neither told nor known, or its state is unknown.
+        The record, or None when its instance is neither included nor known, or its state is
+        unknown.
     """
     if message.state not in _STATES:
-        # A later release may add states; its record is left out rather than ending the stream.
+        # A later release may add states. Skipping its record keeps the stream open.
         return None
     instance = _decode_instance(message)
     if instance is None:
@@ -72,7 +73,7 @@
 
 
 def decode_members(messages: Iterable[MemberMessage]) -> tuple[Member, ...]:
-    """Return the records of messages that are whole; others are left out."""
+    """Return the records of the messages that are whole, without the others."""
     decoded = (decode_member(message) for message in messages)
     return tuple(member for member in decoded if member is not None)
 
--- a/src/guavamast/member_records.py
+++ b/src/guavamast/member_records.py
@@ -1,4 +1,4 @@
-"""How records of one instance are combined, and what is kept beside them."""
+"""Merging of membership records, and the local state kept with them."""
 
 from __future__ import annotations
 
@@ -12,18 +12,18 @@
 
 
 def join(first: Member, second: Member) -> Member:
-    """Return what two records of one instance say together.
+    """Return the merge of two records of one instance.
 
-    The higher incarnation wins whole. Within one incarnation the later state wins, the load goes
-    with the higher heartbeat, and configuration versions only grow. This is commutative,
-    associative and idempotent.
+    The record with the higher incarnation wins as a whole. Within one incarnation the later state
+    wins, the load comes with the higher heartbeat, and the configuration version never decreases.
+    The merge is commutative, associative and idempotent.
 
     Args:
         first: A record.
         second: Another record of the same name.
 
     Returns:
-        Their least upper bound.
+        The least upper bound of both.
     """
     if first.incarnation != second.incarnation:
         return max(first, second, key=lambda member: member.incarnation)
@@ -39,7 +39,7 @@
 
 
 class ChangeLog:
-    """Names in the order of their last change, each with the change's sequence number."""
+    """Names in the order of their last change, each with the sequence number of the change."""
 
     __slots__ = ("_numbers",)
 
@@ -47,16 +47,16 @@
         self._numbers: dict[str, int] = {}
 
     def record(self, name: str, number: int) -> None:
-        """Note a change; numbers grow."""
+        """Record a change; sequence numbers must increase."""
         self._numbers.pop(name, None)
         self._numbers[name] = number
 
     def drop(self, name: str) -> None:
-        """Drop a name that is forgotten."""
+        """Remove a name."""
         self._numbers.pop(name, None)
 
     def list_after(self, number: int) -> list[tuple[int, str]]:
-        """Return what changed after a number, oldest first."""
+        """Return the changes after a sequence number, oldest first."""
         found = []
         for name, changed in reversed(self._numbers.items()):
             if changed <= number:
@@ -67,30 +67,30 @@
 
 @dataclass(frozen=True, slots=True, kw_only=True)
 class MemberUpdate:
-    """A change to be told."""
+    """A changed record to send."""
 
     member: Member
     new_incarnation: bool
-    """Whether the receiver may not know the incarnation's instance yet."""
+    """Whether the receiver may not know the instance of this incarnation yet."""
 
 
 @dataclass(slots=True, kw_only=True)
 class MemberRecord:
-    """What one instance holds of another."""
+    """Local state of one instance about another."""
 
     member: Member
     heartbeat_at: float
-    """When its heartbeat was last seen to rise, or when it became a neighbour."""
+    """Time at which its heartbeat counter last rose or at which it became a neighbour."""
     changed_at: float
-    """When its incarnation or state changed."""
+    """Time at which its incarnation or state changed."""
     refused_connection: bool = False
     """Whether its address refused a connection since its last heartbeat."""
     suspicion_factor: float = 1.0
-    """Factor on the allowed silence."""
+    """Multiplier of the allowed silence."""
     incarnation_sequence: int = 0
-    """Sequence number at which its incarnation became known."""
+    """Sequence number of the change by which its incarnation became known."""
     first_seen_gone: bool = False
-    """Whether it was gone when it was first heard of; such a record is not passed on."""
+    """Whether it was already gone when first received; such a record is not passed on."""
 
 
 def _order_instance(instance: Instance) -> tuple[str, str, str, str]:
--- a/src/guavamast/members.py
+++ b/src/guavamast/members.py
@@ -1,4 +1,4 @@
-"""Instances as membership sees them."""
+"""Records of instances in the membership protocol."""
 
 from __future__ import annotations
 
@@ -21,26 +21,26 @@
 
 @dataclass(frozen=True, slots=True, kw_only=True)
 class Member:
-    """What is known of one instance."""
+    """Record of one instance."""
 
     instance: Instance
     incarnation: int
-    """Chosen by the instance at its start and raised by it to refute a suspicion."""
+    """Chosen by the instance at its start and incremented by it to refute a suspicion."""
     state: MemberState
     heartbeat: int
-    """Counter that the instance raises with each heartbeat round."""
+    """Counter that the instance increments in each heartbeat round."""
     configuration_version: int
     load: float = 0.0
-    """Requests in flight at its entry."""
+    """Number of requests in flight at the instance's entry."""
 
 
 @dataclass(frozen=True, slots=True, kw_only=True)
 class MembershipView:
-    """A snapshot of the members, by name."""
+    """Snapshot of the members, ordered by name."""
 
     members: tuple[Member, ...]
 
     def list_serving(self) -> tuple[Member, ...]:
-        """Return members that may keep endpoints and take callers."""
+        """Return the members that may be keepers of endpoints and accept callers."""
         serving = (MemberState.LIVE, MemberState.SUSPECT)
         return tuple(member for member in self.members if member.state in serving)
--- a/src/guavamast/membership.py
+++ b/src/guavamast/membership.py
@@ -1,8 +1,8 @@
-"""Who belongs to the fleet, as one instance sees it.
+"""Fleet membership and failure detection, as one instance sees them.
 
-Each instance judges only its neighbours on the overlay by the age of their heartbeats and spreads
-what it finds, so that the cost per instance does not grow with the fleet. Records of one instance
-are combined by `join`, so the order and number of messages do not matter.
+Each instance monitors only its overlay neighbours, by the age of their heartbeats, and gossips the
+state changes that it detects, so the cost per instance does not grow with the fleet. `join` merges
+records of the same instance, so the order and number of messages do not matter.
 """
 
 from __future__ import annotations
@@ -10,7 +10,7 @@
 from dataclasses import dataclass, replace
 from typing import TYPE_CHECKING, Final
 
-from guavamast.member_records import ChangeLog, MemberUpdate, MemberRecord, join
+from guavamast.member_records import ChangeLog, MemberRecord, MemberUpdate, join
 from guavamast.members import Member, MembershipView, MemberState
 from guavamast.overlay import Overlay
 from guavamast.rendezvous import compute_weight
@@ -21,51 +21,51 @@
     from guavamast.world import Instance
 
 MAX_SUSPICION_FACTOR: Final = 16.0
-"""Factor at which the growth of a neighbour's allowed silence stops."""
+"""Upper bound of `MemberRecord.suspicion_factor`."""
 SUSPICION_FACTOR_DECAY: Final = 0.98
-"""Factor by which it shrinks with each heartbeat in time; halves it in about 35."""
+"""Decay of the suspicion factor per heartbeat in time; about 35 heartbeats halve it."""
 MIN_LOAD_CHANGE: Final = 0.2
-"""Smallest relative change of the load that is published; less does not change a choice."""
+"""Smallest relative load change to publish; a smaller one does not change endpoint selection."""
 
 
 @dataclass(frozen=True, slots=True, kw_only=True)
 class MembershipTiming:
-    """Times of the failure detector; ``docs/design/membership.md`` has their measurement."""
+    """Timing of the failure detector; ``docs/design/membership.md`` has the measurements."""
 
     period_s: float = 1.0
-    """Time between two heartbeats."""
+    """Heartbeat interval."""
     suspect_after_s: float = 3.0
     """Silence after which a neighbour is suspected."""
     gone_after_s: float = 3.0
-    """Time that a suspected instance has to refute."""
+    """Time that a suspected instance has to refute the suspicion."""
     refused_gone_after_s: float = 1.0
-    """The same for one whose address refuses connections: no process is there to refute."""
+    """The same where the address refuses connections, since no process is left to refute."""
     forget_after_s: float = 7200.0
-    """Time after which a gone instance is forgotten; longer than regions lose each other for."""
+    """Time after which a gone instance is forgotten; longer than regions stay partitioned."""
     load_period_s: float = 5.0
-    """Shortest time between two loads that an instance publishes, in a small fleet."""
+    """Shortest interval between two load updates of an instance, in a small fleet."""
     loads_per_second: float = 6.0
-    """Loads that all instances together publish at most.
+    """Upper bound on the load updates of all instances together.
 
-    Each goes over every link, so this bounds the cost whatever the size of the fleet. It stays
-    below `heartbeat_exchange.DETAILS_PER_MESSAGE` a period, or a backlog would grow.
+    Each update crosses every link, so this bounds the cost for any size of the fleet. It must stay
+    below `heartbeat_exchange.DETAILS_PER_MESSAGE` per period, or a backlog would grow.
     """
 
 
 class Membership:
     """The members of the fleet and the failure detector of one instance.
 
-    `HeartbeatLinks` calls `tick` once a period, `merge` for what arrives and `report_lost`, and
-    sends changes to `list_neighbours`. The dispatcher calls `add_seeds` at the start,
+    `HeartbeatLinks` calls `tick` once per period, `merge` for received records and `report_lost`,
+    and sends changes to `list_neighbours`. The dispatcher calls `add_seeds` at the start,
     `replace_listed` after each read of the platform's list, `set_load`, `leave`, `end` and
     `make_view`.
 
     Args:
         me: This instance.
-        incarnation: Milliseconds since the epoch at the process's start, so that a restart
-            overrides its predecessor.
-        now: The present time of a monotonic clock.
-        timing: Times of the failure detector.
+        incarnation: Milliseconds since the epoch at the start of the process, so that a restarted
+            process overrides the records of the previous one.
+        now: Current time of a monotonic clock.
+        timing: Timing of the failure detector.
     """
 
     __slots__ = (
@@ -113,15 +113,15 @@
         self._overlay_stale = True
         self._neighbours: frozenset[str] = frozenset()
         self._watched: set[str] = set()
-        """Suspected and gone instances."""
+        """Names of suspected and gone instances."""
         self._sequence = 1
         self._ticked_at = now
         self._load = 0.0
         self._load_published_at = now
         self.left_at: float | None = None
-        """When this instance began to leave."""
+        """Time at which this instance began to leave."""
         self.state_sequence = 0
-        """The value of `sequence` at the last change of any incarnation or state."""
+        """Value of `sequence` at the last change of any incarnation or state."""
 
     @property
     def me(self) -> Member:
@@ -130,7 +130,7 @@
 
     @property
     def timing(self) -> MembershipTiming:
-        """The times of the failure detector."""
+        """The timing of the failure detector."""
         return self._timing
 
     @property
@@ -139,11 +139,11 @@
         return self._sequence
 
     def merge(self, members: Iterable[Member], *, now: float) -> None:
-        """Take in records from another instance.
+        """Merge records received from another instance.
 
         Args:
-            members: The records; those of this instance itself are refuted where they are wrong.
-            now: The present time.
+            members: The records. A wrong record of this instance is refuted by a new incarnation.
+            now: Current time.
         """
         for member in members:
             if member.instance.name == self._me.instance.name:
@@ -152,7 +152,7 @@
                 self._merge_one(member, now)
 
     def tick(self, *, now: float) -> None:
-        """Raise the own heartbeat and judge the neighbours by the age of theirs."""
+        """Increment the local heartbeat counter and check the age of the neighbours' heartbeats."""
         self._compensate_for_pause(now)
         self._ticked_at = now
         self._publish(now)
@@ -161,21 +161,21 @@
             self._check_record(name, self._records[name], now)
 
     def leave(self, *, now: float) -> None:
-        """Tell others that this instance takes no new work; it stays in the overlay."""
+        """Announce that this instance accepts no new work; it stays in the overlay."""
         if self._me.state == MemberState.LIVE:
             self.left_at = now
             self._set_own_state(MemberState.LEAVING)
 
     def end(self) -> None:
-        """Tell others that this instance is gone, right before its process exits."""
+        """Announce that this instance is gone, right before its process exits."""
         self._set_own_state(MemberState.GONE)
 
     def report_lost(self, name: str, *, now: float) -> None:
-        """Suspect a neighbour at once whose address refuses connections.
+        """Suspect a neighbour whose address refuses connections, without waiting for silence.
 
         Args:
-            name: Its name.
-            now: The present time.
+            name: The neighbour's name.
+            now: Current time.
         """
         record = self._records.get(name)
         if record is None or record.member.state == MemberState.GONE:
@@ -185,29 +185,29 @@
         record.refused_connection = True
 
     def set_configuration_version(self, version: int) -> None:
-        """Set the version of the configuration that is in force here."""
+        """Set the configuration version that this instance has in force."""
         self._me = replace(self._me, configuration_version=version)
 
     def set_load(self, load: float) -> None:
-        """Set the requests in flight at this instance's entry; a later `tick` publishes it."""
+        """Set the number of requests in flight at this instance's entry, for a later `tick`."""
         self._load = load
 
     def add_seeds(self, addresses: Iterable[str]) -> None:
-        """Add the settings' peer addresses, to be contacted for as long as this process runs."""
+        """Add the settings' peer addresses, which are dialled for as long as this process runs."""
         self._seeds = tuple(dict.fromkeys([*self._seeds, *addresses]))
 
     def replace_listed(self, addresses: Iterable[str]) -> None:
-        """Set the peer addresses of the platform's list, which lags and drops what has left."""
+        """Set the peer addresses of the platform's list, which lags and omits what has left."""
         self._listed = tuple(addresses)
 
     def make_view(self, *, now: float) -> MembershipView:
         """Return the members that are not gone, ordered by name.
 
         Args:
-            now: The present time.
+            now: Current time.
 
         Returns:
-            A snapshot with this instance in it.
+            A snapshot that includes this instance.
         """
         del now
         members = [record.member for record in self._records.values()]
@@ -217,7 +217,7 @@
         )
 
     def find(self, name: str) -> Member | None:
-        """Return the record of an instance, also of one that is gone."""
+        """Return the record of an instance, even if it is gone."""
         if name == self._me.instance.name:
             return self._me
         record = self._records.get(name)
@@ -229,10 +229,10 @@
         return tuple(self._records[name].member for name in sorted(self._neighbours))
 
     def list_contacts(self) -> tuple[str, ...]:
-        """Return the peer addresses of seeds and gone instances, to be tried now and then.
+        """Return the peer addresses of seeds and gone instances, to be dialled now and then.
 
-        Failure: two halves that lost each other hold each other as gone and would stay apart for
-        ever. One connection between them is enough, since both then exchange all records.
+        Without this, the two sides of a network partition consider each other gone and never
+        reconnect. One connection between them suffices, since both then exchange all records.
         """
         known = {r.member.instance.peer_address: r.member.state for r in self._records.values()}
         known[self._me.instance.peer_address] = self._me.state
@@ -244,7 +244,7 @@
         """Return the records whose incarnation or state changed, oldest change first.
 
         Args:
-            after: The value of `sequence` up to which the receiver has been told.
+            after: The value of `sequence` up to which the receiver has the changes.
         """
         changed = [self._records[name] for _, name in self._state_changes.list_after(after)]
         return [
@@ -256,7 +256,7 @@
         """Return the records whose load or configuration version changed, oldest change first.
 
         Args:
-            after: The sequence number up to which the receiver has been told.
+            after: The sequence number up to which the receiver has the changes.
 
         Returns:
             Each record with the sequence number of its change.
@@ -265,16 +265,17 @@
         return [(number, self._records[name].member) for number, name in changed]
 
     def list_all(self) -> list[Member]:
-        """Return all records that may be told to a new neighbour, the own one included.
+        """Return all records that may be sent to a new neighbour, including this instance's own.
 
-        Failure: an instance that has forgotten a gone one hears of it again from one that has not
-        yet, passes it on, and the record never dies. Only those that saw it leave pass it on.
+        Records that were gone when first received are left out. Otherwise an instance that has
+        forgotten a gone one would receive it again from one that has not, pass it on, and the
+        record would never expire.
         """
         records = [record.member for record in self._records.values() if not record.first_seen_gone]
         return [self._me, *records]
 
     def compute_digest(self) -> int:
-        """Return a 64-bit sum over the members, equal where two instances agree on them."""
+        """Return a 64-bit digest of the members, equal for two instances that agree on them."""
         digest = 0
         for member in (self._me, *(record.member for record in self._records.values())):
             if member.state != MemberState.GONE:
@@ -336,9 +337,9 @@
     def _record_state_change(self, record: MemberRecord, known: Member, now: float) -> None:
         refuted = known.state == MemberState.SUSPECT and record.member.state == MemberState.LIVE
         if refuted and record.member.incarnation == known.incarnation + 1:
-            # Failure: the one link between two live instances is cut. One suspects the other, is
-            # refuted by way of the rest, and suspects again with each round. Doubling the allowed
-            # silence bounds the noise; a restart (another incarnation) starts afresh.
+            # If only the link between two live instances is cut, one suspects the other and is
+            # refuted through the rest of the fleet, again with each round. Doubling the allowed
+            # silence bounds this traffic. A restart (another incarnation) does not double it.
             record.suspicion_factor = min(record.suspicion_factor * 2.0, MAX_SUSPICION_FACTOR)
         record.changed_at = now
         record.first_seen_gone = False
@@ -360,11 +361,11 @@
             self._advance_state_sequence()
 
     def _compensate_for_pause(self, now: float) -> None:
-        """Add the time in which this process did not run to what others are allowed.
+        """Shift the recorded times by the time for which this process was paused.
 
-        Failure: a process that was stopped for a minute wakes, finds all neighbours silent for a
-        minute and declares them gone before it has read what they sent. Moving the times by the
-        gap leaves them their full allowance from now on.
+        Without this, a process that was stopped for a minute finds all neighbours silent for a
+        minute and declares them gone before it has read what they sent. The shift leaves them
+        their full allowed silence from now on.
         """
         gap = now - self._ticked_at - self._timing.period_s
         if gap <= self._timing.period_s:
--- a/src/guavamast/overlay.py
+++ b/src/guavamast/overlay.py
@@ -1,8 +1,8 @@
-"""Which members exchange heartbeats: rings in the order of their rendezvous weights.
+"""Overlay topology for heartbeats: rings of members ordered by rendezvous weight.
 
-Each member is linked to the one before and the one after it on every ring. The rings of the whole
-fleet connect it whatever fails within a region; the ring of each region keeps that region connected
-at the moment at which it loses the others. A join or a leave changes two links a ring.
+Each member is linked to its predecessor and its successor on every ring. The rings of the whole
+fleet keep it connected whatever fails within a region; the ring of each region keeps that region
+connected at the moment at which it loses the others. A join or a leave changes two links per ring.
 """
 
 from __future__ import annotations
@@ -15,13 +15,13 @@
     from collections.abc import Iterable, Mapping
 
 FLEET_RINGS: Final = 2
-"""Rings through all members. Two random rings have a diameter that grows as the logarithm."""
+"""Rings through all members. The diameter of two random rings grows logarithmically."""
 REGION_RINGS: Final = 1
 """Rings through the members of one region."""
 
 
 class Overlay:
-    """Computes neighbours and remembers ring weights between calls."""
+    """Computes neighbours and caches ring weights between calls."""
 
     __slots__ = ("_weights",)
 
@@ -32,11 +32,11 @@
         """Return the members that one member is linked to; the relation is symmetric.
 
         Args:
-            name: The member; it need not be in ``regions``.
-            regions: Every other member's name and region, and the member's own.
+            name: The member, which must be in ``regions``.
+            regions: Region by name, of every other member and the member itself.
 
         Returns:
-            At most two names a ring.
+            At most two names per ring.
         """
         region = regions[name]
         in_region = [other for other, place in regions.items() if place == region]
@@ -48,7 +48,7 @@
         return frozenset(found - {name})
 
     def forget(self, name: str) -> None:
-        """Drop the weights of a member that has left for good."""
+        """Drop the cached weights of a member that is forgotten."""
         self._weights = {key: w for key, w in self._weights.items() if key[1] != name}
 
     def _find_adjacent(self, ring: str, name: str, candidates: Iterable[str]) -> set[str]:
--- a/tests/test_configuration_spread_properties.py
+++ b/tests/test_configuration_spread_properties.py
@@ -1,4 +1,4 @@
-"""Properties of the spread of the configuration: deltas, never back, whom to believe."""
+"""Properties of configuration distribution: deltas, increasing versions, accepted sources."""
 
 from __future__ import annotations
 
@@ -21,21 +21,21 @@
 )
 
 TEXTS = st.text(alphabet="ab\né", max_size=30)
-LONG_AGO = 100.0
+NOW_S = 100.0
 
 
-def make_spread(*, head: int | None = 0) -> ConfigurationSpread:
-    """Return a new instance's spread that has read the head row, or could not for long."""
+def create_spread(*, head: int | None = 0) -> ConfigurationSpread:
+    """Return the state of a new instance that has read the head row, or failed to (None)."""
     spread = ConfigurationSpread(now=0.0, seed=1)
     if head is None:
-        spread.miss_platform(now=LONG_AGO)
+        spread.miss_platform(now=NOW_S)
     else:
-        spread.hear_platform(head, now=LONG_AGO)
+        spread.hear_platform(head, now=NOW_S)
     return spread
 
 
 class DeltaTest(unittest.TestCase):
-    """Texts made from older ones."""
+    """Texts built from older ones by deltas."""
 
     @given(TEXTS, TEXTS, TEXTS)
     def test_a_delta_gives_the_new_text_or_none(self, old: str, new: str, other: str) -> None:
@@ -54,15 +54,15 @@
 
 
 class SpreadTest(unittest.TestCase):
-    """What an instance takes into force."""
+    """Which versions an instance puts in force."""
 
     @given(st.lists(st.tuples(st.integers(0, 6), st.sampled_from(Source)), max_size=12))
     def test_versions_never_go_back(self, offers: list[tuple[int, Source]]) -> None:
         """Texts arrive late, twice and out of order, from peers and the platform."""
-        spread = make_spread()
+        spread = create_spread()
         for version, source in offers:
             before = spread.version, spread.text
-            changed = spread.accept(version, f"text {version}", source=source, now=LONG_AGO)
+            changed = spread.accept(version, f"text {version}", source=source, now=NOW_S)
             self.assertEqual(changed, version > before[0])
             self.assertGreaterEqual(spread.version, before[0])
             if not changed:
@@ -70,33 +70,33 @@
 
     @given(st.lists(TEXTS, min_size=2, max_size=8), st.integers(0, 7))
     def test_an_offer_brings_a_peer_to_the_same_text(self, texts: list[str], behind: int) -> None:
-        ahead, peer = make_spread(), make_spread()
+        ahead, peer = create_spread(), create_spread()
         for version, text in enumerate(texts, start=1):
-            ahead.accept(version, text, source=Source.PLATFORM, now=LONG_AGO)
+            ahead.accept(version, text, source=Source.PLATFORM, now=NOW_S)
             if version <= behind:
-                peer.accept(version, text, source=Source.PLATFORM, now=LONG_AGO)
+                peer.accept(version, text, source=Source.PLATFORM, now=NOW_S)
         offer = ahead.create_offer(peer.version)
         if offer is not None:
-            self.assertTrue(peer.apply_offer(offer, now=LONG_AGO))
+            self.assertTrue(peer.apply_offer(offer, now=NOW_S))
         self.assertEqual((peer.version, peer.text), (ahead.version, ahead.text))
 
     def test_a_delta_that_does_not_fit_leads_to_the_whole_text(self) -> None:
-        """A peer's delta is based on another text than this instance holds.
+        """A peer's delta is based on another text than this instance has.
 
-        Taken as it is it would put a text in force that nobody accepted. It is dropped, and the
-        next request asks for the whole text in place of the same delta again.
+        Applied anyway, it would put a text in force that nobody accepted. It is dropped, and the
+        next request is for the whole text instead of the same delta.
         """
-        spread = make_spread()
-        spread.accept(1, "mine", source=Source.PLATFORM, now=LONG_AGO)
-        spread.record_peer_version("peer", 2, now=LONG_AGO)
-        self.assertTrue(spread.should_request_from("peer", now=LONG_AGO))
-        self.assertEqual(spread.record_request("peer", now=LONG_AGO), 1)
+        spread = create_spread()
+        spread.accept(1, "mine", source=Source.PLATFORM, now=NOW_S)
+        spread.record_peer_version("peer", 2, now=NOW_S)
+        self.assertTrue(spread.should_request_from("peer", now=NOW_S))
+        self.assertEqual(spread.record_request("peer", now=NOW_S), 1)
         wrong = create_delta(base=1, old="theirs and longer", version=2, new="theirs, changed")
         self.assertFalse(
-            spread.apply_offer(ConfigurationOffer(version=2, deltas=(wrong,)), now=LONG_AGO)
+            spread.apply_offer(ConfigurationOffer(version=2, deltas=(wrong,)), now=NOW_S)
         )
         self.assertEqual(spread.text, "mine")
-        later = LONG_AGO + 1.5
+        later = NOW_S + 1.5
         self.assertTrue(spread.should_request_from("peer", now=later))
         self.assertEqual(spread.record_request("peer", now=later), 0)
 
@@ -104,39 +104,39 @@
     def test_a_new_instance_in_an_outage_takes_the_highest_of_several_peers(
         self, versions: list[int]
     ) -> None:
-        """The platform is down and one peer was cut off for an hour and holds an old version.
+        """The platform is down and one peer, partitioned for an hour, has an old version.
 
-        If a new instance took what the first peer has, it would send work to an endpoint that has
-        left since. It waits until it hears several and takes no less than the highest.
+        A new instance that accepted the first peer's version would send work to an endpoint that
+        has left since. It waits for several peers and accepts nothing below the highest version.
         """
-        spread = make_spread(head=None)
+        spread = create_spread(head=None)
         for number, version in enumerate(versions):
-            spread.record_peer_version(f"peer{number}", version, now=LONG_AGO)
+            spread.record_peer_version(f"peer{number}", version, now=NOW_S)
         spread.set_neighbours(14)
         for version in versions:
-            taken = spread.accept(version, f"text {version}", source=Source.PEER, now=LONG_AGO)
+            taken = spread.accept(version, f"text {version}", source=Source.PEER, now=NOW_S)
             if taken:
                 self.assertGreaterEqual(len(versions), 3)
                 self.assertEqual(version, max(versions))
         self.assertEqual(bool(spread.version), len(versions) >= 3)
 
     def test_a_new_instance_with_the_platform_takes_no_less_than_the_head(self) -> None:
-        spread = make_spread(head=5)
-        self.assertFalse(spread.accept(4, "old", source=Source.PEER, now=LONG_AGO))
-        self.assertEqual(spread.judge(now=LONG_AGO, others_known=True), Standing.WAITING)
-        self.assertTrue(spread.accept(5, "new", source=Source.PEER, now=LONG_AGO))
+        spread = create_spread(head=5)
+        self.assertFalse(spread.accept(4, "old", source=Source.PEER, now=NOW_S))
+        self.assertEqual(spread.judge(now=NOW_S, others_known=True), Standing.WAITING)
+        self.assertTrue(spread.accept(5, "new", source=Source.PEER, now=NOW_S))
 
     def test_an_instance_that_hears_nobody_is_isolated_until_it_hears_someone(self) -> None:
         """An instance loses its peers and the platform while callers still reach it.
 
-        A plan that takes an endpoint out is confirmed elsewhere; this instance would go on sending
-        to it. It refuses new work as not run instead, until anyone is heard. Alone in the fleet it
-        serves on, since nobody else could have confirmed a plan.
+        A plan that removes an endpoint may be confirmed elsewhere, and this instance would keep
+        sending to it. It rejects new work as not run until it is in contact with anyone. Alone in
+        the fleet it keeps serving, since nobody else could have confirmed a plan.
         """
-        spread = make_spread()
-        spread.accept(1, "text", source=Source.PLATFORM, now=LONG_AGO)
-        late = LONG_AGO + 9.0
-        self.assertEqual(spread.judge(now=LONG_AGO + 7.0, others_known=True), Standing.CURRENT)
+        spread = create_spread()
+        spread.accept(1, "text", source=Source.PLATFORM, now=NOW_S)
+        late = NOW_S + 9.0
+        self.assertEqual(spread.judge(now=NOW_S + 7.0, others_known=True), Standing.CURRENT)
         self.assertEqual(spread.judge(now=late, others_known=True), Standing.ISOLATED)
         self.assertEqual(spread.judge(now=late, others_known=False), Standing.CURRENT)
         spread.record_peer_version("peer", 1, now=late)
@@ -152,12 +152,12 @@
         self.assertLessEqual(spread.next_poll_at, 10.0 + 45.0)
 
     def test_the_snapshot_is_read_once_peers_had_their_time(self) -> None:
-        """All instances see a new head within seconds; reading a megabyte each would swamp it."""
-        spread = make_spread(head=3)
-        self.assertEqual(spread.choose_snapshot(now=LONG_AGO), 3)
-        spread.record_peer_version("peer", 3, now=LONG_AGO)
-        self.assertIsNone(spread.choose_snapshot(now=LONG_AGO))
-        self.assertEqual(spread.choose_snapshot(now=LONG_AGO + 2.0), 3)
+        """All instances see a new head in seconds; a megabyte each would overload the platform."""
+        spread = create_spread(head=3)
+        self.assertEqual(spread.choose_snapshot(now=NOW_S), 3)
+        spread.record_peer_version("peer", 3, now=NOW_S)
+        self.assertIsNone(spread.choose_snapshot(now=NOW_S))
+        self.assertEqual(spread.choose_snapshot(now=NOW_S + 2.0), 3)
 
 
 if __name__ == "__main__":
--- a/tests/test_heartbeat_exchange_properties.py
+++ b/tests/test_heartbeat_exchange_properties.py
@@ -1,4 +1,4 @@
-"""Properties of heartbeats between decision objects, over generated histories of faults."""
+"""Properties of the heartbeat exchange without I/O, over generated fault histories."""
 
 from __future__ import annotations
 
@@ -15,13 +15,13 @@
 
 NAMES: Final = tuple(f"i{number}" for number in range(7))
 REGIONS: Final = ("sierra", "wallonie")
-SETTLING_ROUNDS: Final = 150
-"""Bound on the rounds until all agree: detection with the largest patience, and contacts."""
+MAX_CONVERGENCE_ROUNDS: Final = 150
+"""Bound on the rounds until all agree: detection at `MAX_SUSPICION_FACTOR`, and reconnects."""
 
 
 @dataclass(frozen=True, slots=True, kw_only=True)
 class Fault:
-    """One event of a history and the rounds after it."""
+    """One event of a fault history and the number of rounds after it."""
 
     kind: str
     name: str
@@ -38,8 +38,8 @@
 )
 
 
-class History:
-    """Applies faults to a loop and checks what must hold at each moment."""
+class FaultHistory:
+    """Applies faults to an `ExchangeLoop` and checks invariants in each round."""
 
     def __init__(self, case: unittest.TestCase) -> None:
         self.case = case
@@ -53,13 +53,13 @@
             node.spread.hear_platform(0, now=0.0)
 
     def apply(self, fault: Fault) -> None:
-        """Let a fault happen and some rounds pass."""
+        """Inject a fault and run the rounds after it."""
         getattr(self, "_" + fault.kind.replace("-", "_"))(fault.name)
         for _ in range(fault.rounds):
             self.run_round()
 
     def run_round(self) -> None:
-        """Let one round pass; no instance's version may go back while its process lives."""
+        """Run one round; no instance's version may decrease while its process lives."""
         self.loop.run_round()
         for name, node in self.loop.nodes.items():
             process, version = self.versions.get(name, (id(node), 0))
@@ -67,17 +67,17 @@
                 self.case.assertGreaterEqual(node.spread.version, version)
             self.versions[name] = (id(node), node.spread.version)
 
-    def mend(self) -> None:
-        """Undo what is undone by operators: links, stopped processes, the platform's answers."""
+    def end_faults(self) -> None:
+        """Restore links and paused processes, and restart an instance if none is left."""
         self._heal("")
         for name in NAMES:
             self._resume(name)
         if not self.loop.nodes:
             self._restart(NAMES[0])
 
-    def settle(self) -> None:
-        """Let rounds pass until all agree, within the bound."""
-        for _ in range(SETTLING_ROUNDS):
+    def converge(self) -> None:
+        """Run rounds until all agree, within the bound."""
+        for _ in range(MAX_CONVERGENCE_ROUNDS):
             self.run_round()
             nodes = self.loop.nodes.values()
             if self.loop.agrees() and len({n.exchange.compute_digest() for n in nodes}) == 1:
@@ -123,51 +123,51 @@
 
 
 class ConvergenceTest(unittest.TestCase):
-    """Whatever happened, the instances agree soon after the faults have ended."""
+    """After any fault history, the instances agree soon after the faults have ended."""
 
     @given(st.lists(FAULTS, max_size=6))
     def test_views_and_versions_converge_after_any_history(self, faults: list[Fault]) -> None:
-        """Instances crash, restart, pause and lose each other, in any order.
+        """Instances crash, restart, pause and are partitioned, in any order.
 
-        Callers see work sent to the dead, or an instance that nobody uses, for as long as views
-        differ. After the last fault all views must hold just those that run, all of them with the
+        While views differ, work is sent to dead instances or a live one goes unused. After the
+        last fault all views must contain exactly the running instances, all of them with the
         highest version that any of them ever had.
         """
-        history = History(self)
+        history = FaultHistory(self)
         for fault in faults:
             history.apply(fault)
-        history.mend()
-        held = max(node.spread.version for node in history.loop.nodes.values())
-        history.settle()
+        history.end_faults()
+        highest = max(node.spread.version for node in history.loop.nodes.values())
+        history.converge()
         self.assertTrue(history.loop.agrees())
         nodes = history.loop.nodes.values()
         self.assertEqual(len({node.exchange.compute_digest() for node in nodes}), 1)
         for node in nodes:
-            if node.spread.head <= held:
-                self.assertEqual(node.spread.version, held)
+            if node.spread.head <= highest:
+                self.assertEqual(node.spread.version, highest)
 
     @given(st.sampled_from(NAMES), st.integers(10, 120))
     def test_a_paused_instance_judges_nobody_by_its_own_pause(self, name: str, rounds: int) -> None:
-        """One process stands still for long enough to be declared gone, then goes on.
+        """A process is paused for long enough to be declared gone, then resumes.
 
-        It finds every neighbour silent for as long as it stood still. If it believed that, it
-        would tell the fleet that all others were gone, and keepers would move twice.
+        It finds every neighbour silent for the length of its pause. If it counted that silence, it
+        would tell the fleet that all others are gone, and keepers would move twice.
         """
-        history = History(self)
+        history = FaultHistory(self)
         for _ in range(5):
             history.run_round()
         before = {n: node.membership.me.incarnation for n, node in history.loop.nodes.items()}
         history.apply(Fault(kind="pause", name=name, rounds=rounds))
         view = history.loop.nodes["i1" if name == "i0" else "i0"].membership.make_view(now=0.0)
         self.assertNotIn(name, [member.instance.name for member in view.members])
-        history.mend()
-        history.settle()
+        history.end_faults()
+        history.converge()
         after = {n: node.membership.me.incarnation for n, node in history.loop.nodes.items()}
         self.assertEqual([n for n in NAMES if after[n] != before[n]], [name])
 
     @given(st.sampled_from(NAMES))
     def test_a_leaving_instance_serves_nobody_in_any_view(self, name: str) -> None:
-        history = History(self)
+        history = FaultHistory(self)
         for _ in range(3):
             history.run_round()
         history.apply(Fault(kind="leave", name=name, rounds=1))
--- a/tests/test_heartbeats.py
+++ b/tests/test_heartbeats.py
@@ -1,4 +1,4 @@
-"""Heartbeats over real sockets, several dispatchers' links in one process."""
+"""Heartbeats over real sockets between the links of several dispatchers in one process."""
 
 from __future__ import annotations
 
@@ -28,11 +28,11 @@
     from guavamast.peer_pb2 import HeartbeatMessage
 
 TIMING: Final = MembershipTiming(period_s=0.1, suspect_after_s=0.8, gone_after_s=0.6)
-LIMIT_S: Final = 20.0
+WAIT_TIMEOUT_S: Final = 20.0
 
 
 class FilteredLinks(HeartbeatLinks):
-    """Links that drop what comes from some peers, as a cut link does."""
+    """Links that drop the messages of some peers, as a cut network link does."""
 
     drops: frozenset[str] = frozenset()
 
@@ -42,7 +42,7 @@
 
 
 class GossipService(PeerBase):
-    """Serves ``Gossip`` alone."""
+    """Peer service that implements only ``Gossip``."""
 
     def __init__(self, links: HeartbeatLinks) -> None:
         self._links = links
@@ -60,18 +60,18 @@
         raise NotImplementedError
 
 
-class StreamInOpening:
-    """A stub whose one stream opens when told, and then brings nothing."""
+class DelayedStream:
+    """A stub with one stream, which opens on demand and then delivers no messages."""
 
     def __init__(self) -> None:
         self.opened: asyncio.Future[None] = asyncio.get_running_loop().create_future()
         self.opening = False
         self.Gossip = self
 
-    def open(self) -> StreamInOpening:
+    def open(self) -> DelayedStream:
         return self
 
-    async def __aenter__(self) -> StreamInOpening:
+    async def __aenter__(self) -> DelayedStream:
         return self
 
     async def __aexit__(self, *error: object) -> None:
@@ -89,7 +89,7 @@
 
 
 class Peer:
-    """What a dispatcher holds of membership, with a listener."""
+    """The membership part of a dispatcher, with a listener."""
 
     def __init__(
         self,
@@ -126,22 +126,22 @@
         self._task = asyncio.ensure_future(self.links.run())
 
     async def close(self) -> None:
-        """Leave and end."""
+        """Leave the fleet and stop."""
         self._task.cancel()
         await self.links.close()
         self._server.close()
         await self._server.wait_closed()
 
     async def kill(self) -> None:
-        """End without telling anybody."""
+        """Stop without announcing it."""
         self._task.cancel()
         self._server.close()
         for link in list(self.links._links):
             link.close()
         await self._server.wait_closed()
 
-    def list_seen(self) -> list[str]:
-        """Return the names of the instances that it holds to serve."""
+    def list_serving(self) -> list[str]:
+        """Return the names of the instances that it considers serving."""
         view = self.membership.make_view(now=time.monotonic())
         return [member.instance.name for member in view.list_serving()]
 
@@ -166,7 +166,7 @@
 
     async def wait_for(self, condition: Callable[[], bool]) -> None:
         """Wait until a condition holds."""
-        deadline = time.monotonic() + LIMIT_S
+        deadline = time.monotonic() + WAIT_TIMEOUT_S
         while not condition():
             self.assertLess(time.monotonic(), deadline, "did not come in time")
             await asyncio.sleep(0.02)
@@ -177,9 +177,9 @@
         return set(states) == {MemberState.GONE}
 
     async def wait_agreed(self) -> None:
-        """Wait until all see just the ones that run."""
+        """Wait until all see exactly the running instances."""
         names = sorted(self.peers)
-        await self.wait_for(lambda: all(p.list_seen() == names for p in self.peers.values()))
+        await self.wait_for(lambda: all(p.list_serving() == names for p in self.peers.values()))
 
     async def test_a_configuration_reaches_all_and_a_graceful_end_is_told(self) -> None:
         now = time.monotonic()
@@ -193,16 +193,16 @@
         self.assertEqual(suspected, [], "an instance that ends gracefully is told, not suspected")
 
     async def test_halves_that_lose_each_other_find_together_again(self) -> None:
-        """Two regions lose each other while the connections between them look open.
+        """Two regions are partitioned while the connections between them look open.
 
-        Each half goes on alone: its callers are told its own instances and its keepers move there.
-        A version that one half accepted meanwhile must reach the other after the link is back.
+        Each side continues alone: its callers get only its own instances and keepers move there.
+        A version that one side accepts meanwhile must reach the other after the partition heals.
         """
         for peer in self.peers.values():
             peer.links.drops = frozenset(n for n in self.peers if n[-1] != peer.name[-1])
         halves = {"0": ["a0", "c0", "e0"], "1": ["b1", "d1", "f1"]}
         await self.wait_for(
-            lambda: all(p.list_seen() == halves[p.name[-1]] for p in self.peers.values())
+            lambda: all(p.list_serving() == halves[p.name[-1]] for p in self.peers.values())
         )
         now = time.monotonic()
         self.peers["a0"].spread.accept(1, "text", source=Source.PLATFORM, now=now)
@@ -214,10 +214,10 @@
         await self.wait_for(lambda: all(p.spread.version == 1 for p in self.peers.values()))
 
     async def test_a_restart_on_the_same_address_replaces_the_old_process(self) -> None:
-        """A process dies without a word and another one starts at once under the same name.
+        """A process is killed and another one starts at once under the same name.
 
-        Its predecessor may be suspected by then. The higher incarnation must end that, or the new
-        process would stay out of all views.
+        The old process may be suspected by then. The higher incarnation must override that, or the
+        new process would stay out of all views.
         """
         old = self.peers.pop("b1")
         before = old.membership.me.incarnation
@@ -228,13 +228,13 @@
             self.assertGreater(peer.membership.find("b1").incarnation, before)
 
     async def test_the_end_of_a_peer_that_dialled_is_noticed_at_once(self) -> None:
-        """A process is killed whose streams were all dialled by itself.
+        """A process is killed that had dialled all of its streams itself.
 
-        The others' ends of them are cancelled by the library rather than broken by an error, so
-        nobody dialled it again before two periods had passed, and its keeps stood still for 4 s in
-        place of 1. With a period longer than this test only the dial at once can tell.
+        grpclib cancels the handlers at the other ends instead of raising an error. So nobody
+        dialled the process before two periods had passed, and the endpoints it kept stalled for
+        4 s instead of 1. The period here exceeds the test, so only an immediate dial detects it.
         """
-        slow = MembershipTiming(period_s=10 * LIMIT_S)
+        slow = MembershipTiming(period_s=10 * WAIT_TIMEOUT_S)
         one = Peer("a0", [], timing=slow)
         two = Peer("b0", [one.address], timing=slow)
         for peer in (one, two):
@@ -245,14 +245,14 @@
         await one.close()
 
     async def test_closing_ends_whatever_a_dial_has_come_to(self) -> None:
-        """A dispatcher is told to stop just as the connection of a dial is made.
+        """A dispatcher is stopped just as the connection of a dial is made.
 
-        The cancellation was lost between the two, the stream was served on, and the process hung
-        until it was killed. Closing must end at each step that a dial can be at.
+        The cancellation was lost, the stream stayed open, and the process hung until it was
+        killed. Closing must finish at any step of a dial.
         """
         peer = Peer("g0", [])
         self.addCleanup(peer._socket.close)
-        stream = StreamInOpening()
+        stream = DelayedStream()
         with mock.patch("guavamast.heartbeats.PeerStub", return_value=stream):
             dial = asyncio.ensure_future(peer.links._run_dialled("127.0.0.1:1", ""))
             while not stream.opening:
--- a/tests/test_member_codec.py
+++ b/tests/test_member_codec.py
@@ -1,4 +1,4 @@
-"""Members as messages."""
+"""Encoding of membership records."""
 
 from __future__ import annotations
 
@@ -20,17 +20,17 @@
 
 
 class MemberCodecTest(unittest.TestCase):
-    """Whole records and those without their instance."""
+    """Whole records and records without their instance."""
 
     def test_a_record_comes_back(self) -> None:
         self.assertEqual(decode_member(encode_member(MEMBER)), MEMBER)
         self.assertEqual(decode_member(encode_changing_fields(MEMBER), known=MEMBER), MEMBER)
 
     def test_a_record_of_an_unknown_incarnation_or_state_is_left_out(self) -> None:
-        """A peer of a later release tells a state that this one does not know.
+        """A peer of a later release sends a state that this release does not know.
 
-        The exception ended the stream with each message, so the instances held each other to be
-        gone in the middle of a replacement of all instances.
+        The exception ended the stream with each message, so instances considered each other gone
+        in the middle of a replacement of all instances.
         """
         self.assertIsNone(decode_member(encode_changing_fields(MEMBER)))
         message = encode_member(MEMBER)
--- a/tests/test_membership.py
+++ b/tests/test_membership.py
@@ -12,7 +12,7 @@
 from guavamast.membership import Membership
 
 
-def make_member(name: str, **changes: int) -> Member:
+def create_member(name: str, **changes: int) -> Member:
     """Return a live member's record."""
     member = Member(
         instance=make_instance(name),
@@ -24,24 +24,24 @@
     return replace(member, **changes)
 
 
-def make_membership() -> Membership:
+def create_membership() -> Membership:
     """Return the membership of ``a`` that knows ``b``."""
     membership = Membership(me=make_instance("a"), incarnation=1, now=0.0)
-    membership.merge([make_member("b")], now=0.0)
+    membership.merge([create_member("b")], now=0.0)
     return membership
 
 
 def find_state(membership: Membership, name: str) -> MemberState:
-    """Return the state that an instance is held to be in."""
+    """Return the recorded state of an instance; GONE if there is no record."""
     member = membership.find(name)
     return member.state if member else MemberState.GONE
 
 
 class MembershipTest(unittest.TestCase):
-    """Silence, lost connections, refutations and leaving."""
+    """Silence, refused connections, refutations and leaving."""
 
     def test_a_silent_neighbour_is_suspected_then_gone_then_forgotten(self) -> None:
-        membership = make_membership()
+        membership = create_membership()
         states = []
         for second in range(1, 10):
             membership.tick(now=float(second))
@@ -55,11 +55,11 @@
         self.assertEqual(membership.list_contacts(), ())
 
     def test_a_refused_connection_makes_a_neighbour_suspected_at_once(self) -> None:
-        """A dispatcher's process is killed; its machine refuses connections at once.
+        """A dispatcher's process is killed and its machine refuses connections at once.
 
         Waiting for silence would leave its endpoints' queues without a keeper for seconds longer.
         """
-        membership = make_membership()
+        membership = create_membership()
         membership.tick(now=1.0)
         membership.report_lost("b", now=1.0)
         self.assertEqual(find_state(membership, "b"), MemberState.SUSPECT)
@@ -68,40 +68,40 @@
         self.assertEqual(find_state(membership, "b"), MemberState.GONE)
 
     def test_a_lost_link_between_two_live_instances_makes_less_and_less_noise(self) -> None:
-        """Only the link between a and b is cut; b refutes each suspicion by way of others.
+        """Only the link between a and b is cut; b refutes each suspicion through other instances.
 
-        Each suspicion goes to the whole fleet. The allowed silence doubles with each refutation,
-        so that they come further and further apart.
+        Each suspicion is sent to the whole fleet. The allowed silence doubles with each
+        refutation, so suspicions become less and less frequent.
         """
-        membership = make_membership()
+        membership = create_membership()
         suspected_at = []
         for second in range(1, 200):
             membership.tick(now=float(second))
             known = membership.find("b")
             if known.state == MemberState.SUSPECT:
                 suspected_at.append(second)
-                refutation = make_member("b", incarnation=known.incarnation + 1)
+                refutation = create_member("b", incarnation=known.incarnation + 1)
                 membership.merge([refutation], now=float(second))
         gaps = [later - sooner for sooner, later in pairwise(suspected_at)]
         self.assertEqual(gaps, sorted(gaps))
         self.assertGreater(gaps[-1], 4 * gaps[0])
 
     def test_an_allowance_for_an_own_pause_does_not_reach_into_the_future(self) -> None:
-        """A paused process wakes, first reads the waiting heartbeats, then allows for its pause.
+        """A paused process resumes, first reads queued heartbeats, then compensates for its pause.
 
-        The heartbeats count as heard in the future then, and a neighbour that dies right after is
-        held to be live for as long as the pause was.
+        The heartbeats were then recorded with a time in the future, and a neighbour that died
+        right after was considered live for the length of the pause.
         """
-        membership = make_membership()
+        membership = create_membership()
         membership.tick(now=1.0)
-        membership.merge([make_member("b", heartbeat=2)], now=61.0)
+        membership.merge([create_member("b", heartbeat=2)], now=61.0)
         membership.tick(now=61.0)
         for second in range(62, 66):
             membership.tick(now=float(second))
         self.assertEqual(find_state(membership, "b"), MemberState.SUSPECT)
 
     def test_what_is_said_wrongly_of_this_instance_is_refuted(self) -> None:
-        membership = make_membership()
+        membership = create_membership()
         membership.leave(now=1.0)
         wrong = replace(membership.me, state=MemberState.GONE)
         membership.merge([wrong], now=1.0)
@@ -109,16 +109,16 @@
         self.assertEqual(membership.me.state, MemberState.LEAVING)
 
     def test_a_gone_instance_is_passed_on_only_by_those_that_saw_it_leave(self) -> None:
-        """One instance forgets a gone one, hears of it again from another, and passes it on.
+        """One instance forgets a gone one, receives its record from another, and passes it on.
 
-        Records of instances that left long ago would go round for ever and fill the memory.
+        Records of instances that left long ago would circulate forever and fill the memory.
         """
-        membership = make_membership()
-        membership.merge([make_member("c", state=MemberState.GONE)], now=0.0)
-        membership.merge([make_member("b", state=MemberState.GONE)], now=0.0)
-        told = [member.instance.name for member in membership.list_all()]
-        self.assertEqual(told, ["a", "b"])
-        membership.merge([make_member("c")], now=0.0)
+        membership = create_membership()
+        membership.merge([create_member("c", state=MemberState.GONE)], now=0.0)
+        membership.merge([create_member("b", state=MemberState.GONE)], now=0.0)
+        names = [member.instance.name for member in membership.list_all()]
+        self.assertEqual(names, ["a", "b"])
+        membership.merge([create_member("c")], now=0.0)
         self.assertEqual(find_state(membership, "c"), MemberState.GONE)
 
 
--- a/tests/test_membership_processes.py
+++ b/tests/test_membership_processes.py
@@ -1,4 +1,4 @@
-"""Membership of real dispatcher processes that are killed, stopped and started again."""
+"""Membership of real dispatcher processes that are killed, stopped and restarted."""
 
 from __future__ import annotations
 
@@ -21,13 +21,13 @@
 if TYPE_CHECKING:
     from collections.abc import Iterable
 
-COUNT: Final = 6
-LIMIT_S: Final = 60.0
+INSTANCE_COUNT: Final = 6
+WAIT_TIMEOUT_S: Final = 60.0
 SERVING: Final = (MemberState.LIVE, MemberState.SUSPECT)
 
 
 async def read_serving(fleet: DispatcherFleet, number: int) -> dict[str, int]:
-    """Return the incarnations of the instances that one dispatcher holds to serve."""
+    """Return the incarnations of the instances that one dispatcher considers serving."""
     channel = Channel("127.0.0.1", fleet.ports[number])
     try:
         async with PeerStub(channel).Follow.open() as stream:
@@ -47,16 +47,16 @@
 
     def setUp(self) -> None:
         self._folder = tempfile.TemporaryDirectory()
-        self.fleet = DispatcherFleet(folder=Path(self._folder.name), count=COUNT)
+        self.fleet = DispatcherFleet(folder=Path(self._folder.name), count=INSTANCE_COUNT)
 
     def tearDown(self) -> None:
         self.fleet.close()
         self._folder.cleanup()
 
     async def wait_agreed(self, numbers: Iterable[int]) -> dict[str, int]:
-        """Wait until some dispatchers hold just themselves to serve; return the incarnations."""
+        """Wait until the given dispatchers see exactly each other serving; return incarnations."""
         expected = {f"n{number:02}" for number in numbers}
-        deadline = time.monotonic() + LIMIT_S
+        deadline = time.monotonic() + WAIT_TIMEOUT_S
         while True:
             views = [await read_serving(self.fleet, number) for number in numbers]
             if all(set(view) == expected and view == views[0] for view in views):
@@ -65,12 +65,12 @@
             await asyncio.sleep(0.2)
 
     async def test_a_third_is_killed_and_one_is_stopped_for_a_while(self) -> None:
-        """Two of six processes are killed, then a third stands still until it is held to be gone.
+        """Two of six processes are killed, then a third is stopped until it is considered gone.
 
-        Callers must be told the living ones only. The one that goes on must come back under a
-        higher incarnation, and must not have the others declared gone for its own standstill.
+        Callers must get only live instances. The stopped process must return under a higher
+        incarnation once it resumes, and must not declare the others gone because of its own pause.
         """
-        started = await self.wait_agreed(range(COUNT))
+        started = await self.wait_agreed(range(INSTANCE_COUNT))
         for number in (1, 4):
             self.fleet.kill(number)
         left = [0, 2, 3, 5]
--- a/tests/test_membership_properties.py
+++ b/tests/test_membership_properties.py
@@ -1,4 +1,4 @@
-"""Properties of membership: the laws of the join."""
+"""Properties of membership: the algebraic laws of `join`."""
 
 from __future__ import annotations
 
@@ -41,7 +41,7 @@
 
 
 def view_after(batches: list[list[Member]]) -> MembershipView:
-    """Return what an instance sees after it was told some batches."""
+    """Return the view of an instance after it merged some batches."""
     membership = Membership(me=make_instance("me"), incarnation=1, now=0.0)
     for batch in batches:
         membership.merge(batch, now=0.0)
