--- a/src/guavamast/membership.py
+++ b/src/guavamast/membership.py
@@ -25,7 +25,7 @@
 SUSPICION_FACTOR_DECAY: Final = 0.98
 """Decay of the suspicion factor per heartbeat in time; about 35 heartbeats halve it."""
 MIN_LOAD_CHANGE: Final = 0.2
-"""Smallest relative load change to publish; a smaller one does not change endpoint selection."""
+"""Smallest relative load change to publish; less does not change which instance is chosen."""
 
 
 @dataclass(frozen=True, slots=True, kw_only=True)
