--- a/src/guavamast/member_codec.py
+++ b/src/guavamast/member_codec.py
@@ -6,7 +6,7 @@
 
 from guavamast.members import Member, MemberState
 from guavamast.peer_pb2 import MemberMessage
-from guavamast.world import FailureDomain, Instance
+from guavamast.fleet_objects import FailureDomain, Instance
 
 if TYPE_CHECKING:
     from collections.abc import Iterable
--- a/src/guavamast/member_records.py
+++ b/src/guavamast/member_records.py
@@ -8,7 +8,7 @@
 from guavamast.members import Member
 
 if TYPE_CHECKING:
-    from guavamast.world import Instance
+    from guavamast.fleet_objects import Instance
 
 
 def join(first: Member, second: Member) -> Member:
--- a/src/guavamast/members.py
+++ b/src/guavamast/members.py
@@ -7,7 +7,7 @@
 from typing import TYPE_CHECKING
 
 if TYPE_CHECKING:
-    from guavamast.world import Instance
+    from guavamast.fleet_objects import Instance
 
 
 class MemberState(IntEnum):
--- a/src/guavamast/membership.py
+++ b/src/guavamast/membership.py
@@ -18,7 +18,7 @@
 if TYPE_CHECKING:
     from collections.abc import Iterable
 
-    from guavamast.world import Instance
+    from guavamast.fleet_objects import Instance
 
 MAX_SUSPICION_FACTOR: Final = 16.0
 """Upper bound of `MemberRecord.suspicion_factor`."""
--- a/tests/test_heartbeats.py
+++ b/tests/test_heartbeats.py
@@ -17,7 +17,7 @@
 from guavamast.membership import Membership, MembershipTiming
 from guavamast.metrics import NoMetrics
 from guavamast.peer_grpc import PeerBase
-from guavamast.world import FailureDomain, Instance
+from guavamast.fleet_objects import FailureDomain, Instance
 
 if TYPE_CHECKING:
     from collections.abc import Callable, Iterable
--- a/tests/test_membership_properties.py
+++ b/tests/test_membership_properties.py
@@ -10,7 +10,7 @@
 from guavamast.member_records import join
 from guavamast.members import Member, MembershipView, MemberState
 from guavamast.membership import Membership
-from guavamast.world import FailureDomain, Instance
+from guavamast.fleet_objects import FailureDomain, Instance
 
 
 def make_instance(name: str, *, region: str = "sierra", port: int = 1) -> Instance:
