--- a/src/guavamast/membership.py
+++ b/src/guavamast/membership.py
@@ -1,8 +1,8 @@
-"""Who belongs to the fleet, as one instance sees it.
+"""Fleet membership and failure detection, as one instance sees them.
 
-Each instance judges only its neighbours on the overlay by the age of their heartbeats and spreads
-what it finds, so that the cost per instance does not grow with the fleet. Records of one instance
-are combined by `join`, so the order and number of messages do not matter.
+Each instance monitors only its overlay neighbours, by the age of their heartbeats, and gossips the
+state changes that it detects, so the cost per instance does not grow with the fleet. `join` merges
+records of the same instance, so the order and number of messages do not matter.
 """
 
 from __future__ import annotations
@@ -10,7 +10,7 @@
 from dataclasses import dataclass, replace
 from typing import TYPE_CHECKING, Final
 
-from guavamast.member_records import ChangeLog, MemberNews, MemberRecord, join
+from guavamast.member_records import ChangeLog, MemberRecord, MemberUpdate, join
 from guavamast.members import Member, MembershipView, MemberState
 from guavamast.overlay import Overlay
 from guavamast.rendezvous import compute_weight
@@ -20,62 +20,62 @@
 
     from guavamast.fleet_objects import Instance
 
-LARGEST_PATIENCE: Final = 16.0
-"""Factor at which the growth of a neighbour's allowed silence stops."""
-PATIENCE_DECAY: Final = 0.98
-"""Factor by which it shrinks with each heartbeat in time; halves it in about 35."""
-LOAD_STEP: Final = 0.2
-"""Smallest relative change of the load that is published; less does not change a choice."""
+MAX_SUSPICION_FACTOR: Final = 16.0
+"""Upper bound of `MemberRecord.suspicion_factor`."""
+SUSPICION_FACTOR_DECAY: Final = 0.98
+"""Decay of the suspicion factor per heartbeat in time; about 35 heartbeats halve it."""
+MIN_LOAD_CHANGE: Final = 0.2
+"""Smallest relative load change to publish; less does not change which instance is chosen."""
 
 
 @dataclass(frozen=True, slots=True, kw_only=True)
 class MembershipTiming:
-    """Times of the failure detector; ``docs/design/membership.md`` has their measurement."""
+    """Timing of the failure detector; ``docs/design/membership.md`` has the measurements."""
 
     period_s: float = 1.0
-    """Time between two heartbeats."""
+    """Heartbeat interval."""
     suspect_after_s: float = 3.0
     """Silence after which a neighbour is suspected."""
     gone_after_s: float = 3.0
-    """Time that a suspected instance has to refute."""
-    lost_gone_after_s: float = 1.0
-    """The same for one whose address refuses connections: no process is there to refute."""
+    """Time that a suspected instance has to refute the suspicion."""
+    refused_gone_after_s: float = 1.0
+    """The same where the address refuses connections, since no process is left to refute."""
     forget_after_s: float = 7200.0
-    """Time after which a gone instance is forgotten; longer than regions lose each other for."""
+    """Time after which a gone instance is forgotten; longer than regions stay partitioned."""
     load_period_s: float = 5.0
-    """Shortest time between two loads that an instance publishes, in a small fleet."""
+    """Shortest interval between two load updates of an instance, in a small fleet."""
     loads_per_second: float = 6.0
-    """Loads that all instances together publish at most.
+    """Upper bound on the load updates of all instances together.
 
-    Each goes over every link, so this bounds the cost whatever the size of the fleet. It stays
-    below `heartbeat_exchange.DETAILS_PER_MESSAGE` a period, or a backlog would grow.
+    Each update crosses every link, so this bounds the cost for any size of the fleet. It must stay
+    below `heartbeat_exchange.DETAILS_PER_MESSAGE` per period, or a backlog would grow.
     """
 
 
 class Membership:
     """The members of the fleet and the failure detector of one instance.
 
-    `HeartbeatLinks` calls `tick` once a period, `merge` for what arrives and `report_lost`, and
-    sends changes to `list_neighbours`. The dispatcher calls `add_seeds` at the start,
+    `HeartbeatLinks` calls `tick` once per period, `merge` for received records and `report_lost`,
+    and sends changes to `list_neighbours`. The dispatcher calls `add_seeds` at the start,
     `replace_listed` after each read of the platform's list, `set_load`, `leave`, `end` and
     `make_view`.
 
     Args:
         me: This instance.
-        incarnation: Milliseconds since the epoch at the process's start, so that a restart
-            overrides its predecessor.
-        now: The present time of a monotonic clock.
-        timing: Times of the failure detector.
+        incarnation: Milliseconds since the epoch at the start of the process, so that a restarted
+            process overrides the records of the previous one.
+        now: Current time of a monotonic clock.
+        timing: Timing of the failure detector.
     """
 
     __slots__ = (
-        "_details",
+        "_detail_changes",
         "_load",
         "_load_published_at",
         "_listed",
         "_me",
         "_neighbours",
-        "_news",
+        "_state_changes",
         "_overlay",
         "_overlay_stale",
         "_records",
@@ -85,7 +85,7 @@
         "_timing",
         "_watched",
         "left_at",
-        "news_sequence",
+        "state_sequence",
     )
 
     def __init__(
@@ -105,23 +105,23 @@
         )
         self._timing = timing or MembershipTiming()
         self._records: dict[str, MemberRecord] = {}
-        self._news = ChangeLog()
-        self._details = ChangeLog()
+        self._state_changes = ChangeLog()
+        self._detail_changes = ChangeLog()
         self._seeds: tuple[str, ...] = ()
         self._listed: tuple[str, ...] = ()
         self._overlay = Overlay()
         self._overlay_stale = True
         self._neighbours: frozenset[str] = frozenset()
         self._watched: set[str] = set()
-        """Suspected and gone instances."""
+        """Names of suspected and gone instances."""
         self._sequence = 1
         self._ticked_at = now
         self._load = 0.0
         self._load_published_at = now
         self.left_at: float | None = None
-        """When this instance began to leave."""
-        self.news_sequence = 0
-        """The value of `sequence` at the last change of any incarnation or state."""
+        """Time at which this instance began to leave."""
+        self.state_sequence = 0
+        """Value of `sequence` at the last change of any incarnation or state."""
 
     @property
     def me(self) -> Member:
@@ -130,7 +130,7 @@
 
     @property
     def timing(self) -> MembershipTiming:
-        """The times of the failure detector."""
+        """The timing of the failure detector."""
         return self._timing
 
     @property
@@ -139,11 +139,11 @@
         return self._sequence
 
     def merge(self, members: Iterable[Member], *, now: float) -> None:
-        """Take in records from another instance.
+        """Merge records received from another instance.
 
         Args:
-            members: The records; those of this instance itself are refuted where they are wrong.
-            now: The present time.
+            members: The records. A wrong record of this instance is refuted by a new incarnation.
+            now: Current time.
         """
         for member in members:
             if member.instance.name == self._me.instance.name:
@@ -152,62 +152,62 @@
                 self._merge_one(member, now)
 
     def tick(self, *, now: float) -> None:
-        """Raise the own heartbeat and judge the neighbours by the age of theirs."""
-        self._allow_for_pause(now)
+        """Increment the local heartbeat counter and check the age of the neighbours' heartbeats."""
+        self._compensate_for_pause(now)
         self._ticked_at = now
         self._publish(now)
         self._update_overlay(now)
         for name in self._neighbours | self._watched:
-            self._judge(name, self._records[name], now)
+            self._check_record(name, self._records[name], now)
 
     def leave(self, *, now: float) -> None:
-        """Tell others that this instance takes no new work; it stays in the overlay."""
+        """Announce that this instance accepts no new work; it stays in the overlay."""
         if self._me.state == MemberState.LIVE:
             self.left_at = now
             self._set_own_state(MemberState.LEAVING)
 
     def end(self) -> None:
-        """Tell others that this instance is gone, right before its process exits."""
+        """Announce that this instance is gone, right before its process exits."""
         self._set_own_state(MemberState.GONE)
 
     def report_lost(self, name: str, *, now: float) -> None:
-        """Suspect a neighbour at once whose address refuses connections.
+        """Suspect a neighbour whose address refuses connections, without waiting for silence.
 
         Args:
-            name: Its name.
-            now: The present time.
+            name: The neighbour's name.
+            now: Current time.
         """
         record = self._records.get(name)
         if record is None or record.member.state == MemberState.GONE:
             return
         if record.member.state == MemberState.LIVE:
             self._set_state(record, MemberState.SUSPECT, now)
-        record.lost = True
+        record.refused_connection = True
 
     def set_configuration_version(self, version: int) -> None:
-        """Set the version of the configuration that is in force here."""
+        """Set the configuration version that this instance has in force."""
         self._me = replace(self._me, configuration_version=version)
 
     def set_load(self, load: float) -> None:
-        """Set the requests in flight at this instance's entry; a later `tick` publishes it."""
+        """Set the number of requests in flight at this instance's entry, for a later `tick`."""
         self._load = load
 
     def add_seeds(self, addresses: Iterable[str]) -> None:
-        """Add the settings' peer addresses, to be contacted for as long as this process runs."""
+        """Add the settings' peer addresses, which are dialled for as long as this process runs."""
         self._seeds = tuple(dict.fromkeys([*self._seeds, *addresses]))
 
     def replace_listed(self, addresses: Iterable[str]) -> None:
-        """Set the peer addresses of the platform's list, which lags and drops what has left."""
+        """Set the peer addresses of the platform's list, which lags and omits what has left."""
         self._listed = tuple(addresses)
 
     def make_view(self, *, now: float) -> MembershipView:
         """Return the members that are not gone, ordered by name.
 
         Args:
-            now: The present time.
+            now: Current time.
 
         Returns:
-            A snapshot with this instance in it.
+            A snapshot that includes this instance.
         """
         del now
         members = [record.member for record in self._records.values()]
@@ -217,7 +217,7 @@
         )
 
     def find(self, name: str) -> Member | None:
-        """Return the record of an instance, also of one that is gone."""
+        """Return the record of an instance, even if it is gone."""
         if name == self._me.instance.name:
             return self._me
         record = self._records.get(name)
@@ -229,10 +229,10 @@
         return tuple(self._records[name].member for name in sorted(self._neighbours))
 
     def list_contacts(self) -> tuple[str, ...]:
-        """Return the peer addresses of seeds and gone instances, to be tried now and then.
+        """Return the peer addresses of seeds and gone instances, to be dialled now and then.
 
-        Failure: two halves that lost each other hold each other as gone and would stay apart for
-        ever. One connection between them is enough, since both then exchange all records.
+        Without this, the two sides of a network partition consider each other gone and never
+        reconnect. One connection between them suffices, since both then exchange all records.
         """
         known = {r.member.instance.peer_address: r.member.state for r in self._records.values()}
         known[self._me.instance.peer_address] = self._me.state
@@ -240,83 +240,86 @@
         unknown = [address for address in (*self._seeds, *self._listed) if address not in known]
         return tuple(dict.fromkeys([*unknown, *gone]))
 
-    def list_news(self, *, after: int) -> list[MemberNews]:
+    def list_updates(self, *, after: int) -> list[MemberUpdate]:
         """Return the records whose incarnation or state changed, oldest change first.
 
         Args:
-            after: The value of `sequence` up to which the receiver has been told.
+            after: The value of `sequence` up to which the receiver has the changes.
         """
-        changed = [self._records[name] for _, name in self._news.list_after(after)]
+        changed = [self._records[name] for _, name in self._state_changes.list_after(after)]
         return [
-            MemberNews(member=record.member, new_incarnation=record.started > after)
+            MemberUpdate(member=record.member, new_incarnation=record.incarnation_sequence > after)
             for record in changed
         ]
 
-    def list_details(self, *, after: int) -> list[tuple[int, Member]]:
+    def list_detail_changes(self, *, after: int) -> list[tuple[int, Member]]:
         """Return the records whose load or configuration version changed, oldest change first.
 
         Args:
-            after: The sequence number up to which the receiver has been told.
+            after: The sequence number up to which the receiver has the changes.
 
         Returns:
             Each record with the sequence number of its change.
         """
-        changed = self._details.list_after(after)
+        changed = self._detail_changes.list_after(after)
         return [(number, self._records[name].member) for number, name in changed]
 
     def list_all(self) -> list[Member]:
-        """Return all records that may be told to a new neighbour, the own one included.
+        """Return all records that may be sent to a new neighbour, including this instance's own.
 
-        Failure: an instance that has forgotten a gone one hears of it again from one that has not
-        yet, passes it on, and the record never dies. Only those that saw it leave pass it on.
+        Records that were gone when first received are left out. Otherwise an instance that has
+        forgotten a gone one would receive it again from one that has not, pass it on, and the
+        record would never expire.
         """
-        told = [record.member for record in self._records.values() if not record.inherited]
-        return [self._me, *told]
+        records = [record.member for record in self._records.values() if not record.first_seen_gone]
+        return [self._me, *records]
 
     def compute_digest(self) -> int:
-        """Return a 64-bit sum over the members, equal where two instances agree on them."""
-        total = 0
+        """Return a 64-bit digest of the members, equal for two instances that agree on them."""
+        digest = 0
         for member in (self._me, *(record.member for record in self._records.values())):
             if member.state != MemberState.GONE:
                 key = f"{member.incarnation} {member.state}"
-                total ^= compute_weight(key, member.instance.name)
-        return total
+                digest ^= compute_weight(key, member.instance.name)
+        return digest
 
-    def _refute(self, heard: Member) -> None:
-        outdated = heard.incarnation < self._me.incarnation
-        agrees = heard.incarnation == self._me.incarnation and heard.state <= self._me.state
+    def _refute(self, received: Member) -> None:
+        outdated = received.incarnation < self._me.incarnation
+        agrees = received.incarnation == self._me.incarnation and received.state <= self._me.state
         if outdated or agrees:
             return
-        self._me = replace(self._me, incarnation=heard.incarnation + 1)
-        self._count_news()
+        self._me = replace(self._me, incarnation=received.incarnation + 1)
+        self._advance_state_sequence()
 
-    def _merge_one(self, heard: Member, now: float) -> None:
-        name = heard.instance.name
+    def _merge_one(self, received: Member, now: float) -> None:
+        name = received.instance.name
         record = self._records.get(name)
         if record is None:
-            self._add_record(heard, now)
+            self._add_record(received, now)
             return
         known = record.member
-        record.member = joined = join(known, heard)
+        record.member = joined = join(known, received)
         if (joined.incarnation, joined.heartbeat) > (known.incarnation, known.heartbeat):
-            record.heard_at = now
-            record.lost = False
+            record.heartbeat_at = now
+            record.refused_connection = False
         if (joined.incarnation, joined.state) != (known.incarnation, known.state):
-            if record.inherited and joined.state == MemberState.GONE:
+            if record.first_seen_gone and joined.state == MemberState.GONE:
                 return
-            self._note_news(record, known, now)
+            self._record_state_change(record, known, now)
         if (joined.load, joined.configuration_version) != (known.load, known.configuration_version):
             self._sequence += 1
-            self._details.note(name, self._sequence)
+            self._detail_changes.record(name, self._sequence)
 
-    def _add_record(self, heard: Member, now: float) -> None:
-        gone = heard.state == MemberState.GONE
-        record = MemberRecord(member=heard, heard_at=now, changed_at=now, inherited=gone)
-        self._records[heard.instance.name] = record
+    def _add_record(self, received: Member, now: float) -> None:
+        gone = received.state == MemberState.GONE
+        record = MemberRecord(
+            member=received, heartbeat_at=now, changed_at=now, first_seen_gone=gone
+        )
+        self._records[received.instance.name] = record
         self._watch(record)
         if not gone:
-            record.started = self._count_news()
-            self._news.note(heard.instance.name, record.started)
+            record.incarnation_sequence = self._advance_state_sequence()
+            self._state_changes.record(received.instance.name, record.incarnation_sequence)
             self._overlay_stale = True
 
     def _watch(self, record: MemberRecord) -> None:
@@ -326,49 +329,49 @@
         else:
             self._watched.discard(name)
 
-    def _count_news(self) -> int:
+    def _advance_state_sequence(self) -> int:
         self._sequence += 1
-        self.news_sequence = self._sequence
+        self.state_sequence = self._sequence
         return self._sequence
 
-    def _note_news(self, record: MemberRecord, known: Member, now: float) -> None:
+    def _record_state_change(self, record: MemberRecord, known: Member, now: float) -> None:
         refuted = known.state == MemberState.SUSPECT and record.member.state == MemberState.LIVE
         if refuted and record.member.incarnation == known.incarnation + 1:
-            # Failure: the one link between two live instances is cut. One suspects the other, is
-            # refuted by way of the rest, and suspects again with each round. Doubling the allowed
-            # silence bounds the noise; a restart (another incarnation) starts afresh.
-            record.patience = min(record.patience * 2.0, LARGEST_PATIENCE)
+            # If only the link between two live instances is cut, one suspects the other and is
+            # refuted through the rest of the fleet, again with each round. Doubling the allowed
+            # silence bounds this traffic. A restart (another incarnation) does not double it.
+            record.suspicion_factor = min(record.suspicion_factor * 2.0, MAX_SUSPICION_FACTOR)
         record.changed_at = now
-        record.inherited = False
+        record.first_seen_gone = False
         self._watch(record)
-        number = self._count_news()
-        self._news.note(known.instance.name, number)
+        number = self._advance_state_sequence()
+        self._state_changes.record(known.instance.name, number)
         if record.member.incarnation != known.incarnation:
-            record.started = number
+            record.incarnation_sequence = number
         self._overlay_stale = True
 
     def _set_state(self, record: MemberRecord, state: MemberState, now: float) -> None:
         known = record.member
         record.member = replace(known, state=state)
-        self._note_news(record, known, now)
+        self._record_state_change(record, known, now)
 
     def _set_own_state(self, state: MemberState) -> None:
         if state > self._me.state:
             self._me = replace(self._me, state=state)
-            self._count_news()
+            self._advance_state_sequence()
 
-    def _allow_for_pause(self, now: float) -> None:
-        """Add the time in which this process did not run to what others are allowed.
+    def _compensate_for_pause(self, now: float) -> None:
+        """Shift the recorded times by the time for which this process was paused.
 
-        Failure: a process that was stopped for a minute wakes, finds all neighbours silent for a
-        minute and declares them gone before it has read what they sent. Moving the times by the
-        gap leaves them their full allowance from now on.
+        Without this, a process that was stopped for a minute finds all neighbours silent for a
+        minute and declares them gone before it has read what they sent. The shift leaves them
+        their full allowed silence from now on.
         """
         gap = now - self._ticked_at - self._timing.period_s
         if gap <= self._timing.period_s:
             return
         for record in self._records.values():
-            record.heard_at = min(record.heard_at + gap, now)
+            record.heartbeat_at = min(record.heartbeat_at + gap, now)
             if record.member.state == MemberState.SUSPECT:
                 record.changed_at = min(record.changed_at + gap, now)
 
@@ -377,7 +380,7 @@
         timing = self._timing
         period = max(timing.load_period_s, len(self._records) / timing.loads_per_second)
         due = now - self._load_published_at >= period
-        if due and abs(self._load - load) > LOAD_STEP * max(load, self._load):
+        if due and abs(self._load - load) > MIN_LOAD_CHANGE * max(load, self._load):
             load = self._load
             self._load_published_at = now
         self._me = replace(self._me, heartbeat=self._me.heartbeat + 1, load=load)
@@ -396,31 +399,33 @@
         neighbours = self._overlay.find_neighbours(own.name, regions)
         for name in neighbours - self._neighbours:
             record = self._records[name]
-            record.heard_at = max(record.heard_at, now)
-            record.patience = 1.0
+            record.heartbeat_at = max(record.heartbeat_at, now)
+            record.suspicion_factor = 1.0
         self._neighbours = neighbours
 
-    def _judge(self, name: str, record: MemberRecord, now: float) -> None:
+    def _check_record(self, name: str, record: MemberRecord, now: float) -> None:
         timing = self._timing
         state = record.member.state
         if state == MemberState.GONE:
             if now - record.changed_at > timing.forget_after_s:
                 del self._records[name]
-                self._news.drop(name)
-                self._details.drop(name)
+                self._state_changes.drop(name)
+                self._detail_changes.drop(name)
                 self._watched.discard(name)
                 self._overlay.forget(name)
             return
-        silence = now - record.heard_at
+        silence = now - record.heartbeat_at
         if silence <= timing.period_s:
-            record.patience = max(1.0, record.patience * PATIENCE_DECAY)
-        allowed = timing.suspect_after_s * record.patience
+            record.suspicion_factor = max(1.0, record.suspicion_factor * SUSPICION_FACTOR_DECAY)
+        allowed = timing.suspect_after_s * record.suspicion_factor
         if state == MemberState.SUSPECT:
-            rest = timing.lost_gone_after_s if record.lost else timing.gone_after_s
-            if min(silence, now - record.changed_at) > rest:
+            refutation_time = (
+                timing.refused_gone_after_s if record.refused_connection else timing.gone_after_s
+            )
+            if min(silence, now - record.changed_at) > refutation_time:
                 self._set_state(record, MemberState.GONE, now)
         elif name in self._neighbours and silence > allowed:
             if state == MemberState.LIVE:
                 self._set_state(record, MemberState.SUSPECT, now)
-            elif record.lost or silence > allowed + timing.gone_after_s:
+            elif record.refused_connection or silence > allowed + timing.gone_after_s:
                 self._set_state(record, MemberState.GONE, now)
--- a/tests/test_membership_properties.py
+++ b/tests/test_membership_properties.py
@@ -1,4 +1,4 @@
-"""Properties of membership: the laws of the join."""
+"""Properties of membership: the algebraic laws of `join`."""
 
 from __future__ import annotations
 
@@ -11,6 +11,7 @@
 from guavamast.member_records import join
 from guavamast.members import Member, MembershipView, MemberState
 from guavamast.membership import Membership
+from guavamast.fleet_objects import FailureDomain, Instance
 
 
 def make_instance(name: str, *, region: str = "sierra", port: int = 1) -> Instance:
@@ -41,7 +42,7 @@
 
 
 def view_after(batches: list[list[Member]]) -> MembershipView:
-    """Return what an instance sees after it was told some batches."""
+    """Return the view of an instance after it merged some batches."""
     membership = Membership(me=make_instance("me"), incarnation=1, now=0.0)
     for batch in batches:
         membership.merge(batch, now=0.0)
