--- a/src/guavamast/platform_client.py
+++ b/src/guavamast/platform_client.py
@@ -1,4 +1,4 @@
-"""The platform's table service, object store and instance list, as guavamast uses them."""
+"""Interface to the platform's table service, object store and instance list."""
 
 from __future__ import annotations
 
@@ -11,7 +11,7 @@
 
 @dataclass(frozen=True, slots=True, kw_only=True)
 class Row:
-    """One row of a table. Version 0 stands for an absent row."""
+    """One row of a table. Version 0 means that the row is absent."""
 
     table: str
     key: str
@@ -21,7 +21,7 @@
 
 @dataclass(frozen=True, slots=True, kw_only=True)
 class Check:
-    """A condition of a transaction: the row has just this version."""
+    """A condition of a transaction: the row has exactly this version."""
 
     table: str
     key: str
@@ -39,7 +39,7 @@
 
 @dataclass(frozen=True, slots=True, kw_only=True)
 class ListedInstance:
-    """One instance of the platform's own, lagging list."""
+    """One entry of the platform's list of instances, which is eventually consistent."""
 
     name: str
     state: str
@@ -48,25 +48,25 @@
 
 
 class PlatformError(GuavamastError):
-    """The platform did not do what was asked. Nothing was written."""
+    """The platform did not carry out the request. Nothing was written."""
 
 
 class PlatformUnavailable(PlatformError):
-    """The platform could not be reached or refused before any effect: nothing was written."""
+    """The platform was unreachable or rejected the request; nothing was written."""
 
     def __init__(self, message: str) -> None:
         super().__init__(ErrorCode.PLATFORM_UNAVAILABLE, message)
 
 
 class PlatformAnswerLost(GuavamastError):
-    """The answer was lost: the write may or may not have taken effect; read to settle it."""
+    """The response was lost: the write may have taken effect; a read tells whether it did."""
 
     def __init__(self, message: str) -> None:
         super().__init__(ErrorCode.OUTCOME_UNKNOWN, message)
 
 
 class TransactionConflict(PlatformError):
-    """A check did not hold; nothing was written."""
+    """A check failed; nothing was written."""
 
     def __init__(self, message: str = "a row has another version") -> None:
         super().__init__(ErrorCode.PLAN_CONFLICT, message)
@@ -77,13 +77,13 @@
 
     @abstractmethod
     async def transact(self, checks: list[Check], writes: list[Write]) -> list[int]:
-        """Write all rows if all checks hold, else none.
+        """Write all rows if all checks pass, else none.
 
         Returns:
             The new versions, in the order of ``writes``.
 
         Raises:
-            TransactionConflict: A check did not hold.
+            TransactionConflict: A check failed.
             PlatformAnswerLost: The transaction may have taken effect.
         """
 
@@ -97,7 +97,7 @@
 
     @abstractmethod
     async def put_object(self, name: str, body: bytes) -> None:
-        """Store an object; the same name and body again is harmless."""
+        """Store an object; idempotent for the same name and body."""
 
     @abstractmethod
     async def get_object(self, name: str) -> bytes | None:
@@ -105,4 +105,4 @@
 
     @abstractmethod
     async def list_instances(self) -> list[ListedInstance]:
-        """Return the platform's list of instances, which lags."""
+        """Return the platform's list of instances, which may be out of date."""
--- a/tests/fake_platform.py
+++ b/tests/fake_platform.py
@@ -1,4 +1,4 @@
-"""An in-memory platform whose faults the tests choose."""
+"""In-memory platform with faults that the tests choose."""
 
 from __future__ import annotations
 
@@ -22,11 +22,11 @@
 
 
 class FakePlatform(PlatformClient):
-    """Keeps rows and objects; each transaction takes the next fault of ``faults``.
+    """Stores rows and objects; each transaction is subject to the next fault of ``faults``.
 
-    Faults: ``ok``, ``down`` (no effect), ``lost`` (effect, no answer), ``cut`` (no effect, but
-    the client can't know), ``late`` (no answer, takes effect before the next call but one), and
-    ``lost_then_down`` (effect, no answer, and then ``down_calls`` calls of any kind fail).
+    Faults: ``ok``, ``down`` (no effect), ``lost`` (effect, no response), ``cut`` (no effect, but
+    the client can't know), ``late`` (no response, takes effect before the next call but one), and
+    ``lost_then_down`` (effect, no response, and then ``down_calls`` calls of any kind fail).
     """
 
     def __init__(self) -> None:
--- a/tests/test_platform_http.py
+++ b/tests/test_platform_http.py
@@ -1,4 +1,4 @@
-"""Tests of the platform's client against the stand-in."""
+"""Tests of the platform client against the stand-in."""
 
 from __future__ import annotations
 
@@ -19,7 +19,7 @@
 
 
 class PlatformHttpTest(unittest.IsolatedAsyncioTestCase):
-    """Each failure is told as what it proves about the write."""
+    """Each failure raises the error that says what is known about the write."""
 
     def setUp(self) -> None:
         self.client = HttpPlatformClient(tables_url="", objects_url="")
@@ -84,8 +84,8 @@
         self.assertEqual(standin.tables.read("t", "k").version, 1)
 
     async def test_slow_answer_counts_as_lost(self) -> None:
-        # The caller's write times out, takes effect after that, and shows in a later read: a
-        # timeout after the connect must not be told as "nothing was written".
+        # A write times out, takes effect later and is visible to a later read: a timeout after the
+        # connect must not be reported as "nothing was written".
         standin = await self.start()
         standin.fault = Fault(kind="slow", delay_s=1.0)
         with self.assertRaises(PlatformAnswerLost):
