--- a/src/guavamast/answers.py
+++ b/src/guavamast/answers.py
@@ -1,9 +1,9 @@
-"""Checks that an engine's stream is the whole, right answer to one request.
+"""Validation of an engine's stream against the request that it responds to.
 
-Failure: an engine under load crosses, repeats, cuts or garbles answers, and a caller gets text that
-belongs to another or lacks its end. Each chunk is bound to its request by id, to its place by
-index, and to all text before it by a running CRC-32, so that a chunk is passed on only when the
-text up to it is right. The end is taken only after a chunk that says it is the last.
+An engine under load can mix up, repeat, truncate or garble responses. Without these checks, a
+caller gets text that belongs to another request or lacks its end. Each chunk carries the id of its
+request, its index, and a running CRC-32 of all text up to it, so a chunk is forwarded only when the
+text up to it is correct. The end is accepted only after a chunk that is marked as the last one.
 """
 
 from __future__ import annotations
@@ -21,29 +21,29 @@
 
 
 class AnswerInvalid(GuavamastError):
-    """A chunk is not the next one of this answer; nothing of it may be passed on."""
+    """A chunk is not the next one of this response; none of it may be forwarded."""
 
     def __init__(self, message: str) -> None:
         super().__init__(ErrorCode.ANSWER_INVALID, message)
 
 
 @dataclass(frozen=True, slots=True, kw_only=True)
-class AnswerPiece:
-    """The next piece of an answer, checked."""
+class ResponseChunk:
+    """The next chunk of a response, validated."""
 
     index: int
     text: str
     finish_reason: str | None
-    """None but for the last piece."""
+    """Set on the last chunk only."""
 
 
-class AnswerChecker:
-    """Checks one engine's stream against the part of the answer that was passed on before.
+class ResponseChecker:
+    """Validates one engine's stream as the continuation of what was already forwarded.
 
     Args:
         request_id: Id under which the request was sent to this engine.
-        next_index: Number of the tokens already passed on.
-        text_crc: CRC-32 of the text already passed on.
+        next_index: Number of tokens already forwarded.
+        text_crc: CRC-32 of the text already forwarded.
     """
 
     __slots__ = ("_ended", "_finish_reason", "_request_id", "next_index", "text_crc")
@@ -57,46 +57,46 @@
 
     @property
     def whole(self) -> bool:
-        """Whether the answer has ended as a whole one."""
+        """Whether the response is complete."""
         return self._ended
 
-    def check(self, event: Event) -> AnswerPiece | None:
-        """Take the next event of the stream.
+    def check(self, event: Event) -> ResponseChunk | None:
+        """Validate the next event of the stream.
 
         Args:
-            event: An event as decoded.
+            event: A decoded event.
 
         Returns:
-            The piece to pass on, or None for the end of the answer.
+            The chunk to forward, or None at the end of the response.
 
         Raises:
-            AnswerInvalid: The event is not what must come next.
+            AnswerInvalid: The event is not the expected next one.
         """
         if self._ended:
-            raise AnswerInvalid("an event after the end")
+            raise AnswerInvalid("the stream continues after its end event")
         if event.name == "error":
             raise AnswerInvalid("the endpoint ended its stream with an error")
         if event.data == DONE:
             if self._finish_reason is None:
-                raise AnswerInvalid("the end before the last chunk")
+                raise AnswerInvalid("the stream ended before its last chunk")
             self._ended = True
             return None
         if self._finish_reason is not None:
-            raise AnswerInvalid("a chunk after the last one")
-        return self._check_chunk(_read_chunk(event.data))
+            raise AnswerInvalid("the stream has a chunk after its last one")
+        return self._check_chunk(_parse_chunk(event.data))
 
-    def _check_chunk(self, chunk: _Chunk) -> AnswerPiece:
+    def _check_chunk(self, chunk: _Chunk) -> ResponseChunk:
         if chunk.request_id != self._request_id:
-            raise AnswerInvalid("a chunk of another request")
+            raise AnswerInvalid("a chunk belongs to another request")
         if chunk.index != self.next_index:
-            raise AnswerInvalid(f"chunk {chunk.index} where {self.next_index} must come")
+            raise AnswerInvalid(f"received chunk {chunk.index}, expected chunk {self.next_index}")
         crc = zlib.crc32(chunk.text.encode(), self.text_crc)
         if chunk.crc32 is not None and chunk.crc32 != crc:
             raise AnswerInvalid(f"chunk {chunk.index} fails its checksum")
         self.next_index += 1
         self.text_crc = crc
         self._finish_reason = chunk.finish_reason
-        return AnswerPiece(index=chunk.index, text=chunk.text, finish_reason=chunk.finish_reason)
+        return ResponseChunk(index=chunk.index, text=chunk.text, finish_reason=chunk.finish_reason)
 
 
 @dataclass(frozen=True, slots=True, kw_only=True)
@@ -108,7 +108,7 @@
     finish_reason: str | None
 
 
-def _read_chunk(data: str) -> _Chunk:
+def _parse_chunk(data: str) -> _Chunk:
     try:
         body: Any = json.loads(data)
         choice = body["choices"][0]
@@ -120,7 +120,7 @@
             finish_reason=choice.get("finish_reason"),
         )
     except (ValueError, LookupError, TypeError, AttributeError) as error:
-        raise AnswerInvalid("a chunk that can't be read") from error
+        raise AnswerInvalid("a chunk is malformed") from error
     if not isinstance(chunk.text, str) or not isinstance(chunk.index, int):
-        raise AnswerInvalid("a chunk of wrong types")
+        raise AnswerInvalid("a field of a chunk has the wrong type")
     return chunk
--- a/src/guavamast/caller_input.py
+++ b/src/guavamast/caller_input.py
@@ -1,6 +1,6 @@
-"""Reads what callers send, before anything is done with it.
+"""Parsing and validation of callers' input.
 
-Every function raises a `Refusal` with status 400 for input it can't take, and nothing else.
+Every function raises a `Refusal` with status 400 for invalid input, and no other exception.
 """
 
 from __future__ import annotations
@@ -18,9 +18,9 @@
 DEFAULT_MAX_TOKENS: Final = 4_096
 MAX_MAX_TOKENS: Final = 1_000_000
 BYTES_PER_TOKEN: Final = 4
-"""Rough length of a token of prompt; only load estimates rest on it."""
+"""Approximate length of a prompt token; used for load estimates only."""
 PREFIX_BYTES: Final = 1_024
-"""Length of the prompt's start by which requests share an engine's prefix cache."""
+"""Length of the prompt prefix by which requests share an engine's prefix cache."""
 
 
 @dataclass(frozen=True, slots=True, kw_only=True)
@@ -33,17 +33,17 @@
     max_tokens: int
 
     def count_prompt_tokens(self) -> int:
-        """Return an estimate of the prompt's tokens."""
+        """Return an estimate of the number of prompt tokens."""
         return sum(len(message["content"]) for message in self.messages) // BYTES_PER_TOKEN
 
     def hash_prefix(self) -> str:
-        """Return a key that prompts with the same start share."""
+        """Return a key that is the same for prompts with the same prefix."""
         text = "\x00".join(message["content"] for message in self.messages)
         return hashlib.sha256(f"{self.model}\x00{text[:PREFIX_BYTES]}".encode()).hexdigest()[:16]
 
 
 def refuse_input(message: str, code: ErrorCode = ErrorCode.BAD_REQUEST) -> Refusal:
-    """Return the refusal of a request that can't be taken as it is."""
+    """Return the rejection of a request with invalid input."""
     return SendLatch().refuse(code, message, status=400)
 
 
@@ -66,7 +66,7 @@
 
 
 def parse_label(header: str, *, name: str, longest: int) -> str:
-    """Return a header's value that must be printable ASCII without spaces."""
+    """Return a header's value; reject any but printable ASCII without spaces."""
     if len(header) > longest or not all("!" <= char <= "~" for char in header):
         raise refuse_input(f"{name} must be at most {longest} printable ASCII characters")
     return header
@@ -105,14 +105,14 @@
 
 def _parse_messages(messages: object) -> list[dict[str, Any]]:
     if not isinstance(messages, list) or not messages:
-        raise refuse_input("messages must be a list that is not empty")
-    for place, message in enumerate(messages):
+        raise refuse_input("messages must be a non-empty list")
+    for index, message in enumerate(messages):
         if not isinstance(message, dict):
-            raise refuse_input(f"messages[{place}] must be an object")
+            raise refuse_input(f"messages[{index}] must be an object")
         if not isinstance(message.get("role"), str):
-            raise refuse_input(f"messages[{place}].role must be a string")
+            raise refuse_input(f"messages[{index}].role must be a string")
         if not _is_text(message.get("content")):
-            raise refuse_input(f"messages[{place}].content must be a string")
+            raise refuse_input(f"messages[{index}].content must be a string")
     return messages
 
 
@@ -122,5 +122,5 @@
     try:
         value.encode()
     except UnicodeEncodeError:
-        return False  # a lone surrogate, which JSON can name and UTF-8 can't carry
+        return False  # a lone surrogate, which JSON can escape and UTF-8 can't encode
     return True
--- a/src/guavamast/callers.py
+++ b/src/guavamast/callers.py
@@ -1,4 +1,4 @@
-"""What all handlers for callers share: limits, authentication, errors, cancellation."""
+"""Base of the handlers for callers: limits, authentication, errors, cancellation."""
 
 from __future__ import annotations
 
@@ -36,13 +36,13 @@
 ISOLATED_RETRY_S: Final = 5.0
 
 
-def _count_from_random() -> Iterator[int]:
+def _count_from_random_start() -> Iterator[int]:
     return itertools.count(random.randrange(1 << 20))
 
 
 @dataclass(slots=True, kw_only=True)
 class CallerServices:
-    """What the handlers need; one for each entry."""
+    """Services that the handlers use; one object per entry."""
 
     state: EntryState
     chats: ChatRouter
@@ -51,13 +51,13 @@
     clock: Callable[[], float]
     max_body_bytes: int
     address_validity_s: float
-    address_seeds: Iterator[int] = field(default_factory=_count_from_random)
+    address_seeds: Iterator[int] = field(default_factory=_count_from_random_start)
     in_flight: int = 0
-    """Requests being served, which a leaving entry waits for."""
+    """Requests being served; a leaving entry waits for them to finish."""
 
 
-def encode_refusal(refusal: Refusal) -> dict[str, Any]:
-    """Return the body that callers get for a refusal."""
+def encode_rejection(refusal: Refusal) -> dict[str, Any]:
+    """Return the response body for a rejection."""
     error: dict[str, Any] = {
         "code": refusal.code,
         "message": refusal.message,
@@ -70,60 +70,60 @@
 
 @stream_request_body
 class CallerHandler(RequestHandler):
-    """Base of all handlers: body limit, errors as coded JSON, cancellation, counts."""
+    """Base of all handlers: body limit, errors as JSON with a code, cancellation, metrics."""
 
     def initialize(self, services: CallerServices) -> None:
-        """Take the entry's services."""
+        """Set the entry's services."""
         self.services = services
         self.request_id = ""
         self.streaming = False
-        self._pieces: list[bytes] = []
-        self._size = 0
+        self._chunks: list[bytes] = []
+        self._body_size = 0
         self._work: asyncio.Task[None] | None = None
-        self._caller_gone = False
+        self._caller_disconnected = False
         self._organisation = ""
         self._class_name = ""
         self._code = ""
 
     def prepare(self) -> None:
-        """Refuse a body whose announced length is over the limit before it is read."""
-        self._limit_body(int(self.request.headers.get("Content-Length") or 0))
+        """Reject a body whose declared length exceeds the limit before it is read."""
+        self._check_body_size(int(self.request.headers.get("Content-Length") or 0))
 
     def data_received(self, chunk: bytes) -> None:
         """Collect the body up to the limit."""
-        self._size += len(chunk)
-        self._limit_body(self._size)
-        self._pieces.append(chunk)
+        self._body_size += len(chunk)
+        self._check_body_size(self._body_size)
+        self._chunks.append(chunk)
 
     def get_body_limit(self) -> int:
-        """Return the longest body that this handler takes, in bytes."""
+        """Return the maximum body size of this handler, in bytes."""
         return self.services.max_body_bytes
 
-    def _limit_body(self, size: int) -> None:
+    def _check_body_size(self, size: int) -> None:
         limit = self.get_body_limit()
         if size > limit:
             self.set_header("Connection", "close")
             raise SendLatch().refuse(
-                ErrorCode.BODY_TOO_LARGE, f"the body is over {limit} bytes", status=413
+                ErrorCode.BODY_TOO_LARGE, f"the body is larger than {limit} bytes", status=413
             )
 
     def read_body(self) -> bytes:
         """Return the whole body."""
-        return b"".join(self._pieces)
+        return b"".join(self._chunks)
 
     async def run(self, work: Callable[[], Awaitable[None]], organisation: Organisation) -> None:
         """Await a request's work within its organisation's limits.
 
-        The work ends when its caller goes away.
+        The work is cancelled when its caller disconnects.
         """
         self.services.in_flight += 1
         self._work = asyncio.ensure_future(self._run_admitted(work, organisation))
         try:
             await self._work
         except asyncio.CancelledError:
-            # Failure: the process ends while a request runs, its cancellation is taken for a
-            # caller that has gone, and the caller gets an empty answer of status 200.
-            if not self._caller_gone:
+            # Without this check, a cancellation by the end of the process counts as a disconnected
+            # caller, and the caller gets an empty response with status 200.
+            if not self._caller_disconnected:
                 raise
             self.services.metrics.count("callers.gone")
         except StreamClosedError:
@@ -141,20 +141,20 @@
             self.services.limits.release(organisation)
 
     def on_connection_close(self) -> None:
-        """Cancel the work of a caller that has gone, so that its slot is released."""
-        self._caller_gone = True
+        """Cancel the work of a caller that has disconnected, so that its slot is released."""
+        self._caller_disconnected = True
         if self._work is not None:
             self._work.cancel()
 
     def write_error(self, status_code: int, **kwargs: Any) -> None:
-        """Answer with a coded error."""
+        """Respond with an error that has a code."""
         error = kwargs.get("exc_info", (None, None, None))[1]
         if isinstance(error, Refusal):
             refusal = error
         elif error is None and self._work is None:
-            # Failure: the loop ends while a request's body is still coming; tornado answers for
-            # the cancelled handler, and the caller can't tell that nothing has run.
-            refusal = _refuse_leaving("this instance has left")
+            # When the loop ends before a request's body has arrived, tornado responds for the
+            # cancelled handler. Without this, the caller can't tell that nothing has run.
+            refusal = _reject_leaving("this instance has left")
         else:
             refusal = _translate_error(error, status_code)
         self._code = refusal.code
@@ -164,17 +164,17 @@
             self.set_header("X-Request-Id", self.request_id)
         if refusal.retry_after_s is not None:
             self.set_header("Retry-After", str(max(1, round(refusal.retry_after_s))))
-        self.finish(encode_refusal(refusal))
+        self.finish(encode_rejection(refusal))
 
     def log_exception(self, typ: Any, value: Any, tb: Any) -> None:
-        """Log what isn't a refusal; callers' mistakes stay out of the log."""
+        """Log unexpected exceptions; rejections and callers' errors are not logged."""
         if isinstance(value, Refusal | HTTPError):
             return
         exc_info = (typ, value, tb)
         get_logger().error("handler failed", exc_info=exc_info, extra={"code": "internal"})
 
     def on_finish(self) -> None:
-        """Log how a request that has an id has ended."""
+        """Log the result of a request that has an id."""
         if not self.request_id:
             return
         context = {
@@ -188,7 +188,7 @@
         get_logger().info("%s %s %d", self.request.method, self.request.path, status, extra=context)
 
     def read_request_id(self) -> None:
-        """Take the caller's request id, or make one."""
+        """Read the caller's request id, or generate one."""
         header = self.request.headers.get("X-Request-Id", "")
         given = parse_label(header, name="X-Request-Id", longest=MAX_REQUEST_ID_LENGTH)
         self.request_id = given or uuid.uuid4().hex
@@ -200,13 +200,13 @@
         organisation = self.services.state.find_organisation(key) if key else None
         if organisation is None:
             raise SendLatch().refuse(
-                ErrorCode.UNAUTHENTICATED, "the key is missing or not known", status=401
+                ErrorCode.UNAUTHENTICATED, "the API key is missing or unknown", status=401
             )
         self._organisation = organisation.name
         return organisation
 
     def require_ready(self) -> None:
-        """Refuse when this instance has no configuration or leaves."""
+        """Reject when this instance has no configuration, is isolated or is leaving."""
         state = self.services.state
         if state.configuration.version == 0:
             raise SendLatch().refuse(
@@ -218,16 +218,16 @@
         if state.isolated:
             raise SendLatch().refuse(
                 ErrorCode.NO_CONFIGURATION,
-                "this instance hears neither the platform nor another instance",
+                "this instance has contact with neither the platform nor another instance",
                 status=503,
                 retry_after_s=ISOLATED_RETRY_S,
             )
         if state.leaving:
             others = ", ".join(item.instance.caller_address for item in state.list_others()[:3])
-            raise _refuse_leaving(f"this instance is leaving; others: {others or 'none known'}")
+            raise _reject_leaving(f"this instance is leaving; others: {others or 'none known'}")
 
     def find_class(self, organisation: Organisation, kind: str) -> ServiceClass:
-        """Return the class of a kind of request of an organisation."""
+        """Return the organisation's service class for a kind of request."""
         name = organisation.contract.classes.get(kind)
         if name is None:
             message = f"{organisation.name} has no class for the kind {kind!r}"
@@ -236,12 +236,12 @@
         return self.services.state.configuration.classes[name]
 
     def compute_deadline(self, service_class: ServiceClass) -> float:
-        """Return the deadline on the entry's clock: the caller's, else the class's."""
-        asked = parse_timeout(self.request.headers.get("X-Request-Timeout-Ms", ""))
-        return self.services.clock() + (asked or service_class.completion_s)
+        """Return the deadline on the entry's clock, from the caller's timeout or the class's."""
+        requested_s = parse_timeout(self.request.headers.get("X-Request-Timeout-Ms", ""))
+        return self.services.clock() + (requested_s or service_class.completion_s)
 
 
-def _refuse_leaving(message: str) -> Refusal:
+def _reject_leaving(message: str) -> Refusal:
     return SendLatch().refuse(ErrorCode.LEAVING, message, status=503, retry_after_s=LEAVING_RETRY_S)
 
 
@@ -249,12 +249,12 @@
     if isinstance(error, HTTPError) and status == 404:
         return SendLatch().refuse(ErrorCode.NOT_FOUND, "no such path", status=404)
     if isinstance(error, HTTPError) and status < 500:
-        message = error.log_message or error.reason or "the request can't be taken"
+        message = error.log_message or error.reason or "the request is invalid"
         return SendLatch().refuse(ErrorCode.BAD_REQUEST, message, status=status)
-    # What failed may have failed after a send, so nothing is claimed of the work.
+    # The error may have occurred after a send, so the outcome of the work is unknown.
     return Refusal(
         ErrorCode.INTERNAL,
-        f"an error of the router's own ({type(error).__name__}, status {status})",
+        f"internal error of the router ({type(error).__name__}, status {status})",
         status=503,
         outcome=Outcome.OUTCOME_UNKNOWN,
         retry_after_s=1.0,
@@ -262,8 +262,8 @@
 
 
 class UnknownPathHandler(CallerHandler):
-    """All other paths."""
+    """Rejects all other paths."""
 
     def prepare(self) -> None:
-        """Refuse."""
+        """Reject the request as not found."""
         raise SendLatch().refuse(ErrorCode.NOT_FOUND, "no such path", status=404)
--- a/src/guavamast/chat_handlers.py
+++ b/src/guavamast/chat_handlers.py
@@ -1,4 +1,4 @@
-"""HTTP handler of chats, streamed or whole."""
+"""HTTP handler of chats, streamed or not."""
 
 from __future__ import annotations
 
@@ -8,13 +8,13 @@
 from typing import TYPE_CHECKING, Any, Final
 
 from guavamast.caller_input import parse_chat_body
-from guavamast.callers import CallerHandler, encode_refusal
-from guavamast.chats import AnswerSink, Chat
+from guavamast.callers import CallerHandler, encode_rejection
+from guavamast.chats import Chat, ResponseSink
 from guavamast.errors import ErrorCode, Refusal, SendLatch
 from guavamast.event_stream import DONE, encode_event, encode_json_event
 
 if TYPE_CHECKING:
-    from guavamast.answers import AnswerPiece
+    from guavamast.answers import ResponseChunk
 
 DEFAULT_KIND: Final = "chat"
 
@@ -23,7 +23,7 @@
     """``POST /v1/chat/completions``."""
 
     async def post(self) -> None:
-        """Serve a chat, streamed or whole."""
+        """Serve a chat, streamed or not."""
         self.read_request_id()
         organisation = self.find_caller()
         kind = self.request.headers.get("X-Request-Kind", DEFAULT_KIND)
@@ -46,7 +46,7 @@
         await self.run(partial(serve, chat), organisation)
 
     async def _serve_whole(self, chat: Chat) -> None:
-        sink = _CollectingSink()
+        sink = _BufferingSink()
         await self.services.chats.serve(chat, sink)
         self.set_header("X-Request-Id", self.request_id)
         self.finish(sink.make_completion(chat))
@@ -58,8 +58,9 @@
         except Refusal as refusal:
             if not sink.begun:
                 raise
-            # The status line has gone out; the error event and the missing end say it.
-            self.write(encode_json_event(encode_refusal(refusal), name="error"))
+            # The status line is already sent; the error event and the missing [DONE] event
+            # signal the failure.
+            self.write(encode_json_event(encode_rejection(refusal), name="error"))
             self.services.metrics.count(f"errors.{refusal.code}")
             await self.finish()
             return
@@ -68,20 +69,20 @@
         await self.finish()
 
 
-class _CollectingSink(AnswerSink):
-    """Keeps an answer until it is whole."""
+class _BufferingSink(ResponseSink):
+    """Buffers a response until it is complete."""
 
     def __init__(self) -> None:
         self.texts: list[str] = []
         self.finish_reason: str | None = None
 
-    async def write(self, pieces: list[AnswerPiece]) -> None:
-        """Keep the pieces."""
-        self.texts.extend(piece.text for piece in pieces)
-        self.finish_reason = pieces[-1].finish_reason
+    async def write(self, chunks: list[ResponseChunk]) -> None:
+        """Buffer the chunks."""
+        self.texts.extend(chunk.text for chunk in chunks)
+        self.finish_reason = chunks[-1].finish_reason
 
     def make_completion(self, chat: Chat) -> dict[str, Any]:
-        """Return the body of the whole answer."""
+        """Return the body of the complete response."""
         prompt_tokens = chat.body.count_prompt_tokens()
         return {
             "id": chat.request_id,
@@ -103,8 +104,8 @@
         }
 
 
-class _StreamingSink(AnswerSink):
-    """Passes pieces on as server-sent events."""
+class _StreamingSink(ResponseSink):
+    """Forwards chunks as server-sent events."""
 
     def __init__(self, *, handler: ChatHandler, chat: Chat) -> None:
         self.begun = False
@@ -120,21 +121,21 @@
         )[:-1]
 
     def begin(self) -> None:
-        """Set the headers, before the first byte of the answer."""
+        """Set the headers before the first byte of the response."""
         if not self.begun:
             self.begun = True
             self._handler.set_header("Content-Type", "text/event-stream")
             self._handler.set_header("Cache-Control", "no-cache")
             self._handler.set_header("X-Request-Id", self._handler.request_id)
 
-    async def write(self, pieces: list[AnswerPiece]) -> None:
-        """Send the pieces in one write; waits while the caller reads slowly."""
+    async def write(self, chunks: list[ResponseChunk]) -> None:
+        """Send the chunks in one write; wait while the caller reads slowly."""
         self.begin()
-        self._handler.write(b"".join(self._encode(piece) for piece in pieces))
+        self._handler.write(b"".join(self._encode(chunk) for chunk in chunks))
         await self._handler.flush()
 
-    def _encode(self, piece: AnswerPiece) -> bytes:
-        content = json.dumps(piece.text)
-        reason = json.dumps(piece.finish_reason)
+    def _encode(self, chunk: ResponseChunk) -> bytes:
+        content = json.dumps(chunk.text)
+        reason = json.dumps(chunk.finish_reason)
         choice = f'[{{"index":0,"delta":{{"content":{content}}},"finish_reason":{reason}}}]'
         return encode_event(f'{self._prefix},"choices":{choice}}}')
--- a/src/guavamast/chats.py
+++ b/src/guavamast/chats.py
@@ -1,4 +1,4 @@
-"""The path of one chat: slot, send, checked answer, and resumption when an engine fails."""
+"""Routing of chats: slot, send, validated response, and resumption when an engine fails."""
 
 from __future__ import annotations
 
@@ -8,7 +8,7 @@
 from enum import Enum
 from typing import TYPE_CHECKING, Final
 
-from guavamast.answers import AnswerChecker, AnswerInvalid
+from guavamast.answers import AnswerInvalid, ResponseChecker
 from guavamast.engine_client import EndpointBroken, EngineCall, SendForbidden
 from guavamast.errors import ErrorCode, Outcome, Refusal, SendLatch
 from guavamast.log import get_logger
@@ -20,7 +20,7 @@
     import random
     from collections.abc import AsyncIterator, Callable
 
-    from guavamast.answers import AnswerPiece
+    from guavamast.answers import ResponseChunk
     from guavamast.caller_input import ChatBody
     from guavamast.engine_client import EngineClient
     from guavamast.entry_state import EntryState
@@ -34,14 +34,14 @@
     from guavamast.world import Organisation, ServiceClass
 
 STALL_S: Final = 10.0
-"""Silence of an engine within an answer after which it counts as failed."""
+"""Idle time within a response after which an engine counts as failed."""
 FIRST_TOKEN_STALL_FACTOR: Final = 10.0
-"""Multiple of the class's first-token target after which a silent engine counts as failed."""
+"""Multiple of the class's first-token target after which an idle engine counts as failed."""
 FAILED_RETRY_S: Final = 1.0
-FORBIDDEN_PAUSE_S: Final = 0.05
-"""Wait after a send that the last check forbade, so that the loop takes in what has changed."""
+FORBIDDEN_RETRY_DELAY_S: Final = 0.05
+"""Delay after a send that the final check forbade, so that the event loop applies updates."""
 MAX_SENDS: Final = 5
-"""Bound of the engines that one chat is sent to."""
+"""Maximum number of engines that one chat is sent to."""
 
 
 @dataclass(frozen=True, slots=True, kw_only=True)
@@ -57,12 +57,12 @@
     """On the entry's monotonic clock."""
 
 
-class AnswerSink(ABC):
-    """Where an answer's pieces go."""
+class ResponseSink(ABC):
+    """Destination of a response's chunks."""
 
     @abstractmethod
-    async def write(self, pieces: list[AnswerPiece]) -> None:
-        """Pass on the next pieces, each exactly once and in order."""
+    async def write(self, chunks: list[ResponseChunk]) -> None:
+        """Forward the next chunks, each exactly once and in order."""
 
 
 class SendResult(Enum):
@@ -76,16 +76,16 @@
 
 @dataclass(slots=True, kw_only=True)
 class _Progress:
-    """The part of the answer that was passed on."""
+    """The part of the response that was forwarded."""
 
     next_index: int = 0
     text_crc: int = 0
     texts: list[str] = field(default_factory=list)
     sends: int = 0
 
-    def add(self, pieces: list[AnswerPiece], checker: AnswerChecker) -> None:
-        """Count pieces in, before they are passed on."""
-        self.texts.extend(piece.text for piece in pieces)
+    def add(self, chunks: list[ResponseChunk], checker: ResponseChecker) -> None:
+        """Add chunks, before they are forwarded."""
+        self.texts.extend(chunk.text for chunk in chunks)
         self.next_index = checker.next_index
         self.text_crc = checker.text_crc
 
@@ -108,15 +108,15 @@
     """Serves chats.
 
     Args:
-        state: The entry's configuration and view.
+        state: The entry's configuration and view of the fleet.
         finder: Finds slots.
-        links: Takes releases.
-        engines: Sends chats.
-        budget: Bounds the repeats.
-        pauses: Tells whether this process was paused.
-        random: Source of the jitter of repeats.
+        links: Sends releases of slots.
+        engines: Sends chats to engines.
+        budget: Limits the retries.
+        pauses: Detects pauses of this process.
+        random: Source of the retry jitter.
         clock: Monotonic time.
-        metrics: Where counts go.
+        metrics: Receives the counters and timings.
     """
 
     def __init__(
@@ -142,21 +142,21 @@
         self._clock = clock
         self._metrics = metrics
 
-    async def serve(self, chat: Chat, sink: AnswerSink) -> None:
-        """Pass the whole, right answer to a sink.
+    async def serve(self, chat: Chat, sink: ResponseSink) -> None:
+        """Write the complete, validated response to a sink.
 
         Args:
             chat: The request.
-            sink: Takes the pieces.
+            sink: Receives the chunks.
 
         Raises:
-            Refusal: The answer can't be given, or can't be completed.
+            Refusal: The response can't be started or completed.
         """
         latch = SendLatch()
         progress = _Progress()
-        wish = self._make_wish(chat)
+        wish = self._build_wish(chat)
         while True:
-            hold = await self._find(wish, latch, progress)
+            hold = await self._find_slot(wish, latch, progress)
             result = await self._send(chat, hold, latch, progress, sink)
             if result is SendResult.WHOLE:
                 self._budget.record_success(chat.service_class.name)
@@ -166,10 +166,10 @@
                 await self._prepare_retry(chat, progress, latch)
             elif result is SendResult.FORBIDDEN:
                 if self._clock() >= chat.deadline:
-                    raise _refuse_failed(ErrorCode.DEADLINE_EXCEEDED, progress, latch, status=504)
-                await asyncio.sleep(FORBIDDEN_PAUSE_S)
+                    raise _reject_failed(ErrorCode.DEADLINE_EXCEEDED, progress, latch, status=504)
+                await asyncio.sleep(FORBIDDEN_RETRY_DELAY_S)
 
-    def _make_wish(self, chat: Chat) -> SlotWish:
+    def _build_wish(self, chat: Chat) -> SlotWish:
         return SlotWish(
             organisation=chat.organisation.name,
             class_name=chat.service_class.name,
@@ -182,12 +182,12 @@
             max_tokens=chat.body.max_tokens,
         )
 
-    async def _find(self, wish: SlotWish, latch: SendLatch, progress: _Progress) -> SlotHold:
+    async def _find_slot(self, wish: SlotWish, latch: SendLatch, progress: _Progress) -> SlotHold:
         try:
             return await self._finder.find(wish, latch)
         except Refusal as refusal:
             if latch.sent:
-                raise _refuse_failed(
+                raise _reject_failed(
                     refusal.code, progress, latch, status=refusal.status
                 ) from refusal
             raise
@@ -201,10 +201,10 @@
         )
         if late or not allowed:
             code = ErrorCode.DEADLINE_EXCEEDED if late else ErrorCode.ENDPOINT_FAILED
-            raise _refuse_failed(code, progress, latch, status=504 if late else 503)
+            raise _reject_failed(code, progress, latch, status=504 if late else 503)
         self._metrics.count("chat.retries")
-        pause = compute_backoff(progress.sends, random=self._random)
-        await asyncio.sleep(min(pause, max(0.0, chat.deadline - now)))
+        delay_s = compute_backoff(progress.sends, random=self._random)
+        await asyncio.sleep(min(delay_s, max(0.0, chat.deadline - now)))
 
     async def _send(
         self,
@@ -212,7 +212,7 @@
         hold: SlotHold,
         latch: SendLatch,
         progress: _Progress,
-        sink: AnswerSink,
+        sink: ResponseSink,
     ) -> SendResult:
         send = _Send(hold=hold, started_at=self._clock())
         hold.on_paused = lambda _: send.paused.set()
@@ -229,24 +229,24 @@
         send: _Send,
         latch: SendLatch,
         progress: _Progress,
-        sink: AnswerSink,
+        sink: ResponseSink,
     ) -> SendResult:
         endpoint = self._state.find_active_endpoint(send.hold.ask.endpoint)
         if endpoint is None:
             return SendResult.FORBIDDEN
-        checker = AnswerChecker(
+        checker = ResponseChecker(
             request_id=send.hold.ask.ask_id,
             next_index=progress.next_index,
             text_crc=progress.text_crc,
         )
-        call = self._make_call(chat, send.hold, endpoint.url, progress)
+        call = self._build_call(chat, send.hold, endpoint.url, progress)
         events = self._engines.stream(call, before_send=lambda: self._check_send(chat, send, latch))
         try:
-            return await self._pass_on(chat, send, events, checker, progress, sink)
+            return await self._relay_events(chat, send, events, checker, progress, sink)
         except SendForbidden:
             return SendResult.FORBIDDEN
         except (EndpointBroken, AnswerInvalid, TimeoutError) as error:
-            send.reason = str(error) or "the engine was silent"
+            send.reason = str(error) or "the engine sent nothing in time"
             get_logger().info(
                 "send failed: %s",
                 send.reason,
@@ -257,10 +257,11 @@
             await events.aclose()
 
     def _check_send(self, chat: Chat, send: _Send, latch: SendLatch) -> None:
-        """Allow a send or raise; runs when the connection stands, before the body is written.
+        """Allow a send or raise; runs when the connection is open, before the body is written.
 
-        Failure: the process was paused between the grant and the send, and sends to an endpoint
-        that has left since, or past the deadline. The check and the write are one step of the loop.
+        Without this check, a process that was paused between the grant and the send could send to
+        an endpoint that has left since, or past the deadline. The check and the write are one step
+        of the event loop.
         """
         endpoint = self._state.find_active_endpoint(send.hold.ask.endpoint)
         now = self._clock()
@@ -269,56 +270,56 @@
         latch.mark_sent()
         send.sent = True
 
-    async def _pass_on(
+    async def _relay_events(
         self,
         chat: Chat,
         send: _Send,
         events: AsyncIterator[list[Event]],
-        checker: AnswerChecker,
+        checker: ResponseChecker,
         progress: _Progress,
-        sink: AnswerSink,
+        sink: ResponseSink,
     ) -> SendResult:
         while True:
-            batch = await self._read(chat, send, events)
+            batch = await self._read_events(chat, send, events)
             if batch is None:
                 break
-            pieces: list[AnswerPiece] = []
+            chunks: list[ResponseChunk] = []
             try:
                 for event in batch:
-                    piece = checker.check(event)
-                    if piece is not None:
-                        pieces.append(piece)
+                    chunk = checker.check(event)
+                    if chunk is not None:
+                        chunks.append(chunk)
             finally:
-                # Right pieces before a wrong one are passed on, so that the resumption is shorter.
-                if pieces:
-                    self._note_tokens(send, len(pieces))
-                    progress.add(pieces, checker)
-                    await sink.write(pieces)
+                # Valid chunks before an invalid one are forwarded, so that less is left to resume.
+                if chunks:
+                    self._record_tokens(send, len(chunks))
+                    progress.add(chunks, checker)
+                    await sink.write(chunks)
             if checker.whole:
                 return SendResult.WHOLE
             if send.paused.is_set():
                 return SendResult.PAUSED
-        raise AnswerInvalid("the stream ended before the answer")
+        raise AnswerInvalid("the stream ended before the response was complete")
 
-    async def _read(
+    async def _read_events(
         self, chat: Chat, send: _Send, events: AsyncIterator[list[Event]]
     ) -> list[Event] | None:
-        patience = STALL_S
+        timeout_s = STALL_S
         if send.first_token_at is None:
             target_s = chat.service_class.first_token_ms / 1000.0
-            patience = max(STALL_S, FIRST_TOKEN_STALL_FACTOR * target_s)
-        left = chat.deadline - self._clock()
-        async with asyncio.timeout(max(0.0, min(patience, left))):
+            timeout_s = max(STALL_S, FIRST_TOKEN_STALL_FACTOR * target_s)
+        remaining_s = chat.deadline - self._clock()
+        async with asyncio.timeout(max(0.0, min(timeout_s, remaining_s))):
             return await anext(events, None)
 
-    def _note_tokens(self, send: _Send, count: int) -> None:
+    def _record_tokens(self, send: _Send, count: int) -> None:
         if send.first_token_at is None:
             send.first_token_at = self._clock()
             self._metrics.time("chat.first_token", send.first_token_at - send.started_at)
         send.tokens += count
         send.hold.tokens = send.tokens
 
-    def _make_call(self, chat: Chat, hold: SlotHold, url: str, progress: _Progress) -> EngineCall:
+    def _build_call(self, chat: Chat, hold: SlotHold, url: str, progress: _Progress) -> EngineCall:
         return EngineCall(
             url=url,
             request_id=hold.ask.ask_id,
@@ -334,14 +335,14 @@
     def _release(self, send: _Send, result: SendResult) -> None:
         now = self._clock()
         endpoint = send.hold.ask.endpoint
-        first = send.first_token_at
+        first_token_at = send.first_token_at
         release = Release(
             ask_id=send.hold.ask.ask_id,
             endpoint=endpoint,
             used=send.sent,
             failed=result is SendResult.FAILED,
             tokens=send.tokens,
-            first_token_s=first - send.started_at if first is not None else 0.0,
+            first_token_s=first_token_at - send.started_at if first_token_at is not None else 0.0,
             duration_s=now - send.started_at,
         )
         self._links.release(send.hold, release)
@@ -350,16 +351,16 @@
             self._state.chooser.record_outcome(endpoint, succeeded=succeeded, now=now)
 
 
-def _refuse_failed(
+def _reject_failed(
     code: ErrorCode, progress: _Progress, latch: SendLatch, *, status: int
 ) -> Refusal:
-    """Return the refusal of a chat that may have been sent; a chat may always be asked again."""
-    message = "the engines that took the request did not complete its answer"
+    """Return the rejection of a chat that may have been sent; retrying a chat is always safe."""
+    message = "the engines that received the request did not complete its response"
     if not latch.sent:
         return latch.refuse(code, message, status=status, retry_after_s=FAILED_RETRY_S)
     return Refusal(
         code,
-        f"{message}; {progress.next_index} tokens were passed on",
+        f"{message}; {progress.next_index} tokens were forwarded",
         status=status,
         outcome=Outcome.FAILED,
         retry_after_s=FAILED_RETRY_S,
--- a/src/guavamast/endpoint_sender.py
+++ b/src/guavamast/endpoint_sender.py
@@ -1,4 +1,4 @@
-"""Sending a call to a plain service's endpoint."""
+"""Sending of calls to the endpoints of plain services."""
 
 from __future__ import annotations
 
@@ -22,12 +22,12 @@
 IDEMPOTENCY_KEY_HEADER: Final = "Idempotency-Key"
 
 CONNECT_TIMEOUT_S: Final = 2.0
-"""Longest wait for a connection; endpoints are a few milliseconds away."""
+"""Connect timeout; endpoints are a few milliseconds away."""
 
 
 @dataclass(frozen=True, slots=True, kw_only=True)
 class EndpointCall:
-    """One attempt to run a call at one endpoint."""
+    """One attempt to run a call on one endpoint."""
 
     url: str
     """The endpoint's base URL."""
@@ -44,31 +44,31 @@
 
     @abstractmethod
     async def send(self, call: EndpointCall, *, before_write: Callable[[], None]) -> Answer:
-        """Send a call and return its whole answer.
+        """Send a call and return its complete response.
 
         Args:
-            call: What to send where.
-            before_write: Run right before the first byte, with no switch of coroutines between;
-                its exception ends the attempt unsent.
+            call: The call and its endpoint.
+            before_write: Called right before the first byte, with no await in between; an
+                exception from it ends the attempt unsent.
 
         Raises:
-            NotSent: No byte was sent; ``before_write`` was not run or has raised.
-            AnswerLost: Bytes may have been sent, and no whole answer of this call came back.
+            NotSent: No byte was sent; ``before_write`` was not called or raised.
+            AnswerLost: Bytes may have been sent, and no complete response was received.
         """
 
 
 class HttpEndpointSender(EndpointSender):
-    """Sends over HTTP: a new connection a call, no redirect, no retry."""
+    """Sends over HTTP: a new connection per call, no redirects, no retries."""
 
     __slots__ = ()
 
     async def send(self, call: EndpointCall, *, before_write: Callable[[], None]) -> Answer:
-        """Send a call and return its whole answer."""
+        """Send a call and return its complete response."""
         request = HTTPRequest(
             f"{call.url.rstrip('/')}/calls/{quote(call.call, safe='')}",
             method="POST",
             body=call.body,
-            headers=_make_headers(call),
+            headers=_build_headers(call),
             connect_timeout=min(CONNECT_TIMEOUT_S, call.timeout_s),
             request_timeout=call.timeout_s,
         )
@@ -78,7 +78,7 @@
         return Answer(status=response.code, content_type=content_type, body=response.body)
 
 
-def _make_headers(call: EndpointCall) -> HTTPHeaders:
+def _build_headers(call: EndpointCall) -> HTTPHeaders:
     headers = HTTPHeaders({"Content-Type": call.content_type, REQUEST_ID_HEADER: call.request_id})
     if call.idempotency_key:
         headers[IDEMPOTENCY_KEY_HEADER] = call.idempotency_key
@@ -86,11 +86,12 @@
 
 
 def _check_request_id(response: HTTPResponse, call: EndpointCall) -> None:
-    """Refuse an answer that names another request.
+    """Reject a response that names another request.
 
-    Failure: an endpoint crosses the answers of two calls; a caller reads another's. Endpoints that
-    echo the id are caught; for those that don't, one connection a call leaves no other answer.
+    Without this check, an endpoint that mixes up the responses of two calls gives a caller that of
+    another. Endpoints that echo the id are detected; for those that don't, one connection per call
+    leaves no other response to receive.
     """
     echoed = response.headers.get(REQUEST_ID_HEADER)
     if echoed is not None and echoed != call.request_id:
-        raise AnswerLost("the answer is of another request")
+        raise AnswerLost("the response belongs to another request")
--- a/src/guavamast/engine_client.py
+++ b/src/guavamast/engine_client.py
@@ -1,4 +1,4 @@
-"""Streams chats from engines, one connection a request."""
+"""Client that streams chats from engines, one connection per request."""
 
 from __future__ import annotations
 
@@ -24,20 +24,20 @@
 
 
 class EndpointBroken(Exception):
-    """The endpoint could not be reached, refused the request, or its stream broke off."""
+    """The endpoint was unreachable, rejected the request, or its stream was interrupted."""
 
 
 class SendForbidden(Exception):
-    """The check right before the send said no; no byte of the request's body was written."""
+    """The check right before the send failed; no byte of the request's body was written."""
 
 
 @dataclass(frozen=True, slots=True, kw_only=True)
 class EngineCall:
-    """One chat as it is sent to one engine."""
+    """One chat request to one engine."""
 
     url: str
     request_id: str
-    """Unique for each send, so that no two answers can be mistaken for each other."""
+    """Unique for each send, so that no two responses can be confused."""
     model: str
     messages: list[dict[str, Any]]
     max_tokens: int
@@ -51,45 +51,45 @@
     """Sends chats and cancels them."""
 
     def __init__(self) -> None:
-        self._cancels: set[asyncio.Task[None]] = set()
+        self._cancel_tasks: set[asyncio.Task[None]] = set()
 
     async def stream(
         self, call: EngineCall, *, before_send: Callable[[], None]
     ) -> AsyncIterator[list[Event]]:
-        """Send a chat and yield its events, those of one read together.
+        """Send a chat and yield its events, one list per read.
 
         Args:
-            call: What to send.
-            before_send: Called when the connection stands and nothing is written yet; it raises
+            call: The request to send.
+            before_send: Called when the connection is open and nothing is written yet; raises
                 `SendForbidden` to stop the send.
 
         Raises:
             EndpointBroken: The engine failed.
-            SendForbidden: ``before_send`` said no.
+            SendForbidden: ``before_send`` forbade the send.
         """
-        pieces: asyncio.Queue[bytes | None] = asyncio.Queue()
-        request = _make_request(call, pieces.put_nowait)
+        chunks: asyncio.Queue[bytes | None] = asyncio.Queue()
+        request = _build_request(call, chunks.put_nowait)
         fetch = SingleFetch(request=request, before_write=before_send)
         task = asyncio.ensure_future(fetch.run())
-        task.add_done_callback(lambda _: pieces.put_nowait(None))
+        task.add_done_callback(lambda _: chunks.put_nowait(None))
         decoder = EventDecoder()
         try:
-            while (piece := await pieces.get()) is not None:
-                if events := _decode(decoder, piece):
+            while (chunk := await chunks.get()) is not None:
+                if events := _decode(decoder, chunk):
                     yield events
             await _raise_failure(task)
         finally:
             if not task.done():
-                # The reader wants no more: close the connection and tell the engine as well,
+                # The consumer has stopped: close the connection and cancel the request explicitly,
                 # since an engine may notice a closed connection only at its next write.
                 task.add_done_callback(lambda done: done.cancelled() or done.exception())
                 fetch.abort()
-                self._cancel_soon(call)
+                self._schedule_cancel(call)
 
-    def _cancel_soon(self, call: EngineCall) -> None:
+    def _schedule_cancel(self, call: EngineCall) -> None:
         task = asyncio.ensure_future(_cancel(call))
-        self._cancels.add(task)
-        task.add_done_callback(self._cancels.discard)
+        self._cancel_tasks.add(task)
+        task.add_done_callback(self._cancel_tasks.discard)
 
 
 async def _cancel(call: EngineCall) -> None:
@@ -98,16 +98,20 @@
     try:
         await fetch_once(request)
     except (NotSent, AnswerLost) as error:
-        get_logger().debug("cancel failed: %s", error, extra={"request_id": call.request_id})
+        get_logger().debug(
+            "cancelling the request at the engine failed: %s",
+            error,
+            extra={"request_id": call.request_id},
+        )
 
 
-def _make_request(call: EngineCall, take: Callable[[bytes], None]) -> HTTPRequest:
+def _build_request(call: EngineCall, on_chunk: Callable[[bytes], None]) -> HTTPRequest:
     return HTTPRequest(
         f"{call.url}/v1/chat/completions",
         method="POST",
         headers={"Content-Type": "application/json", "X-Request-Id": call.request_id},
         body=_encode_call(call),
-        streaming_callback=take,
+        streaming_callback=on_chunk,
         connect_timeout=CONNECT_TIMEOUT_S,
         request_timeout=call.timeout_s,
     )
@@ -127,9 +131,9 @@
     return json.dumps(body).encode()
 
 
-def _decode(decoder: EventDecoder, piece: bytes) -> list[Event]:
+def _decode(decoder: EventDecoder, chunk: bytes) -> list[Event]:
     try:
-        return decoder.feed(piece)
+        return decoder.decode(chunk)
     except (EventTooLong, UnicodeDecodeError) as error:
         raise EndpointBroken(str(error)) from error
 
@@ -140,4 +144,4 @@
     except (NotSent, AnswerLost) as error:
         raise EndpointBroken(str(error)) from error
     if response.code != HTTPStatus.OK:
-        raise EndpointBroken(f"the engine answered with status {response.code}")
+        raise EndpointBroken(f"the engine responded with status {response.code}")
--- a/src/guavamast/errors.py
+++ b/src/guavamast/errors.py
@@ -6,18 +6,18 @@
 
 
 class Outcome(StrEnum):
-    """What is known of the work of a request that ended without its answer."""
+    """What is known about the work of a request that ended without a response."""
 
     NOT_RUN = "not_run"
-    """No endpoint received any byte of it."""
+    """No endpoint received any byte of the request."""
     OUTCOME_UNKNOWN = "outcome_unknown"
-    """It was sent, or may have been, and its result was not learnt."""
+    """The request was or may have been sent, and its result is unknown."""
     FAILED = "failed"
-    """It ran, or began to, and ended in an error."""
+    """The request ran, at least in part, and ended in an error."""
 
 
 class ErrorCode(StrEnum):
-    """The codes callers and operators see; ``docs/errors.md`` says what to do for each."""
+    """Error codes for callers and operators; ``docs/errors.md`` says how to handle each."""
 
     BAD_REQUEST = "bad_request"
     BODY_TOO_LARGE = "body_too_large"
@@ -55,8 +55,8 @@
     """Base of all errors that guavamast raises on purpose.
 
     Args:
-        code: What went wrong.
-        message: One sentence for a person.
+        code: The kind of error.
+        message: One human-readable sentence.
     """
 
     def __init__(self, code: ErrorCode, message: str) -> None:
@@ -66,10 +66,10 @@
 
 
 class Refusal(GuavamastError):
-    """The final answer to a request that gets no result.
+    """The final response to a request that gets no result.
 
-    A refusal with ``Outcome.NOT_RUN`` is made by `SendLatch.refuse` alone, so that the outcome
-    can't be claimed for a request of which a byte may have left this process.
+    Only `SendLatch.refuse` creates one with ``Outcome.NOT_RUN``, so a request of which a byte may
+    have left this process is never reported as not run.
     """
 
     def __init__(
@@ -90,9 +90,9 @@
 class SendLatch:
     """Records whether any byte of one request may have reached an endpoint.
 
-    Failure: a refusal says ``not_run`` although the call was sent, and the caller repeats it.
-    The latch can only be closed, never opened again, and it is closed before the first byte goes
-    out, so a crash or an error between the two errs towards ``outcome_unknown``.
+    Without it, a rejection could say ``not_run`` although the call was sent, and the caller would
+    retry it. The latch is set before the first byte is sent and is never reset, so a crash or an
+    error between the two yields ``outcome_unknown``.
     """
 
     __slots__ = ("_sent",)
@@ -102,11 +102,11 @@
 
     @property
     def sent(self) -> bool:
-        """Whether a send has begun."""
+        """Whether a send has started."""
         return self._sent
 
     def mark_sent(self) -> None:
-        """Close the latch; call right before the first byte is handed to the connection."""
+        """Set the latch; call right before the first byte is written to the connection."""
         self._sent = True
 
     def refuse(
@@ -117,16 +117,16 @@
         status: int,
         retry_after_s: float | None = None,
     ) -> Refusal:
-        """Make the refusal whose outcome this latch proves.
+        """Create the rejection with the outcome that this latch proves.
 
         Args:
-            code: What went wrong.
-            message: One sentence for a person.
+            code: The kind of error.
+            message: One human-readable sentence.
             status: HTTP status.
-            retry_after_s: Seconds after which asking again may help.
+            retry_after_s: Seconds after which a retry may succeed.
 
         Returns:
-            A refusal as ``not_run`` when nothing was sent, else as ``outcome_unknown``.
+            A rejection as ``not_run`` when nothing was sent, else as ``outcome_unknown``.
         """
         outcome = Outcome.OUTCOME_UNKNOWN if self._sent else Outcome.NOT_RUN
         return Refusal(code, message, status=status, outcome=outcome, retry_after_s=retry_after_s)
--- a/src/guavamast/event_stream.py
+++ b/src/guavamast/event_stream.py
@@ -1,4 +1,4 @@
-"""Server-sent events: the little of the format that chat answers use."""
+"""Server-sent events: the subset of the format that chat responses use."""
 
 from __future__ import annotations
 
@@ -7,9 +7,9 @@
 from typing import Any, Final
 
 DONE: Final = "[DONE]"
-"""Data of the event that ends a whole answer."""
+"""Data of the event that ends a complete response."""
 MAX_EVENT_BYTES: Final = 1_048_576
-"""Longest event that is taken from an endpoint."""
+"""Maximum size of an event from an endpoint."""
 
 
 class EventTooLong(ValueError):
@@ -25,21 +25,21 @@
 
 
 class EventDecoder:
-    """Turns the bytes of a stream into events, however they are cut into pieces."""
+    """Incremental decoder of a byte stream into events; chunk boundaries may fall anywhere."""
 
     __slots__ = ("_buffer",)
 
     def __init__(self) -> None:
         self._buffer = b""
 
-    def feed(self, piece: bytes) -> list[Event]:
-        """Return the events that are complete with this piece.
+    def decode(self, chunk: bytes) -> list[Event]:
+        """Return the events that this chunk completes.
 
         Raises:
-            EventTooLong: The stream holds an event that is too long to be one of ours.
+            EventTooLong: An event is longer than `MAX_EVENT_BYTES`.
             UnicodeDecodeError: The stream isn't UTF-8.
         """
-        self._buffer += piece
+        self._buffer += chunk
         *blocks, self._buffer = self._buffer.replace(b"\r\n", b"\n").split(b"\n\n")
         if len(self._buffer) > MAX_EVENT_BYTES:
             raise EventTooLong(f"an event is longer than {MAX_EVENT_BYTES} bytes")
@@ -60,11 +60,11 @@
 
 
 def encode_event(data: str, *, name: str = "") -> bytes:
-    """Return the bytes of one event whose data has no line break."""
+    """Encode one event whose data has no line break."""
     prefix = f"event: {name}\n" if name else ""
     return f"{prefix}data: {data}\n\n".encode()
 
 
 def encode_json_event(body: dict[str, Any], *, name: str = "") -> bytes:
-    """Return the bytes of one event with a JSON object as its data."""
+    """Encode one event with a JSON object as its data."""
     return encode_event(json.dumps(body, separators=(",", ":")), name=name)
--- a/src/guavamast/standins/__init__.py
+++ b/src/guavamast/standins/__init__.py
@@ -1,1 +1,1 @@
-"""Small stand-ins of the systems guavamast meets: platform, engine and service."""
+"""Stand-ins for the external systems that guavamast uses: platform, engine and service."""
--- a/src/guavamast/standins/faults.py
+++ b/src/guavamast/standins/faults.py
@@ -1,4 +1,4 @@
-"""Faults of the stand-ins, switched over ``POST /fault``."""
+"""Faults of the stand-ins, set by ``POST /fault``."""
 
 from __future__ import annotations
 
@@ -16,27 +16,27 @@
     until: float = float("inf")
     delay_s: float = 0.0
     cut: bool = False
-    """``down`` closes the connection without a word in place of a 503."""
+    """``down`` closes the connection instead of responding with 503."""
     ran: bool = False
-    """``crash`` cuts the connection after the run in place of before."""
+    """``crash`` closes the connection after the run instead of before it."""
     per_s: float = 0.0
-    """Requests a second that ``rate_limit`` still lets through."""
+    """Requests per second that ``rate_limit`` admits."""
     factor: float = 1.0
-    """How much slower ``straggle`` makes an engine."""
+    """Factor by which ``straggle`` slows an engine."""
     after_tokens: int = 0
-    """Tokens of a run that an engine still gets right."""
+    """Number of tokens of a run before an engine's fault sets in."""
 
     def is_active(self, kind: str, *, now: float) -> bool:
-        """Return whether this is a fault of that kind that has not ended."""
+        """Return whether this fault is of that kind and has not ended."""
         return self.kind == kind and now < self.until
 
 
-def read_fault(body: dict[str, Any], *, now: float) -> Fault:
+def parse_fault(body: dict[str, Any], *, now: float) -> Fault:
     """Return the fault that a request to ``/fault`` describes.
 
     Args:
         body: The request's JSON.
-        now: The present time.
+        now: The current time.
     """
     for_s = body.get("for_s")
     return Fault(
--- a/src/guavamast/standins/platform.py
+++ b/src/guavamast/standins/platform.py
@@ -1,4 +1,4 @@
-"""Stand-in of the platform: table service, object store and instance list."""
+"""Stand-in for the platform: table service, object store and instance list."""
 
 from __future__ import annotations
 
@@ -18,8 +18,8 @@
 class TableState:
     """The tables' rows.
 
-    A deleted row keeps its last version as a tombstone, so that a row written again continues to
-    count and an old version never fits a newer row.
+    A deleted row keeps its last version as a tombstone, so that versions continue to increase when
+    the row is written again, and an old version never matches a newer row.
     """
 
     __slots__ = ("_rows", "rows_written", "transactions")
@@ -29,7 +29,7 @@
         self.transactions = 0
         """Transactions that took effect since the start."""
         self.rows_written = 0
-        """Rows that they wrote."""
+        """Rows that these transactions wrote."""
 
     def read(self, table: str, key: str) -> Row:
         """Return a row, with version 0 and no value when it is absent."""
@@ -44,10 +44,10 @@
         return sorted((r for r in rows if r.key.startswith(prefix)), key=lambda row: row.key)
 
     def transact(self, checks: list[Check], writes: list[Write]) -> list[int]:
-        """Write all rows if all checks hold.
+        """Write all rows if all checks pass.
 
         Raises:
-            TransactionConflict: A check did not hold; nothing is written.
+            TransactionConflict: A check failed; nothing is written.
         """
         if any(self.read(c.table, c.key).version != c.version for c in checks):
             raise TransactionConflict
@@ -65,14 +65,14 @@
 
 @dataclass(frozen=True, slots=True, kw_only=True)
 class InstanceEvent:
-    """A change of the instance list and when it shows."""
+    """A change of the instance list and the time from which it is visible."""
 
     visible_at: float
     listed: ListedInstance
 
 
 class InstanceList:
-    """The list of instances, in which changes show after a lag."""
+    """The list of instances, in which changes become visible after a delay."""
 
     __slots__ = ("_events", "_lag_s")
 
@@ -81,11 +81,11 @@
         self._events: list[InstanceEvent] = []
 
     def register(self, listed: ListedInstance, *, now: float) -> None:
-        """Take a change in; state ``gone`` removes the instance."""
+        """Add a change; state ``gone`` removes the instance."""
         self._events.append(InstanceEvent(visible_at=now + self._lag_s, listed=listed))
 
     def list_visible(self, *, now: float) -> list[ListedInstance]:
-        """Return the instances as far as their changes show by now."""
+        """Return the instances according to the changes that are visible by now."""
         latest: dict[str, ListedInstance] = {}
         for event in self._events:
             if event.visible_at <= now:
@@ -94,7 +94,7 @@
 
 
 class RateLimit:
-    """Lets a number of requests a second through."""
+    """Admits a limited number of requests per second."""
 
     __slots__ = ("_second", "_used")
 
@@ -102,8 +102,8 @@
         self._second = 0
         self._used = 0
 
-    def try_take(self, per_s: float, *, now: float) -> bool:
-        """Return whether one more request fits this second."""
+    def try_acquire(self, per_s: float, *, now: float) -> bool:
+        """Count a request; return whether it is within the limit of this second."""
         if int(now) != self._second:
             self._second, self._used = int(now), 0
         self._used += 1
@@ -113,12 +113,12 @@
 class PlatformStandin(Standin):
     """The platform on one port.
 
-    Faults: ``down`` answers 503 (or cuts the connection, with ``"cut": true``) before any effect;
-    ``slow`` waits ``delay_s`` before the effect; ``lose_answers`` closes the connection after the
-    effect; ``rate_limit`` answers 429 beyond ``per_s`` requests a second.
+    Faults: ``down`` responds with 503 (or closes the connection, with ``"cut": true``) before any
+    effect; ``slow`` waits ``delay_s`` before the effect; ``lose_answers`` closes the connection
+    after the effect; ``rate_limit`` responds with 429 beyond ``per_s`` requests per second.
 
     Args:
-        instance_lag_s: Time after which a change of the instance list shows.
+        instance_lag_s: Time after which a change of the instance list becomes visible.
     """
 
     def __init__(self, *, instance_lag_s: float = 1.0) -> None:
@@ -128,8 +128,8 @@
         self.instances = InstanceList(lag_s=instance_lag_s)
         self.rate = RateLimit()
 
-    def make_application(self) -> Application:
-        """Return the handlers."""
+    def create_application(self) -> Application:
+        """Return the application."""
         arguments = {"standin": self}
         return Application(
             [
@@ -146,30 +146,30 @@
 
 
 class PlatformHandler(StandinHandler):
-    """Base of the handlers that faults apply to."""
+    """Base of the handlers that are subject to faults."""
 
     standin: PlatformStandin
 
-    async def serve(self, act: Callable[[], None]) -> None:
-        """Run a request's effect under the present fault."""
+    async def serve(self, effect: Callable[[], None]) -> None:
+        """Run a request's effect under the active fault."""
         if not self._admit():
             return
         await self.delay()
-        act()
+        effect()
         if self.standin.is_faulty("lose_answers"):
-            self.cut()
+            self.drop_connection()
 
     def _admit(self) -> bool:
         standin = self.standin
         if standin.is_faulty("down"):
             if standin.fault.cut:
-                self.cut()
+                self.drop_connection()
             else:
                 self.set_status(503)
                 self.set_header("Retry-After", "1")
             return False
         limited = standin.is_faulty("rate_limit")
-        if limited and not standin.rate.try_take(standin.fault.per_s, now=time.monotonic()):
+        if limited and not standin.rate.try_acquire(standin.fault.per_s, now=time.monotonic()):
             self.set_status(429)
             self.set_header("Retry-After", "1")
             return False
@@ -180,7 +180,7 @@
     """Transactions over rows."""
 
     def post(self) -> Awaitable[None]:
-        """Write all rows if all checks hold, else answer 409."""
+        """Write all rows if all checks pass, else respond with 409."""
         return self.serve(self._transact)
 
     def _transact(self) -> None:
@@ -198,23 +198,23 @@
     """Reads of one row."""
 
     def get(self, table: str, key: str) -> Awaitable[None]:
-        """Answer the row; an absent one has version 0."""
-        return self.serve(lambda: self._answer(table, key))
+        """Respond with the row; an absent one has version 0."""
+        return self.serve(lambda: self._respond(table, key))
 
-    def _answer(self, table: str, key: str) -> None:
-        self.write(show_row(self.standin.tables.read(table, key)))
+    def _respond(self, table: str, key: str) -> None:
+        self.write(format_row(self.standin.tables.read(table, key)))
 
 
 class ScanHandler(PlatformHandler):
     """Scans of one table."""
 
     def get(self, table: str) -> Awaitable[None]:
-        """Answer the rows whose key has the prefix."""
-        return self.serve(lambda: self._answer(table))
+        """Respond with the rows whose key has the prefix."""
+        return self.serve(lambda: self._respond(table))
 
-    def _answer(self, table: str) -> None:
+    def _respond(self, table: str) -> None:
         rows = self.standin.tables.scan(table, self.get_query_argument("prefix", "", strip=False))
-        self.write({"rows": [show_row(row) for row in rows]})
+        self.write({"rows": [format_row(row) for row in rows]})
 
 
 class ObjectHandler(PlatformHandler):
@@ -225,14 +225,14 @@
         return self.serve(lambda: self._store(name))
 
     def get(self, name: str) -> Awaitable[None]:
-        """Answer an object, or 404."""
-        return self.serve(lambda: self._answer(name))
+        """Respond with an object, or with 404."""
+        return self.serve(lambda: self._respond(name))
 
     def _store(self, name: str) -> None:
         self.standin.objects[name] = self.request.body
         self.write({})
 
-    def _answer(self, name: str) -> None:
+    def _respond(self, name: str) -> None:
         body = self.standin.objects.get(name)
         if body is None:
             self.set_status(404)
@@ -245,16 +245,16 @@
     """The list of instances."""
 
     def get(self) -> Awaitable[None]:
-        """Answer the instances that show by now."""
-        return self.serve(self._answer)
+        """Respond with the instances that are visible by now."""
+        return self.serve(self._respond)
 
     def post(self) -> Awaitable[None]:
         """Register an instance or a change of its state."""
         return self.serve(self._register)
 
-    def _answer(self) -> None:
+    def _respond(self) -> None:
         listed = self.standin.instances.list_visible(now=time.monotonic())
-        self.write({"instances": [show_instance(instance) for instance in listed]})
+        self.write({"instances": [format_instance(instance) for instance in listed]})
 
     def _register(self) -> None:
         self.standin.instances.register(ListedInstance(**self.read_json()), now=time.monotonic())
@@ -262,21 +262,21 @@
 
 
 class CountsHandler(StandinHandler):
-    """Shows what the tables have taken, for measurements."""
+    """Reports counts of transactions and rows, for measurements."""
 
     standin: PlatformStandin
 
     def get(self) -> None:
-        """Answer the counts since the start."""
+        """Respond with the counts since the start."""
         tables = self.standin.tables
         self.write({"transactions": tables.transactions, "rows_written": tables.rows_written})
 
 
-def show_row(row: Row) -> dict[str, Any]:
-    """Return a row's JSON."""
+def format_row(row: Row) -> dict[str, Any]:
+    """Return the JSON object of a row."""
     return {"key": row.key, "version": row.version, "value": row.value}
 
 
-def show_instance(listed: ListedInstance) -> dict[str, str]:
-    """Return a listed instance's JSON."""
+def format_instance(listed: ListedInstance) -> dict[str, str]:
+    """Return the JSON object of a listed instance."""
     return {"name": listed.name, "state": listed.state, "peer_address": listed.peer_address}
--- a/src/guavamast/standins/service.py
+++ b/src/guavamast/standins/service.py
@@ -1,4 +1,4 @@
-"""Stand-in of a plain service, which runs whatever it is sent and counts the runs."""
+"""Stand-in for a plain service, which runs every call and counts the runs."""
 
 from __future__ import annotations
 
@@ -14,7 +14,7 @@
 
 
 class RunLog:
-    """Counts the runs of each key; a second one of the same key shows."""
+    """Counts the runs of each key, so that a second run of a key is detected."""
 
     __slots__ = ("runs", "total")
 
@@ -37,16 +37,16 @@
 class ServiceStandin(Standin):
     """A plain service on one port.
 
-    Faults: ``slow`` answers ``delay_s`` after the run; ``lose_answers`` closes the connection after
-    the run; ``crash`` closes it before the run, or after it with ``"ran": true``.
+    Faults: ``slow`` responds ``delay_s`` after the run; ``lose_answers`` closes the connection
+    after the run; ``crash`` closes it before the run, or after it with ``"ran": true``.
     """
 
     def __init__(self) -> None:
         super().__init__()
         self.log = RunLog()
 
-    def make_application(self) -> Application:
-        """Return the handlers."""
+    def create_application(self) -> Application:
+        """Return the application."""
         arguments = {"standin": self}
         return Application(
             [
@@ -64,19 +64,19 @@
     standin: ServiceStandin
 
     async def post(self, call: str) -> None:
-        """Run the call and answer its number and body."""
+        """Run the call and respond with the number of the run and the body."""
         body = self.read_json()
         if self.standin.is_faulty("crash") and not self.standin.fault.ran:
-            self.cut()
+            self.drop_connection()
             return
         run = self.standin.log.record(self.request.headers.get("Idempotency-Key", ""))
         await self.delay()
         if self.standin.is_faulty("lose_answers") or self.standin.is_faulty("crash"):
-            self.cut()
+            self.drop_connection()
             return
-        self._answer(call, run, body)
+        self._respond(call, run, body)
 
-    def _answer(self, call: str, run: int, body: Any) -> None:
+    def _respond(self, call: str, run: int, body: Any) -> None:
         request_id = self.request.headers.get("X-Request-Id")
         if request_id is not None:
             self.set_header("X-Request-Id", request_id)
@@ -84,10 +84,10 @@
 
 
 class RunsHandler(StandinHandler):
-    """Shows the runs."""
+    """Reports the runs."""
 
     standin: ServiceStandin
 
     def get(self) -> None:
-        """Answer the number of runs of each key."""
+        """Respond with the number of runs of each key."""
         self.write({"runs": dict(self.standin.log.runs)})
--- a/tests/__init__.py
+++ b/tests/__init__.py
@@ -1,4 +1,4 @@
-"""Tests of guavamast; hypothesis runs derandomized so that each run gives one verdict."""
+"""Tests of guavamast; hypothesis runs derandomized by default so that results are reproducible."""
 
 from __future__ import annotations
 
--- a/tests/_callers.py
+++ b/tests/_callers.py
@@ -1,4 +1,4 @@
-"""A caller's side of the entry's HTTP interface."""
+"""Client of the entry's HTTP interface for callers."""
 
 from __future__ import annotations
 
@@ -11,7 +11,7 @@
 
 from guavamast.event_stream import DONE, EventDecoder
 from guavamast.local_fleet import CALLER_KEY
-from guavamast.standins.engine import MAX_TOKENS, make_answer
+from guavamast.standins.engine import MAX_TOKENS, generate_response
 
 if TYPE_CHECKING:
     from tornado.iostream import IOStream
@@ -19,18 +19,18 @@
 
 @dataclass(frozen=True, slots=True, kw_only=True)
 class StreamedAnswer:
-    """What a caller got of a streamed chat."""
+    """What a caller received of a streamed chat."""
 
     status: int
     text: str
     ended: bool
-    """Whether the end mark came."""
+    """Whether the ``[DONE]`` event was received."""
     error: dict[str, Any] | None
 
 
 def expect_answer(prompt: str) -> str:
-    """Return the one right answer of the stand-in engines."""
-    return "".join(make_answer(model="small", prompt=prompt, max_tokens=MAX_TOKENS))
+    """Return the only correct response of the stand-in engines."""
+    return "".join(generate_response(model="small", prompt=prompt, max_tokens=MAX_TOKENS))
 
 
 class Caller:
@@ -48,11 +48,11 @@
         self._streams: list[IOStream] = []
         connect = self._client.tcp_client.connect
 
-        async def connect_and_note(*args: Any, **kwargs: Any) -> IOStream:
+        async def connect_and_record(*args: Any, **kwargs: Any) -> IOStream:
             self._streams.append(await connect(*args, **kwargs))
             return self._streams[-1]
 
-        self._client.tcp_client.connect = connect_and_note
+        self._client.tcp_client.connect = connect_and_record
 
     async def fetch(
         self,
@@ -63,7 +63,7 @@
         headers: dict[str, str] | None = None,
         timeout_s: float = 60.0,
     ) -> HTTPResponse:
-        """Send one request; answers of any status are returned."""
+        """Send one request; return responses of any status."""
         request = HTTPRequest(
             f"{self.url}{path}",
             method=method,
@@ -80,15 +80,15 @@
             stream.close()
 
     async def chat(self, prompt: str, **headers: str) -> HTTPResponse:
-        """Send one plain chat."""
+        """Send one chat that is not streamed."""
         return await self.fetch(
-            "/v1/chat/completions", body=make_body(prompt, stream=False), headers=headers
+            "/v1/chat/completions", body=build_chat_body(prompt, stream=False), headers=headers
         )
 
     async def stream(self, prompt: str, headers: dict[str, str] | None = None) -> StreamedAnswer:
-        """Send one streamed chat and read it to its end."""
+        """Send one streamed chat and read the response to its end."""
         response = await self.fetch(
-            "/v1/chat/completions", body=make_body(prompt, stream=True), headers=headers
+            "/v1/chat/completions", body=build_chat_body(prompt, stream=True), headers=headers
         )
         return read_stream(response)
 
@@ -102,26 +102,26 @@
         )
 
 
-def make_body(prompt: str, *, stream: bool) -> bytes:
+def build_chat_body(prompt: str, *, stream: bool) -> bytes:
     """Return the body of a chat."""
     messages = [{"role": "user", "content": prompt}]
     return json.dumps({"model": "small", "messages": messages, "stream": stream}).encode()
 
 
 def read_error(response: HTTPResponse) -> dict[str, Any]:
-    """Return the coded error of an answer."""
+    """Return the error object of a response."""
     return json.loads(response.body)["error"]
 
 
 def read_stream(response: HTTPResponse) -> StreamedAnswer:
-    """Return what an answer's events say."""
+    """Parse the events of a response."""
     text = ""
     ended = False
     error = None
     if response.headers.get("Content-Type", "") != "text/event-stream":
         error = read_error(response) if response.body else {"code": "none"}
         return StreamedAnswer(status=response.code, text="", ended=False, error=error)
-    for event in EventDecoder().feed(response.body):
+    for event in EventDecoder().decode(response.body):
         if event.data == DONE:
             ended = True
         elif event.name == "error":
--- a/tests/test_caller_input.py
+++ b/tests/test_caller_input.py
@@ -1,4 +1,4 @@
-"""Tests of reading callers' input: whatever comes, it is taken or refused with a code."""
+"""Tests of parsing callers' input: any input is accepted or rejected with a code."""
 
 from __future__ import annotations
 
@@ -25,9 +25,9 @@
 
 
 class CallerInputTest(unittest.TestCase):
-    """Bad input ends in a refusal as not run, never in another exception."""
+    """Invalid input raises a rejection as not run, never another exception."""
 
-    def check_refused_or_taken(self, body: bytes) -> None:
+    def check_rejected_or_parsed(self, body: bytes) -> None:
         try:
             parsed = parse_chat_body(body)
         except Refusal as refusal:
@@ -39,18 +39,18 @@
 
     @given(body=st.binary())
     def test_any_bytes(self, body: bytes) -> None:
-        self.check_refused_or_taken(body)
+        self.check_rejected_or_parsed(body)
 
     @given(body=st.dictionaries(FIELDS, JSON))
     def test_any_object(self, body: dict) -> None:
-        self.check_refused_or_taken(json.dumps(body).encode())
+        self.check_rejected_or_parsed(json.dumps(body).encode())
 
     @given(message=st.dictionaries(FIELDS, JSON), content=st.text())
     def test_any_message(self, message: dict, content: str) -> None:
         message.setdefault("role", "user")
         message.setdefault("content", content)
         body = {"model": "m", "messages": [message]}
-        self.check_refused_or_taken(json.dumps(body).encode())
+        self.check_rejected_or_parsed(json.dumps(body).encode())
 
     @given(header=st.text())
     def test_any_header(self, header: str) -> None:
@@ -66,7 +66,8 @@
         return parse_label(header, name="X-Request-Id", longest=128)
 
     def test_lone_surrogate_is_refused(self) -> None:
-        # JSON can name half a character; sent on as it is, it fails deep inside with no code.
+        # JSON can escape a lone surrogate, which UTF-8 can't encode. Unless it is rejected here, it
+        # causes an error without a code later on.
         body = b'{"model":"m","messages":[{"role":"user","content":"\\ud800"}]}'
         with self.assertRaises(Refusal):
             parse_chat_body(body)
--- a/tests/test_chats.py
+++ b/tests/test_chats.py
@@ -1,4 +1,4 @@
-"""Tests of chats over a whole fleet in one process, with real sockets."""
+"""Tests of chats with a whole fleet in one process, over real sockets."""
 
 from __future__ import annotations
 
@@ -15,7 +15,7 @@
 from tests._waits import wait_until
 
 LONG_TIMEOUT_MS = "3600000"
-"""A deadline that no machine is too slow for."""
+"""A timeout that even a slow machine never reaches."""
 
 
 class FleetTest(unittest.IsolatedAsyncioTestCase):
@@ -27,7 +27,7 @@
     token_interval_s = 0.001
 
     async def asyncSetUp(self) -> None:
-        # The test case switches the loop's debug mode on, which makes it several times slower.
+        # The test case turns on the loop's debug mode, which makes the loop several times slower.
         asyncio.get_running_loop().set_debug(False)
         self.fleet = LocalFleet(
             instances=self.instances,
@@ -62,10 +62,10 @@
 
     async def test_many_concurrent_streams_get_their_own_answers(self) -> None:
         prompts = [f"prompt number {number}" for number in range(200)]
-        # With the class's own deadline some are refused, truthfully, where the machine is slow.
+        # With the deadline of the class, a slow machine rightly rejects some of the requests.
         headers = {"X-Request-Timeout-Ms": LONG_TIMEOUT_MS}
-        asking = (self.caller.stream(prompt, headers=headers) for prompt in prompts)
-        answers = await asyncio.gather(*asking)
+        requests = (self.caller.stream(prompt, headers=headers) for prompt in prompts)
+        answers = await asyncio.gather(*requests)
         for prompt, answer in zip(prompts, answers, strict=True):
             self.assertEqual(answer.text, expect_answer(prompt), answer.error)
             self.assertTrue(answer.ended)
@@ -101,8 +101,8 @@
             self.assertEqual(response.code, 200, path)
 
     async def test_endpoint_that_leaves_gets_no_new_work(self) -> None:
-        # The caller sees whole answers all along. An engine is set to leave while chats run on it;
-        # these finish, and the entry's check before the send keeps all later ones away from it.
+        # An engine is set to leave while chats run on it. These finish, and the entry's check
+        # before the send keeps later ones away from it. All responses are complete.
         running = [asyncio.ensure_future(self.caller.stream(f"r{i}")) for i in range(20)]
         await wait_until(lambda: len(self.fleet.engines[0].state.runs) > 0)
         text = self.fleet.make_text(leaving=frozenset({"engine-0"}))
@@ -127,11 +127,11 @@
 
 
 class EndOfProcessTest(FleetTest):
-    """A request that is just coming in when its entry's process ends."""
+    """A request that is being received when its entry's process ends."""
 
     async def test_request_without_its_body_is_refused_as_not_run(self) -> None:
-        # The head has come, the body has not, and the loop ends: asyncio cancels the handler. The
-        # caller is told that nothing has run, so that it asks another instance.
+        # The loop ends after the head and before the body: asyncio cancels the handler. The caller
+        # is told that nothing has run, so that it retries at another instance.
         host, port = self.fleet.entries[0].address.split(":")
         reader, writer = await asyncio.open_connection(host, int(port))
         writer.write(b"POST /v1/chat/completions HTTP/1.1\r\nHost: x\r\nContent-Length: 9\r\n\r\n")
@@ -152,28 +152,28 @@
 
 
 class PausedEntryTest(FleetTest):
-    """An entry that was paused."""
+    """An entry whose process was paused."""
 
     async def test_nothing_is_sent_until_the_pause_is_digested(self) -> None:
-        # The entry was frozen between the grant and the send. The caller waits a moment longer:
-        # nothing reaches an engine until the loop has taken in what changed meanwhile.
+        # The entry is paused between the grant and the send. Nothing may reach an engine until the
+        # loop has applied the updates of the meantime; the caller only waits longer.
         pauses = SimpleNamespace(is_settled=lambda now: False)  # noqa: ARG005
         chats = self.fleet.entries[0].services.chats
-        awake, chats._pauses = chats._pauses, pauses
+        real_pauses, chats._pauses = chats._pauses, pauses
         answer = asyncio.ensure_future(self.caller.stream("paused"))
         await asyncio.sleep(0.5)
         self.assertEqual(self.list_runs(), [])
-        chats._pauses = awake
+        chats._pauses = real_pauses
         self.assertEqual((await answer).text, expect_answer("paused"))
 
 
 class EngineFailureTest(FleetTest):
-    """One of two engines fails in each way there is."""
+    """One of two engines fails, with each fault in turn."""
 
     token_interval_s = 0.003
 
-    async def check_spoilt(self, kind: str) -> None:
-        """Check that every caller gets the whole, right answer or an explicit error."""
+    async def check_corrupted_stream(self, kind: str) -> None:
+        """Check that every caller gets the complete, correct response or an explicit error."""
         for engine in self.fleet.engines[:1]:
             engine.fault = Fault(kind=kind, after_tokens=3)
         prompts = [f"{kind} {number}" for number in range(12)]
@@ -188,25 +188,25 @@
         self.assertEqual(self.count_in_flight(), 0)
 
     async def test_cut_stream_is_resumed_or_ended_with_an_error(self) -> None:
-        # The engine closes its stream after three tokens. The entry resumes from these on the other
-        # engine within its retry budget; else the caller sees an error event and no end mark.
-        await self.check_spoilt("cut")
+        # The engine closes its stream after three tokens. The entry resumes from there on the other
+        # engine within its retry budget; else the caller gets an error event and no [DONE] event.
+        await self.check_corrupted_stream("cut")
 
     async def test_crossed_answer_is_never_passed_on(self) -> None:
-        # After three tokens the engine sends chunks of another request. The id on the chunk is not
-        # this send's, so nothing of it reaches the caller.
-        await self.check_spoilt("cross")
+        # After three tokens the engine sends chunks of another request. Their id is not that of
+        # this send, so none of their text reaches the caller.
+        await self.check_corrupted_stream("cross")
 
     async def test_garbled_answer_is_never_passed_on(self) -> None:
-        # After three tokens the text is wrong. The chunk's checksum over all text up to it fails.
-        await self.check_spoilt("garble")
+        # After three tokens the text is wrong, so the checksum over all text up to it fails.
+        await self.check_corrupted_stream("garble")
 
     async def test_repeated_chunk_is_never_passed_on(self) -> None:
-        # After three tokens a chunk comes twice. Its index is not the next one.
-        await self.check_spoilt("repeat")
+        # After three tokens a chunk is sent twice. Its index is not the expected one.
+        await self.check_corrupted_stream("repeat")
 
     async def test_crashed_engine_is_left_for_the_other(self) -> None:
-        # The engine refuses everything. The caller sees a whole answer from the other one.
+        # One engine rejects all requests. The caller gets a complete response from the other one.
         self.fleet.engines[0].fault = Fault(kind="crash")
         for number in range(6):
             answer = await self.caller.stream(f"c{number}")
@@ -214,15 +214,15 @@
 
 
 class CallerGoneTest(FleetTest):
-    """Callers that go away."""
+    """Callers that disconnect."""
 
     engines = 1
     slots = 1
     token_interval_s = 0.05
 
     async def test_work_is_cancelled_and_its_slot_released(self) -> None:
-        # A caller closes its connection in mid-answer. The engine's run is cancelled and the only
-        # slot is free again, so that the next caller is served at once.
+        # A caller disconnects during the response. The engine's run is cancelled and the only slot
+        # is released, so that the next caller is served at once.
         engine: EngineStandin = self.fleet.engines[0]
         host, port = self.fleet.entries[0].address.split(":")
         reader, writer = await asyncio.open_connection(host, int(port))
@@ -239,8 +239,8 @@
         self.assertEqual((await self.caller.stream("next")).text, expect_answer("next"))
 
     async def test_caller_that_goes_while_it_waits_leaves_the_queue(self) -> None:
-        # One caller holds the only slot, a second one waits and closes its connection. Its ask is
-        # withdrawn at once, though no token will ever come to show that it has gone.
+        # One caller holds the only slot; a second one is queued and disconnects. Its ask must be
+        # withdrawn at once, although no write of a token reveals the disconnect.
         running = asyncio.ensure_future(self.caller.stream("tokens=100;first"))
         await wait_until(lambda: self.count_in_flight() == 1)
         waiting = Caller(url=self.fleet.url)
--- a/tests/test_endpoint_sender.py
+++ b/tests/test_endpoint_sender.py
@@ -1,4 +1,4 @@
-"""Tests of what is taken for the answer of a call."""
+"""Tests of which responses are accepted for a call."""
 
 from __future__ import annotations
 
@@ -10,7 +10,7 @@
 
 
 class EndpointSenderTest(unittest.IsolatedAsyncioTestCase):
-    """An answer that names another request is never passed on."""
+    """A response that names another request is never forwarded."""
 
     async def send(self, request_id_header: str) -> bytes:
         server = RawServer(
@@ -32,7 +32,7 @@
         return answer.body
 
     async def test_answer_of_another_request(self) -> None:
-        # The endpoint crosses two calls' answers; a caller would read another's settlement.
+        # The endpoint mixes up the responses of two calls; a caller would get that of another.
         self.assertEqual(await self.send("X-Request-Id: mine\r\n"), b"ok")
         self.assertEqual(await self.send(""), b"ok")
         self.assertTrue(self.sent.startswith(b"POST /calls/pay%20now%2F%C3%B6 HTTP/1.1\r\n"))
--- a/tests/test_operations_page.py
+++ b/tests/test_operations_page.py
@@ -1,4 +1,4 @@
-"""Tests that the page on explaining failed requests names events, fields and metrics that exist."""
+"""Tests that the page on diagnosing failed requests names existing events, fields and metrics."""
 
 from __future__ import annotations
 
@@ -18,7 +18,7 @@
 
 
 class OperationsPageTest(unittest.TestCase):
-    """What an engineer on call searches for is what the processes write."""
+    """The names that an on-call engineer searches for are those that the processes write."""
 
     def setUp(self) -> None:
         self.source = read_source()
--- a/tests/test_pages.py
+++ b/tests/test_pages.py
@@ -1,4 +1,4 @@
-"""Tests that the operators' pages name every code and key."""
+"""Tests that the operators' documentation lists every code and key."""
 
 from __future__ import annotations
 
@@ -17,7 +17,7 @@
 
 
 class PagesTest(unittest.TestCase):
-    """Nothing that an operator can meet is missing from the pages."""
+    """Every code and setting that an operator can encounter is documented."""
 
     def test_settings_page_is_that_of_the_schemas(self) -> None:
         message = "run python -m tools.settings_page"
@@ -27,7 +27,7 @@
         text = (DOCS / "errors.md").read_text(encoding="utf-8")
         rows = re.findall(r"^\| `([a-z_]+)` \|", text, flags=re.MULTILINE)
         codes = [*Outcome, *ErrorCode, *FindingCode, *WarningCode]
-        # outcome_unknown is an outcome and a code of its own.
+        # outcome_unknown is both an outcome and a code, so it is counted twice.
         self.assertEqual(sorted(rows), sorted(map(str, codes)))
 
     def test_every_proof_named_exists(self) -> None:
--- a/tests/test_run_tests.py
+++ b/tests/test_run_tests.py
@@ -1,4 +1,4 @@
-"""Tests of the verdict of the test runner."""
+"""Tests of how the test runner judges a run."""
 
 from __future__ import annotations
 
@@ -8,7 +8,7 @@
 
 
 class JudgeTest(unittest.TestCase):
-    """Only failures that are listed are passed over."""
+    """Only failures that are listed as known are tolerated."""
 
     def test_listed_failure_is_passed_over_and_others_are_not(self) -> None:
         known = {"a": "a | cause | issue"}
--- a/tests/test_standins.py
+++ b/tests/test_standins.py
@@ -1,4 +1,4 @@
-"""Tests of the service stand-in; the platform's is tested through its client."""
+"""Tests of the service stand-in; that of the platform is tested through its client."""
 
 from __future__ import annotations
 
@@ -13,7 +13,7 @@
 
 
 class ServiceStandinTest(unittest.IsolatedAsyncioTestCase):
-    """The stand-in runs whatever arrives and shows it."""
+    """The stand-in runs every call that arrives and counts the runs."""
 
     async def call(self, key: str) -> dict:
         request = HTTPRequest(
