--- a/src/guavamast/callers.py
+++ b/src/guavamast/callers.py
@@ -29,7 +29,7 @@
     from guavamast.entry_state import EntryState
     from guavamast.limit_gate import LimitGate
     from guavamast.metrics import Metrics
-    from guavamast.world import Organisation, ServiceClass
+    from guavamast.fleet_objects import Organisation, ServiceClass
 
 NO_CONFIGURATION_RETRY_S: Final = 2.0
 LEAVING_RETRY_S: Final = 1.0
--- a/src/guavamast/chats.py
+++ b/src/guavamast/chats.py
@@ -13,7 +13,7 @@
 from guavamast.errors import ErrorCode, Outcome, Refusal, SendLatch
 from guavamast.log import get_logger
 from guavamast.retries import compute_backoff
-from guavamast.slot_finder import SlotWish
+from guavamast.slot_finder import SlotRequirements
 from guavamast.slots import Release
 
 if TYPE_CHECKING:
@@ -27,11 +27,11 @@
     from guavamast.event_stream import Event
     from guavamast.metrics import Metrics
     from guavamast.retries import RetryBudget
-    from guavamast.send_gates import PauseWatch
+    from guavamast.send_gates import PauseDetector
     from guavamast.slot_finder import SlotFinder
-    from guavamast.slot_holds import SlotHold
+    from guavamast.slot_hold import SlotHold
     from guavamast.slot_links import SlotLinks
-    from guavamast.world import Organisation, ServiceClass
+    from guavamast.fleet_objects import Organisation, ServiceClass
 
 STALL_S: Final = 10.0
 """Idle time within a response after which an engine counts as failed."""
@@ -127,7 +127,7 @@
         links: SlotLinks,
         engines: EngineClient,
         budget: RetryBudget,
-        pauses: PauseWatch,
+        pauses: PauseDetector,
         random: random.Random,
         clock: Callable[[], float],
         metrics: Metrics,
@@ -169,8 +169,8 @@
                     raise _reject_failed(ErrorCode.DEADLINE_EXCEEDED, progress, latch, status=504)
                 await asyncio.sleep(FORBIDDEN_RETRY_DELAY_S)
 
-    def _build_wish(self, chat: Chat) -> SlotWish:
-        return SlotWish(
+    def _build_wish(self, chat: Chat) -> SlotRequirements:
+        return SlotRequirements(
             organisation=chat.organisation.name,
             class_name=chat.service_class.name,
             tier=chat.service_class.tier,
@@ -182,7 +182,9 @@
             max_tokens=chat.body.max_tokens,
         )
 
-    async def _find_slot(self, wish: SlotWish, latch: SendLatch, progress: _Progress) -> SlotHold:
+    async def _find_slot(
+        self, wish: SlotRequirements, latch: SendLatch, progress: _Progress
+    ) -> SlotHold:
         try:
             return await self._finder.find(wish, latch)
         except Refusal as refusal:
--- a/src/guavamast/endpoint_sender.py
+++ b/src/guavamast/endpoint_sender.py
@@ -10,8 +10,8 @@
 from tornado.httpclient import HTTPRequest
 from tornado.httputil import HTTPHeaders
 
-from guavamast.operations import Answer
-from guavamast.single_fetch import AnswerLost, fetch_once
+from guavamast.operations import Response
+from guavamast.at_most_once_fetch import AnswerLost, fetch_once
 
 if TYPE_CHECKING:
     from collections.abc import Callable
@@ -43,7 +43,7 @@
     """Sends a call to an endpoint, at most once."""
 
     @abstractmethod
-    async def send(self, call: EndpointCall, *, before_write: Callable[[], None]) -> Answer:
+    async def send(self, call: EndpointCall, *, before_write: Callable[[], None]) -> Response:
         """Send a call and return its complete response.
 
         Args:
@@ -62,7 +62,7 @@
 
     __slots__ = ()
 
-    async def send(self, call: EndpointCall, *, before_write: Callable[[], None]) -> Answer:
+    async def send(self, call: EndpointCall, *, before_write: Callable[[], None]) -> Response:
         """Send a call and return its complete response."""
         request = HTTPRequest(
             f"{call.url.rstrip('/')}/calls/{quote(call.call, safe='')}",
@@ -75,7 +75,7 @@
         response = await fetch_once(request, before_write=before_write)
         _check_request_id(response, call)
         content_type = response.headers.get("Content-Type", "application/octet-stream")
-        return Answer(status=response.code, content_type=content_type, body=response.body)
+        return Response(status=response.code, content_type=content_type, body=response.body)
 
 
 def _build_headers(call: EndpointCall) -> HTTPHeaders:
--- a/src/guavamast/engine_client.py
+++ b/src/guavamast/engine_client.py
@@ -12,7 +12,7 @@
 
 from guavamast.event_stream import Event, EventDecoder, EventTooLong
 from guavamast.log import get_logger
-from guavamast.single_fetch import AnswerLost, NotSent, SingleFetch, fetch_once
+from guavamast.at_most_once_fetch import AnswerLost, NotSent, AtMostOnceFetch, fetch_once
 
 if TYPE_CHECKING:
     from collections.abc import AsyncIterator, Callable
@@ -69,7 +69,7 @@
         """
         chunks: asyncio.Queue[bytes | None] = asyncio.Queue()
         request = _build_request(call, chunks.put_nowait)
-        fetch = SingleFetch(request=request, before_write=before_send)
+        fetch = AtMostOnceFetch(request=request, before_write=before_send)
         task = asyncio.ensure_future(fetch.run())
         task.add_done_callback(lambda _: chunks.put_nowait(None))
         decoder = EventDecoder()
--- a/src/guavamast/platform_http.py
+++ b/src/guavamast/platform_http.py
@@ -16,7 +16,7 @@
     Row,
     TransactionConflict,
 )
-from guavamast.single_fetch import AnswerLost, NotSent, fetch_once
+from guavamast.at_most_once_fetch import AnswerLost, NotSent, fetch_once
 
 if TYPE_CHECKING:
     from tornado.httpclient import HTTPResponse
--- a/tests/test_chats.py
+++ b/tests/test_chats.py
@@ -7,7 +7,7 @@
 import unittest
 from types import SimpleNamespace
 
-from guavamast.demo import confirm_text
+from guavamast.demo import apply_configuration
 from guavamast.local_fleet import OPERATOR_TOKEN, LocalFleet
 from guavamast.standins.engine import EngineStandin, RunState
 from guavamast.standins.faults import Fault
@@ -37,7 +37,7 @@
         )
         await self.fleet.start()
         self.addAsyncCleanup(self.fleet.close)
-        version = await confirm_text(self.fleet.url, self.fleet.make_text())
+        version = await apply_configuration(self.fleet.url, self.fleet.make_text())
         await self.fleet.wait_for_version(version)
         self.caller = Caller(url=self.fleet.url)
 
@@ -45,7 +45,7 @@
         return [run for engine in self.fleet.engines for run in engine.state.runs]
 
     def count_in_flight(self) -> int:
-        return sum(entry.links.count_holds() for entry in self.fleet.entries)
+        return sum(entry.links.count_open_asks() for entry in self.fleet.entries)
 
 
 class ChatTest(FleetTest):
@@ -106,7 +106,7 @@
         running = [asyncio.ensure_future(self.caller.stream(f"r{i}")) for i in range(20)]
         await wait_until(lambda: len(self.fleet.engines[0].state.runs) > 0)
         text = self.fleet.make_text(leaving=frozenset({"engine-0"}))
-        version = await confirm_text(self.fleet.url, text)
+        version = await apply_configuration(self.fleet.url, text)
         await self.fleet.wait_for_version(version)
         before = len(self.fleet.engines[0].state.runs)
         for number, answer in enumerate(await asyncio.gather(*running)):
--- a/tests/test_endpoint_sender.py
+++ b/tests/test_endpoint_sender.py
@@ -5,8 +5,8 @@
 import unittest
 
 from guavamast.endpoint_sender import EndpointCall, HttpEndpointSender
-from guavamast.single_fetch import AnswerLost, do_nothing
-from tests.test_single_fetch import RawServer
+from guavamast.at_most_once_fetch import AnswerLost, do_nothing
+from tests.test_at_most_once_fetch import RawServer
 
 
 class EndpointSenderTest(unittest.IsolatedAsyncioTestCase):
--- a/tests/test_standins.py
+++ b/tests/test_standins.py
@@ -7,7 +7,7 @@
 
 from tornado.httpclient import HTTPRequest
 
-from guavamast.single_fetch import AnswerLost, fetch_once
+from guavamast.at_most_once_fetch import AnswerLost, fetch_once
 from guavamast.standins.faults import Fault
 from guavamast.standins.service import ServiceStandin
 
