--- a/tests/test_endpoint_sender.py
+++ b/tests/test_endpoint_sender.py
@@ -1,4 +1,4 @@
-"""Tests of what is taken for the answer of a call."""
+"""Tests of which responses are accepted for a call."""
 
 from __future__ import annotations
 
@@ -6,11 +6,12 @@
 
 from guavamast.at_most_once_fetch import AnswerLost, do_nothing
 from guavamast.endpoint_sender import EndpointCall, HttpEndpointSender
+from guavamast.at_most_once_fetch import AnswerLost, do_nothing
 from tests.test_at_most_once_fetch import RawServer
 
 
 class EndpointSenderTest(unittest.IsolatedAsyncioTestCase):
-    """An answer that names another request is never passed on."""
+    """A response that names another request is never forwarded."""
 
     async def send(self, request_id_header: str) -> bytes:
         server = RawServer(
@@ -32,7 +33,7 @@
         return answer.body
 
     async def test_answer_of_another_request(self) -> None:
-        # The endpoint crosses two calls' answers; a caller would read another's settlement.
+        # The endpoint mixes up the responses of two calls; a caller would get that of another.
         self.assertEqual(await self.send("X-Request-Id: mine\r\n"), b"ok")
         self.assertEqual(await self.send(""), b"ok")
         self.assertTrue(self.sent.startswith(b"POST /calls/pay%20now%2F%C3%B6 HTTP/1.1\r\n"))
