--- a/src/guavamast/callers.py
+++ b/src/guavamast/callers.py
@@ -30,7 +30,6 @@
     from guavamast.fleet_objects import Organisation, ServiceClass
     from guavamast.limit_gate import LimitGate
     from guavamast.metrics import Metrics
-    from guavamast.fleet_objects import Organisation, ServiceClass
 
 NO_CONFIGURATION_RETRY_S: Final = 2.0
 LEAVING_RETRY_S: Final = 1.0
--- a/src/guavamast/chats.py
+++ b/src/guavamast/chats.py
@@ -32,7 +32,6 @@
     from guavamast.slot_finder import SlotFinder
     from guavamast.slot_hold import SlotHold
     from guavamast.slot_links import SlotLinks
-    from guavamast.fleet_objects import Organisation, ServiceClass
 
 STALL_S: Final = 10.0
 """Idle time within a response after which an engine counts as failed."""
--- a/src/guavamast/endpoint_sender.py
+++ b/src/guavamast/endpoint_sender.py
@@ -10,8 +10,8 @@
 from tornado.httpclient import HTTPRequest
 from tornado.httputil import HTTPHeaders
 
-from guavamast.operations import Response
 from guavamast.at_most_once_fetch import AnswerLost, fetch_once
+from guavamast.operations import Response
 
 if TYPE_CHECKING:
     from collections.abc import Callable
--- a/src/guavamast/engine_client.py
+++ b/src/guavamast/engine_client.py
@@ -13,7 +13,6 @@
 from guavamast.at_most_once_fetch import AnswerLost, AtMostOnceFetch, NotSent, fetch_once
 from guavamast.event_stream import Event, EventDecoder, EventTooLong
 from guavamast.log import get_logger
-from guavamast.at_most_once_fetch import AnswerLost, NotSent, AtMostOnceFetch, fetch_once
 
 if TYPE_CHECKING:
     from collections.abc import AsyncIterator, Callable
--- a/src/guavamast/member_codec.py
+++ b/src/guavamast/member_codec.py
@@ -7,7 +7,6 @@
 from guavamast.fleet_objects import FailureDomain, Instance
 from guavamast.members import Member, MemberState
 from guavamast.peer_pb2 import MemberMessage
-from guavamast.fleet_objects import FailureDomain, Instance
 
 if TYPE_CHECKING:
     from collections.abc import Iterable
--- a/src/guavamast/platform_http.py
+++ b/src/guavamast/platform_http.py
@@ -17,7 +17,6 @@
     Row,
     TransactionConflict,
 )
-from guavamast.at_most_once_fetch import AnswerLost, NotSent, fetch_once
 
 if TYPE_CHECKING:
     from tornado.httpclient import HTTPResponse
--- a/tests/test_endpoint_sender.py
+++ b/tests/test_endpoint_sender.py
@@ -6,7 +6,6 @@
 
 from guavamast.at_most_once_fetch import AnswerLost, do_nothing
 from guavamast.endpoint_sender import EndpointCall, HttpEndpointSender
-from guavamast.at_most_once_fetch import AnswerLost, do_nothing
 from tests.test_at_most_once_fetch import RawServer
 
 
--- a/tests/test_heartbeat_links.py
+++ b/tests/test_heartbeat_links.py
@@ -18,7 +18,6 @@
 from guavamast.membership import Membership, MembershipTiming
 from guavamast.metrics import NoMetrics
 from guavamast.peer_grpc import PeerBase
-from guavamast.fleet_objects import FailureDomain, Instance
 
 if TYPE_CHECKING:
     from collections.abc import Callable, Iterable
--- a/tests/test_membership_properties.py
+++ b/tests/test_membership_properties.py
@@ -11,7 +11,6 @@
 from guavamast.member_records import join
 from guavamast.members import Member, MembershipView, MemberState
 from guavamast.membership import Membership
-from guavamast.fleet_objects import FailureDomain, Instance
 
 
 def make_instance(name: str, *, region: str = "sierra", port: int = 1) -> Instance:
