--- a/src/guavamast/_daemon.py
+++ b/src/guavamast/_daemon.py
@@ -1,4 +1,4 @@
-"""What both daemons share: sockets, signals and the loop."""
+"""Sockets, signal handling and the event loop of both daemons."""
 
 from __future__ import annotations
 
@@ -19,9 +19,9 @@
 
     from guavamast.settings import InstanceSettings
 
-LAST_ANSWERS_S: Final = 0.3
-"""Time for the answers to callers that were accepted last: a refusal takes some milliseconds, on a
-busy machine some tens."""
+LAST_RESPONSES_S: Final = 0.3
+"""Time for the responses to the connections accepted last: a rejection takes some milliseconds, on
+a busy machine some tens."""
 
 
 def bind_socket(address: str) -> socket.socket:
@@ -43,49 +43,51 @@
 
 
 async def stop_listening(server: HTTPServer, sock: socket.socket) -> None:
-    """Stop a server that is leaving, after it has answered the callers that wait to be accepted.
+    """Stop a leaving server after it has responded to the connections in its accept queue.
 
-    Failure: a caller connects and sends its request while the loop is busy, and the listener is
-    closed before the loop accepts the connection; the system resets it, and the caller doesn't
-    know whether its request ran. What waits is accepted right before the close, and is answered as
-    any request to a leaving instance: refused as not run.
+    Without this, the system resets a connection whose request arrives while the loop is busy, if
+    the listener closes before the loop accepts it; the caller doesn't know whether its request
+    ran. Pending connections are accepted right before the close and get the response of any request
+    to a leaving instance: rejected as not run.
 
     Args:
         server: The server.
         sock: Its listening socket.
     """
-    waiting = False
+    accepted_late = False
     while sock.fileno() >= 0:
         try:
             connection, address = sock.accept()
         except BlockingIOError:
             break
         except OSError as error:
-            get_logger().warning("a caller left before it was accepted: %s", error)
+            get_logger().warning(
+                "a caller disconnected before its connection was accepted: %s", error
+            )
             continue
-        waiting = True
+        accepted_late = True
         connection.setblocking(False)
         server.handle_stream(IOStream(connection), address)
     server.stop()
-    if waiting:
-        await asyncio.sleep(LAST_ANSWERS_S)
+    if accepted_late:
+        await asyncio.sleep(LAST_RESPONSES_S)
 
 
 async def wait_for_first(*events: asyncio.Event) -> None:
     """Wait until one of the events is set."""
-    waits = [asyncio.ensure_future(event.wait()) for event in events]
+    waiters = [asyncio.ensure_future(event.wait()) for event in events]
     try:
-        await asyncio.wait(waits, return_when=asyncio.FIRST_COMPLETED)
+        await asyncio.wait(waiters, return_when=asyncio.FIRST_COMPLETED)
     finally:
-        for wait in waits:
-            wait.cancel()
+        for waiter in waiters:
+            waiter.cancel()
 
 
 def run_daemon(
     settings: InstanceSettings,
     serve: Callable[[InstanceSettings, asyncio.Event], Awaitable[None]],
 ) -> None:
-    """Run a daemon until SIGTERM or SIGINT and let it leave; a second signal ends it at once."""
+    """Run a daemon until SIGTERM or SIGINT, then leave; a second signal exits immediately."""
     set_up_logs(level=settings.log_level, style=settings.log_format)
     asyncio.run(_run(settings, serve))
 
@@ -97,13 +99,13 @@
     stop = asyncio.Event()
     loop = asyncio.get_running_loop()
 
-    def handle() -> None:
+    def handle_signal() -> None:
         if stop.is_set():
-            get_logger().warning("a second signal: ending at once")
+            get_logger().warning("received a second signal; exiting immediately")
             sys.stderr.flush()
             raise SystemExit(1)
         stop.set()
 
     for number in (signal.SIGTERM, signal.SIGINT):
-        loop.add_signal_handler(number, handle)
+        loop.add_signal_handler(number, handle_signal)
     await serve(settings, stop)
--- a/src/guavamast/dispatcher.py
+++ b/src/guavamast/dispatcher.py
@@ -25,7 +25,7 @@
 from guavamast.load_poller import LoadPoller
 from guavamast.log import get_logger
 from guavamast.membership import Membership
-from guavamast.metrics import make_metrics
+from guavamast.metrics import create_metrics
 from guavamast.order_giver import OrderGiver
 from guavamast.order_http import HttpOrderSender
 from guavamast.order_loop import OrderLoop
@@ -46,17 +46,17 @@
 POLL_CHECK_S: Final = 0.25
 """Granularity of the polls of the platform."""
 VIEW_INTERVAL_S: Final = 0.25
-"""Shortest time between two views told to entries."""
+"""Minimum time between two views published to entries."""
 LOAD_VIEW_INTERVAL_S: Final = 5.0
-"""Time after which a view that differs only in load is told."""
+"""Time after which a view that differs only in load is published."""
 SEED_INTERVAL_S: Final = 15.0
 """Time between two reads of the platform's list of instances."""
-HAND_OVER_S: Final = 3.0
-"""Time a leaving dispatcher gives entries to move their asks and slots to other keepers."""
+HANDOVER_S: Final = 3.0
+"""Time that a leaving dispatcher gives entries to move asks and slots to other keepers."""
 
 
 class Dispatcher:
-    """One dispatcher and its parts.
+    """One dispatcher and its components.
 
     Args:
         settings: The instance's settings.
@@ -65,21 +65,21 @@
     def __init__(self, *, settings: InstanceSettings) -> None:
         self._settings = settings
         self.clock = time.monotonic
-        self.metrics = make_metrics(settings.statsd)
+        self.metrics = create_metrics(settings.statsd)
         self.configuration = Configuration(version=0)
         self.host = KeeperHost(clock=self.clock, metrics=self.metrics)
         self.allotments = AllotmentDispatcher()
         self.feed = ViewFeed(instance=settings.instance.name)
         self.address = ""
-        """Peer address as bound."""
+        """Bound peer address."""
         self._platform = HttpPlatformClient(
             tables_url=settings.tables_url, objects_url=settings.objects_url
         )
         self._plans = PlanStore(platform=self._platform, make_id=lambda: uuid.uuid4().hex)
         self._reader = AcceptedReader()
         self._unreadable_version = 0
-        self.drained = asyncio.Event()
-        """Set when the configuration says that this instance is to leave."""
+        self.leave_requested = asyncio.Event()
+        """Set when the configuration lists this instance as leaving."""
         self._tasks: list[asyncio.Task[None]] = []
         self._published: tuple[object, ...] = ()
         self._published_at = 0.0
@@ -87,7 +87,7 @@
         self._server: Server | None = None
 
     async def start(self) -> None:
-        """Listen and start all loops."""
+        """Listen and start all background tasks."""
         sock = bind_socket(self._settings.instance.peer_address)
         self.address = get_bound_address(sock)
         instance = self._settings.instance.with_peer_address(self.address)
@@ -100,21 +100,21 @@
             membership=self.membership,
             spread=self.spread,
             metrics=self.metrics,
-            on_change=self._apply_spread,
+            on_change=self._apply_newest_configuration,
         )
-        self._server = Server([self._make_service()])
+        self._server = Server([self._create_service()])
         await self._server.start(sock=sock)
         poller = LoadPoller(
             host=self.host, get_configuration=lambda: self.configuration, clock=self.clock
         )
         self.host.on_new_keeper = poller.poll_soon
-        self._start(self.heartbeats.run())
-        self._start(self._make_order_loop().run())
-        self._start(poller.run())
-        self._start(self._poll_platform())
-        self._start(self._read_seeds())
-        self._start(self._publish_views())
-        self._start(self._send_probes())
+        self._start_task(self.heartbeats.run())
+        self._start_task(self._create_order_loop().run())
+        self._start_task(poller.run())
+        self._start_task(self._poll_platform())
+        self._start_task(self._read_seeds())
+        self._start_task(self._publish_views())
+        self._start_task(self._send_probes())
 
     async def leave(self) -> None:
         """Hand the kept endpoints over to other dispatchers."""
@@ -123,7 +123,7 @@
         self._publish(self.clock())
         others = self.membership.make_view(now=self.clock()).list_serving()
         if others:
-            await asyncio.sleep(HAND_OVER_S)
+            await asyncio.sleep(HANDOVER_S)
 
     async def close(self) -> None:
         """Stop everything."""
@@ -135,7 +135,7 @@
             self._server.close()
             await self._server.wait_closed()
 
-    def take_announcement(self, request: peer_pb2.AnnounceRequest) -> int:
+    def handle_announcement(self, request: peer_pb2.AnnounceRequest) -> int:
         """Handle an entry's announcement; return the version in force here."""
         now = self.clock()
         if request.configuration_text:
@@ -145,7 +145,7 @@
                 source=Source.PLATFORM,
                 now=now,
             )
-            self._apply_spread()
+            self._apply_newest_configuration()
         if request.leaving:
             self.membership.leave(now=now)
         self.membership.set_load(request.load)
@@ -156,7 +156,7 @@
     def answer_allotment(
         self, message: peer_pb2.AllotmentAskMessage, entry: str
     ) -> peer_pb2.KeeperMessage | None:
-        """Split an organisation's limits for one entry; None when there is nothing to say."""
+        """Return an entry's allotment; None for an unknown organisation or an outdated ask."""
         organisation = self.configuration.organisations.get(message.organisation)
         if organisation is None:
             return None
@@ -164,7 +164,7 @@
         allotment = self.allotments.ask(ask, organisation, now=self.clock())
         return None if allotment is None else encode_allotment(allotment)
 
-    def _make_order_loop(self) -> OrderLoop:
+    def _create_order_loop(self) -> OrderLoop:
         clock, terms = SystemClock(), LeaseTerms()
         name = self._settings.instance.name
         leases = LeaseHolder(
@@ -181,25 +181,25 @@
             clock=clock,
             terms=terms,
         )
-        kept = HostedEndpoints(
+        hosted = HostedEndpoints(
             instance=name,
             host=self.host,
             get_configuration=lambda: self.configuration,
             get_view=lambda: self.membership.make_view(now=self.clock()),
         )
-        return OrderLoop(giver=giver, kept=kept, clock=clock)
+        return OrderLoop(giver=giver, kept=hosted, clock=clock)
 
-    def _make_service(self) -> PeerService:
+    def _create_service(self) -> PeerService:
         return PeerService(
             host=self.host,
             feed=self.feed,
             answer_allotment=self.answer_allotment,
-            take_announcement=self.take_announcement,
+            take_announcement=self.handle_announcement,
             serve_gossip=self.heartbeats.serve,
         )
 
-    def _start(self, work: Coroutine[None, None, None]) -> None:
-        self._tasks.append(asyncio.ensure_future(work))
+    def _start_task(self, coroutine: Coroutine[None, None, None]) -> None:
+        self._tasks.append(asyncio.ensure_future(coroutine))
 
     async def _poll_platform(self) -> None:
         while True:
@@ -214,7 +214,7 @@
         try:
             head = await self._plans.read_head()
         except PlatformError as error:
-            get_logger().info("the head row can't be read: %s", error)
+            get_logger().info("failed to read the head row: %s", error)
             self.spread.miss_platform(now=self.clock())
             return
         self.spread.hear_platform(head.version, now=self.clock())
@@ -223,15 +223,15 @@
         try:
             text = await self._plans.read_text(version)
         except GuavamastError as error:
-            get_logger().info("snapshot %d can't be read: %s", version, error)
+            get_logger().info("failed to read snapshot %d: %s", version, error)
             return
         if text is None:
-            get_logger().info("snapshot %d is not there", version)
+            get_logger().info("snapshot %d does not exist", version)
             return
         self.spread.accept(version, text, source=Source.PLATFORM, now=self.clock())
-        self._apply_spread()
+        self._apply_newest_configuration()
 
-    def _apply_spread(self) -> None:
+    def _apply_newest_configuration(self) -> None:
         version = self.spread.version
         if version <= max(self.configuration.version, self._unreadable_version):
             return
@@ -239,7 +239,7 @@
             configuration = self._reader.read(self.spread.text, version=version)
         except FindingsError as error:
             self._unreadable_version = version
-            get_logger().error("configuration %d can't be read: %s", version, error)
+            get_logger().error("failed to parse configuration %d: %s", version, error)
             return
         self.configuration = configuration
         self.membership.set_configuration_version(version)
@@ -248,25 +248,25 @@
         self.heartbeats.tell_soon()
         get_logger().info("configuration %d in force", version)
         if self._settings.instance.name in configuration.leaving_instances:
-            self.drained.set()
+            self.leave_requested.set()
 
     async def _read_seeds(self) -> None:
         while True:
             try:
                 listed = await self._platform.list_instances()
             except PlatformError as error:
-                get_logger().info("the list of instances can't be read: %s", error)
+                get_logger().info("failed to read the list of instances: %s", error)
             else:
                 self.membership.replace_listed(item.peer_address for item in listed)
             await asyncio.sleep(SEED_INTERVAL_S)
 
     async def _publish_views(self) -> None:
         while True:
-            self._apply_spread()
+            self._apply_newest_configuration()
             now = self.clock()
             view = self.membership.make_view(now=now)
-            old = now - self._published_at > LOAD_VIEW_INTERVAL_S
-            if old or self._summarize(view, now) != self._published:
+            due = now - self._published_at > LOAD_VIEW_INTERVAL_S
+            if due or self._summarize(view, now) != self._published:
                 self._publish(now)
             await asyncio.sleep(VIEW_INTERVAL_S)
 
@@ -282,7 +282,7 @@
         self.feed.set_view(view, isolated=self._is_isolated(now))
 
     def _is_isolated(self, now: float) -> bool:
-        # Members that are gone count: it may be this instance that was cut off from them.
+        # Members that are gone count, because this instance may be the one that was cut off.
         others_known = len(self.membership.list_all()) > 1
         standing = self.spread.judge(now=now, others_known=others_known)
         return standing is Standing.ISOLATED
@@ -308,12 +308,12 @@
         "ready peers=%s", dispatcher.address, extra={"instance": settings.instance.name}
     )
     try:
-        await wait_for_first(stop, dispatcher.drained)
+        await wait_for_first(stop, dispatcher.leave_requested)
         await dispatcher.leave()
     finally:
         await dispatcher.close()
 
 
 def run(settings: InstanceSettings) -> None:
-    """Run the daemon; returns after a graceful leave."""
+    """Run the daemon; return after a graceful leave."""
     run_daemon(settings, serve)
--- a/src/guavamast/entry.py
+++ b/src/guavamast/entry.py
@@ -1,4 +1,4 @@
-"""The entry daemon: callers and operators of one instance, from request to whole answer."""
+"""The entry daemon, which serves the callers and operators of one instance."""
 
 from __future__ import annotations
 
@@ -31,7 +31,7 @@
 from guavamast.limit_gate import LimitGate
 from guavamast.limits import EntryLimiter
 from guavamast.log import get_logger
-from guavamast.metrics import make_metrics
+from guavamast.metrics import create_metrics
 from guavamast.operation_store import OperationStore
 from guavamast.operator_tokens import TokenFileAuthenticator
 from guavamast.operators import make_operator_routes
@@ -58,14 +58,14 @@
     from guavamast.world import Configuration
 
 LOAD_INTERVAL_S: Final = 5.0
-"""Time between two reports of load to the own dispatcher."""
+"""Time between two load reports to the local dispatcher."""
 DISCARD_LIMIT_BYTES: Final = 1 << 40
-"""Bodies over the limit are read and dropped, so that the caller gets its 413."""
+"""Largest body read; bodies over ``max_body_bytes`` are discarded, so that callers get a 413."""
 BODY_TIMEOUT_S: Final = 30.0
 
 
 class Entry:
-    """One entry and its parts.
+    """One entry and its components.
 
     Args:
         settings: The instance's settings.
@@ -75,16 +75,16 @@
         self._settings = settings
         self.clock = time.monotonic
         self.address = ""
-        """Caller address as bound."""
-        self.drained = asyncio.Event()
-        """Set when the configuration says that this instance is to leave."""
-        self._metrics = make_metrics(settings.statsd)
+        """Bound caller address."""
+        self.leave_requested = asyncio.Event()
+        """Set when the configuration lists this instance as leaving."""
+        self._metrics = create_metrics(settings.statsd)
         self._random = random.Random(zlib.crc32(settings.instance.name.encode()))
         self._chooser = EndpointChooser(
             instance=settings.instance, seed=self._random.getrandbits(32)
         )
         self.state = EntryState(instance=settings.instance, chooser=self._chooser)
-        self.links = self._make_links()
+        self.links = self._create_links()
         self._limiter = EntryLimiter(
             entry=settings.instance.name, first_sequence=time.time_ns() // 10**6
         )
@@ -96,7 +96,7 @@
             address=settings.instance.peer_address,
             list_others=self._list_other_dispatchers,
             on_configuration=self.accept_configuration,
-            on_view=self.accept_view,
+            on_view=self.apply_view,
         )
         self._platform = HttpPlatformClient(
             tables_url=settings.tables_url, objects_url=settings.objects_url
@@ -104,13 +104,13 @@
         self.pauses = PauseWatch(now=self.clock())
         self._budget = RetryBudget()
         finder = SlotFinder(state=self.state, links=self.links, clock=self.clock)
-        self.calls = self._make_calls(finder)
-        self.services = self._make_services(finder)
+        self.calls = self._create_calls(finder)
+        self.services = self._create_services(finder)
         self._server: HTTPServer | None = None
         self._socket: socket.socket | None = None
         self._tasks: list[asyncio.Task[None]] = []
 
-    def _make_links(self) -> SlotLinks:
+    def _create_links(self) -> SlotLinks:
         return SlotLinks(
             entry=f"{self._settings.instance.name}/{uuid.uuid4().hex[:8]}",
             find_keeper=self.state.find_keeper_address,
@@ -119,7 +119,7 @@
             clock=self.clock,
         )
 
-    def _make_services(self, finder: SlotFinder) -> CallerServices:
+    def _create_services(self, finder: SlotFinder) -> CallerServices:
         chats = ChatRouter(
             state=self.state,
             finder=finder,
@@ -141,7 +141,7 @@
             address_validity_s=self._settings.address_validity_s,
         )
 
-    def _make_calls(self, finder: SlotFinder) -> ServiceCalls:
+    def _create_calls(self, finder: SlotFinder) -> ServiceCalls:
         clock = SystemClock()
         commits = GroupCommit(client=self._platform, clock=clock)
         return ServiceCalls(
@@ -162,7 +162,7 @@
         routes = [
             *make_caller_routes(self.services),
             *make_service_routes(self.services, self.calls),
-            *self._make_operator_routes(),
+            *self._create_operator_routes(),
         ]
         application = make_application(routes, self.services)
         self._server = HTTPServer(
@@ -173,13 +173,15 @@
         self._server.add_sockets([sock])
         self._socket = sock
         self.view_link.start()
-        self._start(self._report_load())
-        self._start(self._watch_pauses())
-        self._start(self.limits.run())
+        self._start_task(self._report_load())
+        self._start_task(self._watch_pauses())
+        self._start_task(self.limits.run())
         retention_s = self._settings.operation_retention_s
-        self._start(self.calls.delete_expired(retention_s=retention_s, is_mine=self._is_mine))
+        self._start_task(
+            self.calls.delete_expired(retention_s=retention_s, is_mine=self._owns_prefix)
+        )
 
-    def _make_operator_routes(self) -> list[tuple[str, type, dict[str, Any]]]:
+    def _create_operator_routes(self) -> list[tuple[str, type, dict[str, Any]]]:
         status = EntryStatus(state=self.state, links=self.links)
         authenticator = TokenFileAuthenticator(
             path=self._settings.operator_token_file, callers=status
@@ -189,26 +191,26 @@
             authenticator=authenticator,
             status=status,
             clock=SystemClock(),
-            on_accepted=self._spread_configuration,
+            on_accepted=self._publish_configuration,
         )
 
-    def _spread_configuration(self, configuration: Configuration) -> None:
+    def _publish_configuration(self, configuration: Configuration) -> None:
         self.accept_configuration(configuration)
         announcement = peer_pb2.AnnounceRequest(
             configuration_version=configuration.version,
             configuration_text=configuration.text,
             load=float(self.services.in_flight),
         )
-        self._start(self._announce(announcement))
+        self._start_task(self._announce(announcement))
 
     async def _announce(self, request: peer_pb2.AnnounceRequest) -> None:
         await self.view_link.announce(request)
 
     async def leave(self) -> None:
-        """Send callers away and wait for what is in flight.
+        """Redirect callers to other instances and wait for requests in flight.
 
-        Callers keep an address for its validity, so for that long new requests are still served;
-        then they are refused as not run with other addresses.
+        Callers keep an address for its validity, so new requests are still served that long; then
+        they are rejected as not run, with other addresses.
         """
         await self.view_link.announce(peer_pb2.AnnounceRequest(leaving=True))
         deadline = self.clock() + self._settings.drain_wait_s
@@ -232,16 +234,16 @@
         await self.links.close()
 
     def accept_configuration(self, configuration: Configuration) -> None:
-        """Put a configuration in force if it is newer."""
+        """Apply a configuration if it is newer."""
         if self.state.accept_configuration(configuration):
             get_logger().info("configuration %d in force", configuration.version)
             self.links.reroute()
             if self._settings.instance.name in configuration.leaving_instances:
-                self.drained.set()
+                self.leave_requested.set()
 
-    def accept_view(self, view: MembershipView, isolated: bool) -> None:
-        """Take a newer view and move asks whose keeper has changed."""
-        self.state.accept_view(view)
+    def apply_view(self, view: MembershipView, isolated: bool) -> None:
+        """Apply a newer view and move asks whose keeper has changed."""
+        self.state.apply_view(view)
         self.state.isolated = isolated
         self._limiter.configure(view)
         self.links.reroute()
@@ -249,22 +251,22 @@
     def _list_other_dispatchers(self) -> list[str]:
         """Return the other members' peer addresses, then the seeds that aren't among them.
 
-        Failure: the own dispatcher dies before it has told of any other member, and the entry
-        knows nobody to ask for a view. The seeds are known from the start.
+        Without the seeds, an entry whose local dispatcher dies before it has reported any other
+        member knows no dispatcher to follow. The seeds are known from the start.
         """
         members = [item.instance.peer_address for item in self.state.list_others()]
         own = self._settings.instance.peer_address
         seeds = [item for item in self._settings.seeds if item != own and item not in members]
         return [*members, *seeds]
 
-    def _is_mine(self, prefix: str) -> bool:
-        """Return whether this instance takes a part of the operations' table."""
+    def _owns_prefix(self, prefix: str) -> bool:
+        """Return whether this instance cleans up a key prefix of the operations' table."""
         members = self.state.view.list_serving()
         ranked = rank(f"operations/{prefix}", [member.instance.name for member in members])
         return not ranked or ranked[0] == self._settings.instance.name
 
-    def _start(self, work: Coroutine[None, None, None]) -> None:
-        self._tasks.append(asyncio.ensure_future(work))
+    def _start_task(self, coroutine: Coroutine[None, None, None]) -> None:
+        self._tasks.append(asyncio.ensure_future(coroutine))
 
     async def _watch_pauses(self) -> None:
         while True:
@@ -284,12 +286,12 @@
     await entry.start()
     get_logger().info("ready callers=%s", entry.address, extra={"instance": settings.instance.name})
     try:
-        await wait_for_first(stop, entry.drained)
+        await wait_for_first(stop, entry.leave_requested)
         await entry.leave()
     finally:
         await entry.close()
 
 
 def run(settings: InstanceSettings) -> None:
-    """Run the daemon; returns after a graceful leave."""
+    """Run the daemon; return after a graceful leave."""
     run_daemon(settings, serve)
--- a/src/guavamast/entry_state.py
+++ b/src/guavamast/entry_state.py
@@ -1,4 +1,4 @@
-"""What an entry knows of the fleet: the configuration in force and the last view."""
+"""An entry's state of the fleet: the configuration in force and the last view."""
 
 from __future__ import annotations
 
@@ -20,12 +20,12 @@
 
     Args:
         instance: This instance.
-        chooser: The choice among endpoints, told of each change.
+        chooser: Chooses among endpoints; reconfigured on each change.
     """
 
     __slots__ = (
-        "_by_key",
-        "_keepers",
+        "_organisations_by_key",
+        "_keeper_addresses",
         "chooser",
         "configuration",
         "instance",
@@ -41,25 +41,25 @@
         self.view = MembershipView(members=())
         self.leaving = False
         self.isolated = False
-        """Whether the dispatcher hears neither the platform nor another dispatcher."""
-        self._by_key: dict[str, Organisation] = {}
-        self._keepers: dict[tuple[str, frozenset[str]], str | None] = {}
-        """Keepers found in the present view; ranking hundreds of members is not for each ask."""
+        """Whether the dispatcher receives nothing from the platform or any other dispatcher."""
+        self._organisations_by_key: dict[str, Organisation] = {}
+        self._keeper_addresses: dict[tuple[str, frozenset[str]], str | None] = {}
+        """Cache for the current view; ranking hundreds of members for each ask costs too much."""
 
     @property
     def ready(self) -> bool:
-        """Whether callers are served: there is a configuration that can be known to be in force.
+        """Whether callers are served: a configuration is known to be in force.
 
-        Failure: an instance that is cut off from everybody sends work to an endpoint that has left
-        since. It refuses new work as not run; callers have other addresses.
+        Without this check, an isolated instance sends work to an endpoint that has left meanwhile.
+        It rejects new work as not run; callers have other addresses.
         """
         return self.configuration.version > 0 and not self.leaving and not self.isolated
 
     def accept_configuration(self, configuration: Configuration) -> bool:
-        """Put a configuration in force unless it is not newer.
+        """Apply a configuration if it is newer than the one in force.
 
-        Failure: two sources race and an old version comes last, so that a drained endpoint gets
-        work again. Versions only grow here, whatever the order of arrival.
+        Without this check, an older version that arrives last from one of two racing sources sends
+        work to a drained endpoint again. Versions only increase, whatever the order of arrival.
 
         Returns:
             Whether it is now in force.
@@ -67,53 +67,53 @@
         if configuration.version <= self.configuration.version:
             return False
         self.configuration = configuration
-        self._keepers.clear()
+        self._keeper_addresses.clear()
         organisations = configuration.organisations.values()
-        self._by_key = {item.key_sha256: item for item in organisations}
+        self._organisations_by_key = {item.key_sha256: item for item in organisations}
         self.chooser.configure(configuration, self.view)
         return True
 
-    def accept_view(self, view: MembershipView) -> None:
-        """Take a newer view of the members."""
+    def apply_view(self, view: MembershipView) -> None:
+        """Apply a newer view of the members."""
         self.view = view
-        self._keepers.clear()
+        self._keeper_addresses.clear()
         self.chooser.configure(self.configuration, view)
 
     def find_organisation(self, key: str) -> Organisation | None:
         """Return the organisation of a caller's key.
 
-        The look-up is by the key's hash, so its time tells nothing of the keys that exist.
+        The look-up is by the key's hash, so its duration reveals nothing about existing keys.
         """
-        return self._by_key.get(hashlib.sha256(key.encode()).hexdigest())
+        return self._organisations_by_key.get(hashlib.sha256(key.encode()).hexdigest())
 
     def find_keeper_address(self, endpoint: str, unreachable: frozenset[str]) -> str | None:
         """Return the peer address of an endpoint's keeper among the reachable members."""
-        place = (endpoint, unreachable)
-        if place not in self._keepers:
-            self._keepers[place] = self._rank_keepers(endpoint, unreachable)
-        return self._keepers[place]
-
-    def _rank_keepers(self, endpoint: str, unreachable: frozenset[str]) -> str | None:
-        wanted = self.configuration.endpoints.get(endpoint)
-        if wanted is None:
+        cache_key = (endpoint, unreachable)
+        if cache_key not in self._keeper_addresses:
+            self._keeper_addresses[cache_key] = self._select_keeper_address(endpoint, unreachable)
+        return self._keeper_addresses[cache_key]
+
+    def _select_keeper_address(self, endpoint: str, unreachable: frozenset[str]) -> str | None:
+        target = self.configuration.endpoints.get(endpoint)
+        if target is None:
             return None
         members = tuple(
             member
             for member in self.view.members
             if member.instance.peer_address not in unreachable
         )
-        keeper = find_keeper(wanted, MembershipView(members=members))
+        keeper = find_keeper(target, MembershipView(members=members))
         return keeper.instance.peer_address if keeper else None
 
     def find_active_endpoint(self, name: str) -> Endpoint | None:
-        """Return an endpoint that may get new work, else None."""
+        """Return an endpoint that may receive new work, else None."""
         endpoint = self.configuration.endpoints.get(name)
         if endpoint is None or endpoint.state is EndpointState.LEAVING:
             return None
         return endpoint
 
     def list_others(self) -> list[Member]:
-        """Return the other members that live, for callers that are sent away."""
+        """Return the other live members, to which rejected callers are redirected."""
         return [
             member
             for member in self.view.members
--- a/src/guavamast/entry_status.py
+++ b/src/guavamast/entry_status.py
@@ -1,4 +1,4 @@
-"""What an entry tells operators of the fleet."""
+"""The fleet status that an entry reports to operators."""
 
 from __future__ import annotations
 
@@ -16,7 +16,7 @@
 
 
 class EntryStatus(StatusSource, CallerKeys):
-    """The view of one entry.
+    """Fleet status as one entry knows it.
 
     Args:
         state: Its configuration and view.
--- a/src/guavamast/fleet_status.py
+++ b/src/guavamast/fleet_status.py
@@ -1,4 +1,4 @@
-"""What ``status`` shows of the fleet, as one instance knows it."""
+"""The fleet status that ``status`` prints, as one instance knows it."""
 
 from __future__ import annotations
 
@@ -35,21 +35,21 @@
     keeper: str
     """Instance whose dispatcher decides on its slots; empty when there is none."""
     in_flight: int = 0
-    """Requests that this instance's entry has at it."""
+    """Requests in flight there from this instance's entry."""
 
 
 @dataclass(frozen=True, slots=True, kw_only=True)
 class FleetStatus:
-    """The view of the instance that answers."""
+    """Fleet status as the responding instance knows it."""
 
     answered_by: str
     configuration_version: int
-    """In force at the instance that answers."""
+    """Version in force at the responding instance."""
     instances: tuple[InstanceStatus, ...]
     endpoints: tuple[EndpointStatus, ...] = ()
 
     def list_behind(self) -> list[str]:
-        """Return the serving instances that are not yet at the highest version seen."""
+        """Return the instances, other than gone ones, that are below the highest version seen."""
         versions = [instance.configuration_version for instance in self.instances]
         newest = max([self.configuration_version, *versions])
         return [
@@ -60,11 +60,11 @@
 
 
 class StatusSource(ABC):
-    """What the operators' handlers read from the daemon that they run in."""
+    """Interface by which the operators' handlers read the state of their daemon."""
 
     @abstractmethod
     def read_status(self) -> FleetStatus:
-        """Return the fleet as this instance knows it, without asking anyone."""
+        """Return the fleet as this instance knows it, without querying other instances."""
 
     @abstractmethod
     def read_configuration(self) -> Configuration:
--- a/src/guavamast/local_fleet.py
+++ b/src/guavamast/local_fleet.py
@@ -1,4 +1,4 @@
-"""A whole small fleet in one process on loopback, for the demo and for tests."""
+"""A complete small fleet in one process on loopback, for the demo and for tests."""
 
 from __future__ import annotations
 
@@ -109,7 +109,7 @@
 
 
 def reserve_ports(count: int) -> list[int]:
-    """Return ports that the OS says are free."""
+    """Return ports that the OS reports as free."""
     sockets = [socket.create_server(("127.0.0.1", 0)) for _ in range(count)]
     ports = [sock.getsockname()[1] for sock in sockets]
     for sock in sockets:
@@ -117,18 +117,18 @@
     return ports
 
 
-def make_fleet_text(
+def build_fleet_text(
     *,
     engine_urls: list[str],
     service_urls: list[str],
     slots: int = 16,
     leaving: frozenset[str] = frozenset(),
 ) -> str:
-    """Return a fleet configuration.
+    """Return the text of a fleet configuration.
 
     Args:
-        engine_urls: One URL an engine; they are named ``engine-0`` and on.
-        service_urls: One URL an endpoint of the service ``ledger``.
+        engine_urls: One URL per engine; they are named ``engine-0`` and so on.
+        service_urls: One URL per endpoint of the service ``ledger``.
         slots: Slots of each endpoint.
         leaving: Names of engines that are to leave.
     """
@@ -173,14 +173,14 @@
 
 
 class LocalFleet:
-    """Stand-ins, dispatchers and entries on one loop.
+    """Stand-ins, dispatchers and entries on one event loop.
 
     Args:
         instances: Number of instances, each an entry and a dispatcher.
         engines: Number of stand-in engines.
         services: Number of endpoints of the stand-in service.
         slots: Slots of each endpoint.
-        token_interval_s: Pace of the engines.
+        token_interval_s: Time between two tokens of an engine.
     """
 
     def __init__(
@@ -202,7 +202,7 @@
         self._folder = tempfile.TemporaryDirectory(prefix="guavamast-")
 
     async def start(self) -> None:
-        """Start all parts; no configuration is in force yet."""
+        """Start all components; no configuration is in force yet."""
         self.platform.start()
         for standin in [*self.engines, *self.services]:
             standin.start()
@@ -218,7 +218,7 @@
             self.entries.append(entry)
 
     async def close(self) -> None:
-        """Stop all parts."""
+        """Stop all components."""
         for entry in self.entries:
             await entry.close()
         for dispatcher in self.dispatchers:
@@ -233,8 +233,8 @@
         return f"http://{self.entries[0].address}"
 
     def make_text(self, *, leaving: frozenset[str] = frozenset()) -> str:
-        """Return the configuration of this fleet."""
-        return make_fleet_text(
+        """Return the text of this fleet's configuration."""
+        return build_fleet_text(
             engine_urls=[engine.url for engine in self.engines],
             service_urls=[service.url for service in self.services],
             slots=self.slots,
@@ -242,7 +242,7 @@
         )
 
     async def wait_for_version(self, version: int) -> None:
-        """Wait until every process has a configuration of that version in force.
+        """Wait until every dispatcher and entry has at least that version in force.
 
         Raises:
             TimeoutError: It took longer than `READY_TIMEOUT_S`.
--- a/src/guavamast/log.py
+++ b/src/guavamast/log.py
@@ -1,4 +1,4 @@
-"""Logs by ``absl.logging``, as text or as JSON with one object a line."""
+"""Logging with ``absl.logging``, as text or as one JSON object per line."""
 
 from __future__ import annotations
 
@@ -9,7 +9,7 @@
 from absl import logging as absl_logging
 
 CONTEXT_FIELDS: Final = ("request_id", "organisation", "class_name", "instance", "endpoint", "code")
-"""Fields that a call may pass in ``extra`` and that appear in each line that has them."""
+"""Fields that a call may pass in ``extra``; a line contains those that are set."""
 
 _LEVELS: Final = {
     "debug": absl_logging.DEBUG,
@@ -33,7 +33,7 @@
 
 
 class JsonFormatter(logging.Formatter):
-    """Formats one JSON object a line."""
+    """Formats one JSON object per line."""
 
     def format(self, record: logging.LogRecord) -> str:
         """Return the line of a record."""
--- a/src/guavamast/metrics.py
+++ b/src/guavamast/metrics.py
@@ -1,4 +1,4 @@
-"""Metrics by ``statsd``; ``docs/METRICS.md`` lists the names."""
+"""Metrics sent to ``statsd``; ``docs/METRICS.md`` lists the names."""
 
 from __future__ import annotations
 
@@ -8,7 +8,7 @@
 
 
 class Metrics(ABC):
-    """Where counts and times go."""
+    """Interface for counters, durations and gauges."""
 
     @abstractmethod
     def count(self, name: str, amount: int = 1) -> None:
@@ -24,7 +24,7 @@
 
 
 class NoMetrics(Metrics):
-    """Drops everything, for when no address is set."""
+    """Discards all metrics; used when no address is set."""
 
     def count(self, name: str, amount: int = 1) -> None:
         """Do nothing."""
@@ -60,6 +60,6 @@
         self._client.gauge(name, value)
 
 
-def make_metrics(address: str) -> Metrics:
-    """Return a statsd sender, or one that drops everything when there is no address."""
+def create_metrics(address: str) -> Metrics:
+    """Return a statsd sender, or one that discards all metrics when there is no address."""
     return StatsdMetrics(address=address) if address else NoMetrics()
--- a/src/guavamast/peer_service.py
+++ b/src/guavamast/peer_service.py
@@ -24,9 +24,9 @@
 
     Args:
         host: The keepers.
-        feed: What entries follow.
-        answer_allotment: Splits an organisation's limits; None for an ask that is outdated.
-        take_announcement: Handles an announcement and gives the version in force.
+        feed: Publishes configuration and members to entries.
+        answer_allotment: Splits an organisation's limits; None for an outdated ask.
+        take_announcement: Handles an announcement and returns the version in force.
         serve_gossip: Serves one stream of heartbeats.
     """
 
@@ -58,14 +58,15 @@
             while (batch := await stream.recv_message()) is not None:
                 for message in batch.messages:
                     if message.WhichOneof("body") == "hello":
-                        # Failure: a dispatcher that has just started refuses every ask as of an
-                        # unknown endpoint. Unanswered, the entry asks the next keeper meanwhile.
+                        # Without a configuration, a dispatcher that has just started would reject
+                        # every ask, because it knows no endpoint. Until this hello has a response,
+                        # the entry asks the next keeper.
                         await host.configured.wait()
                         entry_stream = host.connect(message.hello)
                         await stream.send_message(peer_pb2.KeeperBatch())
                         sender = asyncio.ensure_future(_send_outbox(stream, entry_stream))
                     elif entry_stream is not None:
-                        self._take(message, entry_stream)
+                        self._handle_message(message, entry_stream)
                 host.schedule()
         finally:
             if entry_stream is not None:
@@ -73,7 +74,7 @@
             if sender is not None:
                 sender.cancel()
 
-    def _take(self, message: peer_pb2.EntryMessage, stream: EntryStream) -> None:
+    def _handle_message(self, message: peer_pb2.EntryMessage, stream: EntryStream) -> None:
         if message.WhichOneof("body") != "allotment_ask":
             self._host.take(message, entry=stream.entry)
             return
@@ -84,7 +85,7 @@
     async def Follow(  # noqa: N802
         self, stream: Stream[peer_pb2.FollowRequest, peer_pb2.ViewMessage]
     ) -> None:
-        """Tell one entry each change of configuration and members."""
+        """Send one entry each change of configuration and members."""
         await stream.recv_message()
         feed = self._feed
         follower = feed.add_follower()
@@ -99,7 +100,7 @@
     async def Announce(  # noqa: N802
         self, stream: Stream[peer_pb2.AnnounceRequest, peer_pb2.AnnounceReply]
     ) -> None:
-        """Take an entry's word on an accepted configuration, its load, or its leaving."""
+        """Receive an entry's accepted configuration, its load, or the notice that it leaves."""
         request = await stream.recv_message()
         if request is not None:
             version = self._take_announcement(request)
--- a/src/guavamast/view_feed.py
+++ b/src/guavamast/view_feed.py
@@ -1,4 +1,4 @@
-"""What a dispatcher tells the entries that follow it: configuration and members."""
+"""Feed of configuration and members from a dispatcher to the entries that follow it."""
 
 from __future__ import annotations
 
@@ -14,7 +14,7 @@
 
 
 class ViewFollower:
-    """One entry's place in the feed."""
+    """State of one entry's subscription to the feed."""
 
     __slots__ = ("changed", "sent_version")
 
@@ -25,7 +25,7 @@
 
 
 class ViewFeed:
-    """Gives each follower the latest configuration and view; states in between are skipped.
+    """Publishes the latest configuration and view to followers; skips intermediate states.
 
     Args:
         instance: Name of this dispatcher's instance.
@@ -44,19 +44,19 @@
         self._wake()
 
     def set_view(self, view: MembershipView, *, isolated: bool = False) -> None:
-        """Publish a view, and whether this dispatcher hears nobody who could tell a change."""
+        """Publish a view, and whether this dispatcher is isolated from all sources of changes."""
         self._view = view
         self._isolated = isolated
         self._wake()
 
     def add_follower(self) -> ViewFollower:
-        """Return a new follower, which has everything to come."""
+        """Return a new follower; its first message contains the full state."""
         follower = ViewFollower()
         self._followers.add(follower)
         return follower
 
     def remove_follower(self, follower: ViewFollower) -> None:
-        """Forget a follower whose stream has ended."""
+        """Remove a follower whose stream has ended."""
         self._followers.discard(follower)
 
     async def wait_message(self, follower: ViewFollower) -> peer_pb2.ViewMessage:
--- a/src/guavamast/view_link.py
+++ b/src/guavamast/view_link.py
@@ -1,4 +1,4 @@
-"""The entry's stream from a dispatcher that tells it configuration and members."""
+"""The entry's stream of configuration and members from a dispatcher."""
 
 from __future__ import annotations
 
@@ -23,23 +23,23 @@
 
 RECONNECT_S: Final = 0.2
 FAILURES_BEFORE_OTHERS: Final = 5
-"""Failed tries at the own dispatcher before another one is followed."""
+"""Failed attempts at the local dispatcher before another one is followed."""
 ANNOUNCE_TIMEOUT_S: Final = 2.0
 
 
 class ViewLink:
-    """Follows the instance's own dispatcher, or another one while that is down.
+    """Follows the local dispatcher, or another one while that is down.
 
-    Failure: the own dispatcher dies, and the entry acts on a view that grows old: it sends asks to
-    keepers that are gone and misses configurations. Any dispatcher tells the same view, so the
-    entry follows the next one that answers; until then it serves on the last view.
+    Without the fallback, an entry whose local dispatcher dies acts on a stale view: it sends asks
+    to keepers that are gone and misses configurations. Any dispatcher publishes the same view, so
+    the entry follows the next one that responds; until then it serves with the last view.
 
     Args:
         entry: Name of this instance.
-        address: Peer address of the own dispatcher.
-        list_others: Gives peer addresses of other dispatchers.
-        on_configuration: Takes each configuration that arrives.
-        on_view: Takes each view that arrives, and whether its dispatcher hears nobody else.
+        address: Peer address of the local dispatcher.
+        list_others: Returns peer addresses of other dispatchers.
+        on_configuration: Receives each configuration.
+        on_view: Receives each view, and whether its dispatcher is isolated.
     """
 
     def __init__(
@@ -60,7 +60,7 @@
         self._task: asyncio.Task[None] | None = None
 
     def start(self) -> None:
-        """Begin to follow."""
+        """Start following."""
         self._task = asyncio.ensure_future(self._run())
 
     async def close(self) -> None:
@@ -70,13 +70,13 @@
             await asyncio.gather(self._task, return_exceptions=True)
 
     async def announce(self, request: peer_pb2.AnnounceRequest) -> bool:
-        """Tell a dispatcher of a configuration, of leaving or of load; False when none heard it."""
+        """Announce a configuration, leaving or load; return whether a dispatcher received it."""
         for address in [self._address, *self._list_others()[:3]]:
             channel = _open(address)
             try:
                 await PeerStub(channel).Announce(request, timeout=ANNOUNCE_TIMEOUT_S)
             except LinkErrors as error:
-                get_logger().info("announce to %s failed: %r", address, error)
+                get_logger().info("announcement to %s failed: %r", address, error)
                 continue
             finally:
                 channel.close()
@@ -86,34 +86,34 @@
     async def _run(self) -> None:
         failures = 0
         while True:
-            address = self._choose(failures)
-            heard = await self._follow(address)
-            failures = 0 if heard and address == self._address else failures + 1
+            address = self._choose_address(failures)
+            received = await self._follow(address)
+            failures = 0 if received and address == self._address else failures + 1
             await asyncio.sleep(RECONNECT_S)
 
-    def _choose(self, failures: int) -> str:
+    def _choose_address(self, failures: int) -> str:
         others = self._list_others()
         if failures < FAILURES_BEFORE_OTHERS or not others or failures % 2 == 0:
             return self._address
         return others[(failures // 2) % len(others)]
 
     async def _follow(self, address: str) -> bool:
-        heard = False
+        received = False
         channel = _open(address)
         try:
             async with PeerStub(channel).Follow.open() as stream:
                 request = peer_pb2.FollowRequest(entry=self._entry)
                 await stream.send_message(request, end=True)
                 while (message := await stream.recv_message()) is not None:
-                    heard = True
-                    self._take(message)
+                    received = True
+                    self._apply(message)
         except LinkErrors as error:
             get_logger().info("view stream from %s lost: %r", address, error)
         finally:
             channel.close()
-        return heard
+        return received
 
-    def _take(self, message: peer_pb2.ViewMessage) -> None:
+    def _apply(self, message: peer_pb2.ViewMessage) -> None:
         if message.members:
             decoded = [decode_member(member) for member in message.members]
             members = tuple(member for member in decoded if member is not None)
@@ -125,7 +125,7 @@
                 message.configuration_text, version=message.configuration_version
             )
         except FindingsError as error:
-            get_logger().error("a configuration can't be read: %s", error)
+            get_logger().error("failed to parse a configuration: %s", error)
             return
         self._on_configuration(configuration)
 
--- a/tests/_processes.py
+++ b/tests/_processes.py
@@ -18,7 +18,7 @@
 from guavamast.demo import confirm_text
 from guavamast.local_fleet import (
     OPERATOR_TOKEN,
-    make_fleet_text,
+    build_fleet_text,
     write_instance_settings,
 )
 from tests._callers import Caller
@@ -27,7 +27,7 @@
 
 
 class Process:
-    """One process that this test started."""
+    """One process that a test has started."""
 
     def __init__(self, *arguments: str, log: Path) -> None:
         self._log = log.open("ab")
@@ -49,19 +49,19 @@
         self.popen.wait()
 
     def pause(self) -> None:
-        """Freeze it."""
+        """Pause it with SIGSTOP."""
         self.popen.send_signal(signal.SIGSTOP)
 
     def resume(self) -> None:
-        """Let it go on."""
+        """Resume it."""
         self.popen.send_signal(signal.SIGCONT)
 
     def terminate(self) -> None:
-        """Ask it to leave."""
+        """Send it SIGTERM, so that it leaves gracefully."""
         self.popen.terminate()
 
     def close(self) -> None:
-        """End it if it still runs."""
+        """Kill it if it still runs."""
         if self.popen.poll() is None:
             self.popen.kill()
         self.popen.wait()
@@ -107,15 +107,15 @@
         return Process(role, "--settings", str(path), log=self.folder / f"{role}-{number}.log")
 
     def make_text(self, **options: Any) -> str:
-        """Return the configuration of this fleet."""
-        return make_fleet_text(
+        """Return the text of this fleet's configuration."""
+        return build_fleet_text(
             engine_urls=[url for _, url in self.engines],
             service_urls=[url for _, url in self.services],
             **options,
         )
 
     async def wait_alive(self, numbers: Any) -> None:
-        """Wait until entries answer at all."""
+        """Wait until entries respond."""
         for number in numbers:
             await self._wait(number, "/healthz", 200, lambda _: True)
 
@@ -125,11 +125,11 @@
             await self._wait(number, "/readyz", 200, lambda body: body["version"] >= version)
 
     async def fault(self, url: str, **fault: Any) -> None:
-        """Switch a stand-in's fault."""
+        """Set a stand-in's fault."""
         await Caller(url=url).fetch("/fault", body=json.dumps(fault).encode())
 
     async def read_runs(self) -> dict[str, int]:
-        """Return the runs of each key, over all endpoints of the service."""
+        """Return the number of runs of each key, over all endpoints of the service."""
         total: dict[str, int] = {}
         for _, url in self.services:
             response = await Caller(url=url).fetch("/runs", method="GET")
@@ -138,22 +138,22 @@
         return total
 
     async def read_status(self, number: int) -> dict[str, Any]:
-        """Return what one entry says of the fleet."""
+        """Return the fleet status that one entry reports."""
         caller = Caller(url=self.urls[number], key=OPERATOR_TOKEN)
         return json.loads((await caller.fetch("/v1/status", method="GET")).body)
 
     def find_faults(self) -> list[str]:
-        """Return what daemons logged of exceptions that nothing had caught."""
-        faults = []
+        """Return the tracebacks of uncaught exceptions in the logs, with the file names."""
+        tracebacks = []
         for path in sorted(self.folder.glob("*.log")):
             text = path.read_text()
-            place = text.find("Traceback")
-            if place >= 0:
-                faults.append(f"{path.name}: {text[place : place + 3000]}")
-        return faults
+            start = text.find("Traceback")
+            if start >= 0:
+                tracebacks.append(f"{path.name}: {text[start : start + 3000]}")
+        return tracebacks
 
     def close(self) -> None:
-        """End all processes, and print what they logged of exceptions."""
+        """Kill all processes and print the tracebacks that they logged."""
         for fault in self.find_faults():
             print(fault, file=sys.stderr)
         standins = [self.platform, *(p for p, _ in [*self.engines, *self.services])]
@@ -179,4 +179,4 @@
                 pass
             await asyncio.sleep(0.05)
         logs = "\n".join(path.read_text()[-2000:] for path in self.folder.glob("*.log"))
-        raise TimeoutError(f"{self.urls[number]}{path} did not come in time:\n{logs}")
+        raise TimeoutError(f"{self.urls[number]}{path} gave no expected response in time:\n{logs}")
