--- a/tests/_waits.py
+++ b/tests/_waits.py
@@ -10,7 +10,7 @@
 
 
 async def wait_until(condition: Callable[[], bool], timeout_s: float = 15.0) -> None:
-    """Wait for a condition; a failed wait is an error of the test."""
+    """Wait for a condition; raise TimeoutError, which fails the test, if it stays false."""
     async with asyncio.timeout(timeout_s):
         while not condition():
             await asyncio.sleep(0.01)
--- a/tests/test_entry.py
+++ b/tests/test_entry.py
@@ -22,8 +22,8 @@
     """The configuration in force at an entry."""
 
     def test_versions_never_go_back(self) -> None:
-        # Two dispatchers tell different versions and the older one comes last. Taking it would send
-        # new work to an endpoint that has left.
+        # Two dispatchers send different versions and the older one arrives last. Applying it would
+        # send new work to an endpoint that has left.
         instance = Instance(
             name="i",
             failure_domain=FailureDomain(name="d", region="r"),
@@ -37,11 +37,11 @@
 
 
 class LoneEntryTest(unittest.IsolatedAsyncioTestCase):
-    """An entry whose own dispatcher never tells it of anybody."""
+    """An entry whose local dispatcher never reports another member."""
 
     async def test_seed_is_followed_when_the_own_dispatcher_is_dead(self) -> None:
-        # Callers of this entry are served a second after its start. Its own dispatcher died before
-        # it told of another member, so the entry follows a dispatcher that its settings name.
+        # The local dispatcher died before it reported another member. The entry follows a seed of
+        # its settings instead and serves callers a second after its start.
         asyncio.get_running_loop().set_debug(False)
         fleet = LocalFleet()
         await fleet.start()
--- a/tests/test_fleet_changes.py
+++ b/tests/test_fleet_changes.py
@@ -1,4 +1,4 @@
-"""Instances are replaced, frozen and killed under load, each a real process."""
+"""Tests that replace, pause and kill instances under load, each a real process."""
 
 from __future__ import annotations
 
@@ -10,47 +10,47 @@
 from tests._callers import Caller, StreamedAnswer, expect_answer
 from tests._processes import ProcessFleet
 
-REFUSED_ERRORS = (ConnectionError, OSError)
+CONNECTION_ERRORS = (ConnectionError, OSError)
 
 
 @dataclass(slots=True, kw_only=True)
 class Load:
-    """Callers that ask again only when their request was refused as not run.
+    """Callers that retry only requests that were rejected as not run.
 
-    They know all addresses, as callers do that asked ``/v1/addresses`` a while ago.
+    They know all addresses, like callers that queried ``/v1/addresses`` earlier.
     """
 
     urls: list[str]
-    answers: dict[str, StreamedAnswer] = field(default_factory=dict)
+    responses: dict[str, StreamedAnswer] = field(default_factory=dict)
     stop: bool = False
 
     async def run(self, callers: int) -> None:
-        """Make requests until told to stop."""
+        """Send requests until ``stop`` is set."""
         await asyncio.gather(*(self._work(number) for number in range(callers)))
 
     async def _work(self, worker: int) -> None:
         number = 0
         while not self.stop:
             prompt = f"worker {worker} request {number}"
-            self.answers[prompt] = await self._ask(prompt, worker + number)
+            self.responses[prompt] = await self._send(prompt, worker + number)
             number += 1
 
-    async def _ask(self, prompt: str, start: int) -> StreamedAnswer:
+    async def _send(self, prompt: str, start: int) -> StreamedAnswer:
         for attempt in range(200):
             url = self.urls[(start + attempt) % len(self.urls)]
             try:
-                answer = await Caller(url=url).stream(prompt)
-            except REFUSED_ERRORS as error:
+                response = await Caller(url=url).stream(prompt)
+            except CONNECTION_ERRORS as error:
                 if "refused" not in str(error):
                     return StreamedAnswer(
                         status=599, text="", ended=False, error={"code": repr(error)}
                     )
                 await asyncio.sleep(0.02)
                 continue
-            if answer.error is None or answer.error.get("outcome") != "not_run":
-                return answer
+            if response.error is None or response.error.get("outcome") != "not_run":
+                return response
             await asyncio.sleep(0.02)
-        return answer
+        return response
 
 
 class FleetChangeTest(unittest.IsolatedAsyncioTestCase):
@@ -65,23 +65,23 @@
         self.task = asyncio.ensure_future(self.load.run(6))
 
     async def finish_load(self) -> None:
-        """End the load and check that each caller got its own whole answer."""
+        """End the load and check that each caller got its own complete response."""
         self.load.stop = True
         await self.task
-        self.assertGreater(len(self.load.answers), 50)
-        for prompt, answer in self.load.answers.items():
-            self.assertEqual(answer.text, expect_answer(prompt), (prompt, answer.error))
-            self.assertTrue(answer.ended)
+        self.assertGreater(len(self.load.responses), 50)
+        for prompt, response in self.load.responses.items():
+            self.assertEqual(response.text, expect_answer(prompt), (prompt, response.error))
+            self.assertTrue(response.ended)
 
     async def test_all_instances_replaced_one_by_one(self) -> None:
-        # Callers that repeat only refusals as not run see whole answers only. Each instance in turn
-        # gets SIGTERM, ends by itself, and a new one starts under its name with a higher
-        # incarnation; it serves once it has the configuration.
+        # A rolling restart truncates no response for callers that retry only what was rejected as
+        # not run. Each instance in turn gets SIGTERM and exits by itself. A new one starts under
+        # its name with a higher incarnation and serves once it has the configuration.
         for number in range(3):
-            old = (self.fleet.entries[number], self.fleet.dispatchers[number])
-            for process in old:
+            replaced = (self.fleet.entries[number], self.fleet.dispatchers[number])
+            for process in replaced:
                 process.terminate()
-            for process in old:
+            for process in replaced:
                 self.assertEqual(await asyncio.to_thread(process.popen.wait, 30), 0)
                 process.close()
             self.fleet.dispatchers[number] = self.fleet.start_daemon("dispatcher", number)
@@ -90,9 +90,9 @@
         await self.finish_load()
 
     async def test_frozen_dispatcher_and_its_return(self) -> None:
-        # Callers see whole answers, some late. A dispatcher is frozen longer than any timeout of
-        # the slot streams; entries move its asks to the next keeper; when it wakes, what it grants
-        # late is given back unused.
+        # A dispatcher is paused longer than any timeout of the slot streams. Entries move its asks
+        # to the next keeper and release the slots that it grants late, after it resumes. Responses
+        # are complete, some late.
         self.fleet.dispatchers[1].pause()
         await asyncio.sleep(4)
         self.fleet.dispatchers[1].resume()
@@ -100,8 +100,8 @@
         await self.finish_load()
 
     async def test_killed_dispatcher_and_frozen_other(self) -> None:
-        # Two failures at once: one dispatcher is killed while another is frozen. The third keeps
-        # all endpoints; callers see whole answers.
+        # Two failures at once: one dispatcher is killed while another is paused. The third keeps
+        # all endpoints, and responses are complete.
         self.fleet.dispatchers[0].kill()
         self.fleet.dispatchers[1].pause()
         await asyncio.sleep(4)
@@ -112,9 +112,9 @@
         await self.finish_load()
 
     async def test_frozen_engine_is_left(self) -> None:
-        # One engine's process freezes in mid-answer: its connections stand and nothing comes. The
-        # entry takes the silence as a failure, resumes at the other engine, and callers see whole
-        # answers, the first ones late by the stall timeout.
+        # An engine's process is paused during responses: its connections stay open without data.
+        # The entry treats this as a failure and resumes at the other engine. Responses are
+        # complete, the first ones late by the stall timeout.
         process = self.fleet.engines[0][0]
         process.pause()
         await asyncio.sleep(13)
@@ -123,21 +123,21 @@
 
 
 class KilledEntryTest(unittest.IsolatedAsyncioTestCase):
-    """An entry dies with answers in flight."""
+    """An entry is killed with responses in flight."""
 
     async def test_cut_stream_shows_and_its_slots_come_back(self) -> None:
-        # The caller sees its connection end without the end mark, so it knows the answer is not
-        # whole. The engine's run is cancelled and the keepers free the slots: as many requests as
-        # there are slots are served through the other entry.
+        # The caller's connection ends without the end marker, so a truncated response is detected.
+        # The engine's run is cancelled and the keepers free the slots: as many requests as there
+        # are slots are served through the other entry.
         asyncio.get_running_loop().set_debug(False)
         fleet = ProcessFleet(instances=2, engines=1, services=1)
         self.addCleanup(fleet.close)
         await fleet.start()
         prompts = [f"tokens=400;{number}" for number in range(16)]
-        doomed = [asyncio.ensure_future(Caller(url=fleet.urls[0]).stream(p)) for p in prompts]
+        interrupted = [asyncio.ensure_future(Caller(url=fleet.urls[0]).stream(p)) for p in prompts]
         await asyncio.sleep(0.4)
         fleet.entries[0].kill()
-        for result in await asyncio.gather(*doomed, return_exceptions=True):
+        for result in await asyncio.gather(*interrupted, return_exceptions=True):
             ended = isinstance(result, StreamedAnswer) and result.ended
             self.assertFalse(ended)
         caller = Caller(url=fleet.urls[1])
--- a/tests/test_processes.py
+++ b/tests/test_processes.py
@@ -1,4 +1,4 @@
-"""The whole path over separate processes with real sockets, and under kills and freezes."""
+"""End-to-end tests over separate processes with real sockets, with killed processes and outages."""
 
 from __future__ import annotations
 
@@ -40,8 +40,8 @@
         self.assertEqual(names, {"instance-0", "instance-1"})
 
     async def test_killed_dispatchers_cut_no_answer(self) -> None:
-        # Callers see whole answers all along. One dispatcher dies, then the other is restarted: the
-        # entries move their asks and slots to whichever dispatcher lives.
+        # One dispatcher is killed and restarted, then the other is killed. The entries move their
+        # asks and slots to the live dispatcher, and all responses are complete.
         running = [asyncio.ensure_future(self.callers[i % 2].stream(f"k{i}")) for i in range(60)]
         await asyncio.sleep(0.05)
         self.fleet.dispatchers[0].kill()
@@ -57,8 +57,8 @@
             self.assertEqual(answer.text, expect_answer(f"after {number}"), answer.error)
 
     async def test_graceful_leave_cuts_no_request(self) -> None:
-        # An instance is told to leave with chats in flight. All of them end whole; the process
-        # exits by itself; callers that ask for addresses hear of the other instance only.
+        # An instance gets SIGTERM with chats in flight. All of them complete and its processes exit
+        # by themselves; ``/v1/addresses`` then lists only the other instance.
         running = [asyncio.ensure_future(self.callers[0].stream(f"g{i}")) for i in range(40)]
         await asyncio.sleep(0.05)
         self.fleet.entries[0].terminate()
@@ -74,8 +74,8 @@
 
     async def test_instance_that_hears_nobody_refuses_new_work(self) -> None:
         # An instance loses its only peer and the platform at once. It can't know any more whether
-        # an endpoint has left, so callers are refused as not run and told when to come back; with
-        # the platform heard again they are served.
+        # an endpoint has left, so it rejects callers as not run with a time to retry after. It
+        # serves them once the platform is reachable again.
         self.assertTrue((await self.callers[0].stream("before")).ended)
         self.fleet.entries[1].kill()
         self.fleet.dispatchers[1].kill()
@@ -94,8 +94,8 @@
                 answer = await self.callers[0].stream("again")
 
     async def test_configuration_spreads_and_survives_the_platform(self) -> None:
-        # An operator confirms at one instance; all have it in force. With the platform down, chats
-        # and idempotent calls go on; a non-idempotent call is refused at once as not run.
+        # A configuration confirmed at one instance comes into force at all. With the platform down,
+        # chats and idempotent calls continue; a non-idempotent call is rejected at once as not run.
         version = await confirm_text(
             self.fleet.urls[0], self.fleet.make_text(leaving=frozenset({"engine-0"}))
         )
@@ -104,8 +104,8 @@
         for caller in self.callers:
             self.assertTrue((await caller.stream("outage")).ended)
             self.assertEqual((await caller.call("lookup")).code, 200)
-            refused = await caller.call("approve", key="outage-1")
-            error = json.loads(refused.body)["error"]
-            self.assertEqual((refused.code, error["outcome"]), (503, "not_run"))
-            self.assertIn("Retry-After", refused.headers)
+            rejected = await caller.call("approve", key="outage-1")
+            error = json.loads(rejected.body)["error"]
+            self.assertEqual((rejected.code, error["outcome"]), (503, "not_run"))
+            self.assertIn("Retry-After", rejected.headers)
         self.assertNotIn("outage-1", await self.fleet.read_runs())
