--- a/src/guavamast/dispatcher.py
+++ b/src/guavamast/dispatcher.py
@@ -17,16 +17,16 @@
 from guavamast.configuration_spread import ConfigurationSpread, Source, Standing
 from guavamast.errors import GuavamastError
 from guavamast.findings import FindingsError
-from guavamast.fleet_reader import AcceptedReader
+from guavamast.fleet_reader import IncrementalReader
 from guavamast.heartbeats import HeartbeatLinks
 from guavamast.hosted_endpoints import HostedEndpoints
 from guavamast.keeper_host import PROBE_INTERVAL_S, KeeperHost
-from guavamast.leases import LeaseHolder, LeaseTerms
+from guavamast.leases import LeaseHolder, LeaseParameters
 from guavamast.load_poller import LoadPoller
 from guavamast.log import get_logger
 from guavamast.membership import Membership
 from guavamast.metrics import create_metrics
-from guavamast.order_giver import OrderGiver
+from guavamast.order_issuer import OrderIssuer
 from guavamast.order_http import HttpOrderSender
 from guavamast.order_loop import OrderLoop
 from guavamast.peer_service import PeerService
@@ -34,7 +34,7 @@
 from guavamast.platform_client import PlatformError
 from guavamast.platform_http import HttpPlatformClient
 from guavamast.view_feed import ViewFeed
-from guavamast.world import Configuration
+from guavamast.fleet_objects import Configuration
 
 if TYPE_CHECKING:
     from collections.abc import Coroutine
@@ -76,7 +76,7 @@
             tables_url=settings.tables_url, objects_url=settings.objects_url
         )
         self._plans = PlanStore(platform=self._platform, make_id=lambda: uuid.uuid4().hex)
-        self._reader = AcceptedReader()
+        self._reader = IncrementalReader()
         self._unreadable_version = 0
         self.leave_requested = asyncio.Event()
         """Set when the configuration lists this instance as leaving."""
@@ -107,7 +107,7 @@
         poller = LoadPoller(
             host=self.host, get_configuration=lambda: self.configuration, clock=self.clock
         )
-        self.host.on_new_keeper = poller.poll_soon
+        self.host.on_new_keeper = poller.poll_now
         self._start_task(self.heartbeats.run())
         self._start_task(self._create_order_loop().run())
         self._start_task(poller.run())
@@ -165,21 +165,21 @@
         return None if allotment is None else encode_allotment(allotment)
 
     def _create_order_loop(self) -> OrderLoop:
-        clock, terms = SystemClock(), LeaseTerms()
+        clock, terms = SystemClock(), LeaseParameters()
         name = self._settings.instance.name
         leases = LeaseHolder(
             platform=self._platform,
             clock=clock,
             holder=name,
-            make_nonce=lambda: uuid.uuid4().hex,
-            terms=terms,
+            generate_nonce=lambda: uuid.uuid4().hex,
+            parameters=terms,
         )
-        giver = OrderGiver(
+        giver = OrderIssuer(
             platform=self._platform,
             leases=leases,
             sender=HttpOrderSender(),
             clock=clock,
-            terms=terms,
+            parameters=terms,
         )
         hosted = HostedEndpoints(
             instance=name,
@@ -187,7 +187,7 @@
             get_configuration=lambda: self.configuration,
             get_view=lambda: self.membership.make_view(now=self.clock()),
         )
-        return OrderLoop(giver=giver, kept=hosted, clock=clock)
+        return OrderLoop(issuer=giver, kept=hosted, clock=clock)
 
     def _create_service(self) -> PeerService:
         return PeerService(
@@ -276,7 +276,7 @@
         if serving != self._serving:
             self._serving = serving
             self.allotments.record_view_change(now=now)
-        self.allotments.forget_idle(now=now)
+        self.allotments.evict_idle(now=now)
         self._published = self._summarize(view, now)
         self._published_at = now
         self.feed.set_view(view, isolated=self._is_isolated(now))
--- a/src/guavamast/entry.py
+++ b/src/guavamast/entry.py
@@ -34,16 +34,16 @@
 from guavamast.metrics import create_metrics
 from guavamast.operation_store import OperationStore
 from guavamast.operator_tokens import TokenFileAuthenticator
-from guavamast.operators import make_operator_routes
+from guavamast.operator_handlers import build_operator_routes
 from guavamast.placement import EndpointChooser
 from guavamast.plan_store import PlanStore
 from guavamast.platform_http import HttpPlatformClient
 from guavamast.rendezvous import rank
 from guavamast.retries import RetryBudget
-from guavamast.routes import make_application, make_caller_routes
-from guavamast.send_gates import BEAT_INTERVAL_S, PauseWatch
+from guavamast.routes import build_application, build_caller_routes
+from guavamast.send_gates import TICK_INTERVAL_S, PauseDetector
 from guavamast.service_calls import ServiceCalls
-from guavamast.service_handlers import make_service_routes
+from guavamast.service_handlers import build_service_routes
 from guavamast.service_slots import BudgetRetryPolicy, EntryGate, EntrySlotSource
 from guavamast.slot_finder import SlotFinder
 from guavamast.slot_links import SlotLinks
@@ -55,7 +55,7 @@
 
     from guavamast.members import MembershipView
     from guavamast.settings import InstanceSettings
-    from guavamast.world import Configuration
+    from guavamast.fleet_objects import Configuration
 
 LOAD_INTERVAL_S: Final = 5.0
 """Time between two load reports to the local dispatcher."""
@@ -101,7 +101,7 @@
         self._platform = HttpPlatformClient(
             tables_url=settings.tables_url, objects_url=settings.objects_url
         )
-        self.pauses = PauseWatch(now=self.clock())
+        self.pauses = PauseDetector(now=self.clock())
         self._budget = RetryBudget()
         finder = SlotFinder(state=self.state, links=self.links, clock=self.clock)
         self.calls = self._create_calls(finder)
@@ -115,7 +115,7 @@
             entry=f"{self._settings.instance.name}/{uuid.uuid4().hex[:8]}",
             find_keeper=self.state.find_keeper_address,
             on_probe=lambda probe: self._chooser.record_probe(probe, now=self.clock()),
-            on_allotment=lambda message: self.limits.take_allotment(message),
+            on_allotment=lambda message: self.limits.apply_allotment(message),
             clock=self.clock,
         )
 
@@ -160,11 +160,11 @@
         sock = bind_socket(self._settings.instance.caller_address)
         self.address = get_bound_address(sock)
         routes = [
-            *make_caller_routes(self.services),
-            *make_service_routes(self.services, self.calls),
+            *build_caller_routes(self.services),
+            *build_service_routes(self.services, self.calls),
             *self._create_operator_routes(),
         ]
-        application = make_application(routes, self.services)
+        application = build_application(routes, self.services)
         self._server = HTTPServer(
             application,
             max_body_size=DISCARD_LIMIT_BYTES,
@@ -178,7 +178,7 @@
         self._start_task(self.limits.run())
         retention_s = self._settings.operation_retention_s
         self._start_task(
-            self.calls.delete_expired(retention_s=retention_s, is_mine=self._owns_prefix)
+            self.calls.delete_expired(retention_s=retention_s, owns_prefix=self._owns_prefix)
         )
 
     def _create_operator_routes(self) -> list[tuple[str, type, dict[str, Any]]]:
@@ -186,7 +186,7 @@
         authenticator = TokenFileAuthenticator(
             path=self._settings.operator_token_file, callers=status
         )
-        return make_operator_routes(
+        return build_operator_routes(
             store=PlanStore(platform=self._platform, make_id=lambda: uuid.uuid4().hex),
             authenticator=authenticator,
             status=status,
@@ -270,8 +270,8 @@
 
     async def _watch_pauses(self) -> None:
         while True:
-            self.pauses.beat(now=self.clock())
-            await asyncio.sleep(BEAT_INTERVAL_S)
+            self.pauses.tick(now=self.clock())
+            await asyncio.sleep(TICK_INTERVAL_S)
 
     async def _report_load(self) -> None:
         while True:
--- a/src/guavamast/entry_state.py
+++ b/src/guavamast/entry_state.py
@@ -5,14 +5,14 @@
 import hashlib
 from typing import TYPE_CHECKING
 
-from guavamast.keeping import find_keeper
+from guavamast.keeper_selection import select_keeper
 from guavamast.members import MembershipView, MemberState
-from guavamast.world import Configuration, EndpointState
+from guavamast.fleet_objects import Configuration, EndpointState
 
 if TYPE_CHECKING:
     from guavamast.members import Member
     from guavamast.placement import EndpointChooser
-    from guavamast.world import Endpoint, Instance, Organisation
+    from guavamast.fleet_objects import Endpoint, Instance, Organisation
 
 
 class EntryState:
@@ -102,7 +102,7 @@
             for member in self.view.members
             if member.instance.peer_address not in unreachable
         )
-        keeper = find_keeper(target, MembershipView(members=members))
+        keeper = select_keeper(target, MembershipView(members=members))
         return keeper.instance.peer_address if keeper else None
 
     def find_active_endpoint(self, name: str) -> Endpoint | None:
--- a/src/guavamast/entry_status.py
+++ b/src/guavamast/entry_status.py
@@ -5,17 +5,17 @@
 from typing import TYPE_CHECKING
 
 from guavamast.fleet_status import EndpointStatus, FleetStatus, InstanceStatus, StatusSource
-from guavamast.keeping import find_keeper
-from guavamast.operator_tokens import CallerKeys
+from guavamast.keeper_selection import select_keeper
+from guavamast.operator_tokens import CallerKeyDirectory
 
 if TYPE_CHECKING:
     from guavamast.entry_state import EntryState
     from guavamast.members import Member
     from guavamast.slot_links import SlotLinks
-    from guavamast.world import Configuration, Endpoint
+    from guavamast.fleet_objects import Configuration, Endpoint
 
 
-class EntryStatus(StatusSource, CallerKeys):
+class EntryStatus(StatusSource, CallerKeyDirectory):
     """Fleet status as one entry knows it.
 
     Args:
@@ -31,7 +31,7 @@
         """Return the configuration in force at this instance."""
         return self._state.configuration
 
-    def knows_key(self, key_sha256: str) -> bool:
+    def has_key(self, key_sha256: str) -> bool:
         """Return whether a key of this digest belongs to an organisation."""
         organisations = self._state.configuration.organisations.values()
         return any(item.key_sha256 == key_sha256 for item in organisations)
@@ -47,7 +47,7 @@
         )
 
     def _describe_endpoint(self, endpoint: Endpoint) -> EndpointStatus:
-        keeper = find_keeper(endpoint, self._state.view)
+        keeper = select_keeper(endpoint, self._state.view)
         return EndpointStatus(
             name=endpoint.name,
             state=endpoint.state,
--- a/src/guavamast/fleet_status.py
+++ b/src/guavamast/fleet_status.py
@@ -7,7 +7,7 @@
 from typing import TYPE_CHECKING
 
 if TYPE_CHECKING:
-    from guavamast.world import Configuration
+    from guavamast.fleet_objects import Configuration
 
 
 @dataclass(frozen=True, slots=True, kw_only=True)
--- a/src/guavamast/peer_service.py
+++ b/src/guavamast/peer_service.py
@@ -67,7 +67,7 @@
                         sender = asyncio.ensure_future(_send_outbox(stream, entry_stream))
                     elif entry_stream is not None:
                         self._handle_message(message, entry_stream)
-                host.schedule()
+                host.schedule_tick()
         finally:
             if entry_stream is not None:
                 host.disconnect(entry_stream)
@@ -76,7 +76,7 @@
 
     def _handle_message(self, message: peer_pb2.EntryMessage, stream: EntryStream) -> None:
         if message.WhichOneof("body") != "allotment_ask":
-            self._host.take(message, entry=stream.entry)
+            self._host.receive(message, entry=stream.entry)
             return
         answer = self._answer_allotment(message.allotment_ask, stream.entry)
         if answer is not None:
--- a/src/guavamast/view_feed.py
+++ b/src/guavamast/view_feed.py
@@ -10,7 +10,7 @@
 
 if TYPE_CHECKING:
     from guavamast.members import MembershipView
-    from guavamast.world import Configuration
+    from guavamast.fleet_objects import Configuration
 
 
 class ViewFollower:
--- a/src/guavamast/view_link.py
+++ b/src/guavamast/view_link.py
@@ -9,17 +9,17 @@
 
 from guavamast import peer_pb2
 from guavamast.findings import FindingsError
-from guavamast.fleet_reader import AcceptedReader
+from guavamast.fleet_reader import IncrementalReader
 from guavamast.log import get_logger
 from guavamast.member_codec import decode_member
 from guavamast.members import MembershipView
 from guavamast.peer_grpc import PeerStub
-from guavamast.slot_links import LinkErrors
+from guavamast.slot_links import LINK_ERRORS
 
 if TYPE_CHECKING:
     from collections.abc import Callable
 
-    from guavamast.world import Configuration
+    from guavamast.fleet_objects import Configuration
 
 RECONNECT_S: Final = 0.2
 FAILURES_BEFORE_OTHERS: Final = 5
@@ -54,7 +54,7 @@
         self._entry = entry
         self._address = address
         self._list_others = list_others
-        self._reader = AcceptedReader()
+        self._reader = IncrementalReader()
         self._on_configuration = on_configuration
         self._on_view = on_view
         self._task: asyncio.Task[None] | None = None
@@ -75,7 +75,7 @@
             channel = _open(address)
             try:
                 await PeerStub(channel).Announce(request, timeout=ANNOUNCE_TIMEOUT_S)
-            except LinkErrors as error:
+            except LINK_ERRORS as error:
                 get_logger().info("announcement to %s failed: %r", address, error)
                 continue
             finally:
@@ -107,7 +107,7 @@
                 while (message := await stream.recv_message()) is not None:
                     received = True
                     self._apply(message)
-        except LinkErrors as error:
+        except LINK_ERRORS as error:
             get_logger().info("view stream from %s lost: %r", address, error)
         finally:
             channel.close()
--- a/tests/_processes.py
+++ b/tests/_processes.py
@@ -15,7 +15,7 @@
 
 from tornado.httpclient import HTTPClientError
 
-from guavamast.demo import confirm_text
+from guavamast.demo import apply_configuration
 from guavamast.local_fleet import (
     OPERATOR_TOKEN,
     build_fleet_text,
@@ -98,7 +98,7 @@
             self.dispatchers.append(self.start_daemon("dispatcher", number))
             self.entries.append(self.start_daemon("entry", number))
         await self.wait_alive(range(self.instances))
-        version = await confirm_text(self.urls[0], self.make_text())
+        version = await apply_configuration(self.urls[0], self.make_text())
         await self.wait_for_version(version, range(self.instances))
 
     def start_daemon(self, role: str, number: int) -> Process:
--- a/tests/test_entry.py
+++ b/tests/test_entry.py
@@ -8,12 +8,12 @@
 import unittest
 from pathlib import Path
 
-from guavamast.demo import confirm_text
+from guavamast.demo import apply_configuration
 from guavamast.entry import Entry
 from guavamast.entry_state import EntryState
 from guavamast.local_fleet import LocalFleet, reserve_ports, write_instance_settings
 from guavamast.placement import EndpointChooser
-from guavamast.world import Configuration, FailureDomain, Instance
+from guavamast.fleet_objects import Configuration, FailureDomain, Instance
 from tests._callers import Caller, expect_answer
 from tests._waits import wait_until
 
@@ -46,7 +46,7 @@
         fleet = LocalFleet()
         await fleet.start()
         self.addAsyncCleanup(fleet.close)
-        await confirm_text(fleet.url, fleet.make_text())
+        await apply_configuration(fleet.url, fleet.make_text())
         dispatcher = fleet.dispatchers[0]
         with tempfile.TemporaryDirectory() as folder:
             (settings,) = write_instance_settings(
--- a/tests/test_processes.py
+++ b/tests/test_processes.py
@@ -6,7 +6,7 @@
 import json
 import unittest
 
-from guavamast.demo import confirm_text
+from guavamast.demo import apply_configuration
 from tests._callers import Caller, expect_answer
 from tests._processes import ProcessFleet
 
@@ -96,7 +96,7 @@
     async def test_configuration_spreads_and_survives_the_platform(self) -> None:
         # A configuration confirmed at one instance comes into force at all. With the platform down,
         # chats and idempotent calls continue; a non-idempotent call is rejected at once as not run.
-        version = await confirm_text(
+        version = await apply_configuration(
             self.fleet.urls[0], self.fleet.make_text(leaving=frozenset({"engine-0"}))
         )
         await self.fleet.wait_for_version(version, range(2))
