--- a/src/guavamast/entry_status.py
+++ b/src/guavamast/entry_status.py
@@ -1,4 +1,4 @@
-"""What an entry tells operators of the fleet."""
+"""The fleet status that an entry reports to operators."""
 
 from __future__ import annotations
 
@@ -13,10 +13,11 @@
     from guavamast.fleet_objects import Configuration, Endpoint
     from guavamast.members import Member
     from guavamast.slot_links import SlotLinks
+    from guavamast.fleet_objects import Configuration, Endpoint
 
 
 class EntryStatus(StatusSource, CallerKeyDirectory):
-    """The view of one entry.
+    """Fleet status as one entry knows it.
 
     Args:
         state: Its configuration and view.
