--- a/src/guavamast/dispatcher.py
+++ b/src/guavamast/dispatcher.py
@@ -17,6 +17,7 @@
 from guavamast.configuration_spread import ConfigurationSpread, Source, Standing
 from guavamast.errors import GuavamastError
 from guavamast.findings import FindingsError
+from guavamast.fleet_objects import Configuration
 from guavamast.fleet_reader import IncrementalReader
 from guavamast.heartbeats import HeartbeatLinks
 from guavamast.hosted_endpoints import HostedEndpoints
@@ -26,7 +27,6 @@
 from guavamast.log import get_logger
 from guavamast.membership import Membership
 from guavamast.metrics import create_metrics
-from guavamast.order_issuer import OrderIssuer
 from guavamast.order_http import HttpOrderSender
 from guavamast.order_issuer import OrderIssuer
 from guavamast.order_loop import OrderLoop
@@ -35,7 +35,6 @@
 from guavamast.platform_client import PlatformError
 from guavamast.platform_http import HttpPlatformClient
 from guavamast.view_feed import ViewFeed
-from guavamast.fleet_objects import Configuration
 
 if TYPE_CHECKING:
     from collections.abc import Coroutine
--- a/src/guavamast/entry.py
+++ b/src/guavamast/entry.py
@@ -35,7 +35,6 @@
 from guavamast.operation_store import OperationStore
 from guavamast.operator_handlers import build_operator_routes
 from guavamast.operator_tokens import TokenFileAuthenticator
-from guavamast.operator_handlers import build_operator_routes
 from guavamast.placement import EndpointChooser
 from guavamast.plan_store import PlanStore
 from guavamast.platform_http import HttpPlatformClient
@@ -57,7 +56,6 @@
     from guavamast.fleet_objects import Configuration
     from guavamast.members import MembershipView
     from guavamast.settings import InstanceSettings
-    from guavamast.fleet_objects import Configuration
 
 LOAD_INTERVAL_S: Final = 5.0
 """Time between two load reports to the local dispatcher."""
--- a/src/guavamast/entry_state.py
+++ b/src/guavamast/entry_state.py
@@ -5,15 +5,14 @@
 import hashlib
 from typing import TYPE_CHECKING
 
+from guavamast.fleet_objects import Configuration, EndpointState
 from guavamast.keeper_selection import select_keeper
 from guavamast.members import MembershipView, MemberState
-from guavamast.fleet_objects import Configuration, EndpointState
 
 if TYPE_CHECKING:
     from guavamast.fleet_objects import Endpoint, Instance, Organisation
     from guavamast.members import Member
     from guavamast.placement import EndpointChooser
-    from guavamast.fleet_objects import Endpoint, Instance, Organisation
 
 
 class EntryState:
--- a/src/guavamast/entry_status.py
+++ b/src/guavamast/entry_status.py
@@ -13,7 +13,6 @@
     from guavamast.fleet_objects import Configuration, Endpoint
     from guavamast.members import Member
     from guavamast.slot_links import SlotLinks
-    from guavamast.fleet_objects import Configuration, Endpoint
 
 
 class EntryStatus(StatusSource, CallerKeyDirectory):
--- a/src/guavamast/view_feed.py
+++ b/src/guavamast/view_feed.py
@@ -11,7 +11,6 @@
 if TYPE_CHECKING:
     from guavamast.fleet_objects import Configuration
     from guavamast.members import MembershipView
-    from guavamast.fleet_objects import Configuration
 
 
 class ViewFollower:
--- a/tests/test_entry.py
+++ b/tests/test_entry.py
@@ -14,7 +14,6 @@
 from guavamast.fleet_objects import Configuration, FailureDomain, Instance
 from guavamast.local_fleet import LocalFleet, reserve_ports, write_instance_settings
 from guavamast.placement import EndpointChooser
-from guavamast.fleet_objects import Configuration, FailureDomain, Instance
 from tests._callers import Caller, expect_answer
 from tests._waits import wait_until
 
