--- a/bench/membership_rounds.py
+++ b/bench/membership_rounds.py
@@ -41,7 +41,7 @@
         ]
     )
     for node in loop.nodes.values():
-        node.spread.hear_platform(0, now=0.0)
+        node.spread.record_head(0, now=0.0)
     while not loop.agrees():
         loop.run_round()
     for _ in range(3):
@@ -175,13 +175,13 @@
             length = STALL_SCALE_S * random.paretovariate(STALL_SHAPE)
             stalled_until = max(stalled_until, second + length)
         if second >= stalled_until:
-            held = observer.find("b")
+            held = observer.get("b")
             refuted = held is not None and held.state != MemberState.LIVE
             incarnation = held.incarnation + 1 if refuted else seen.incarnation
             seen = _raise_heartbeat(seen, incarnation)
             observer.merge([seen], now=float(second))
         observer.tick(now=float(second))
-        held = observer.find("b")
+        held = observer.get("b")
         suspected += held.state == MemberState.SUSPECT and state == MemberState.LIVE
         gone += held.state == MemberState.GONE and state != MemberState.GONE
         state = held.state
@@ -216,7 +216,7 @@
         now=0.0,
     )
     second = 0
-    while observer.find("b").state != MemberState.GONE:
+    while observer.get("b").state != MemberState.GONE:
         second += 1
         observer.tick(now=float(second))
     return second - 1
--- a/src/guavamast/at_most_once_runs.py
+++ b/src/guavamast/at_most_once_runs.py
@@ -131,7 +131,7 @@
         try:
             check_key(call.idempotency_key)
         except GuavamastError as error:
-            raise SendLatch().refuse(error.code, error.message, status=400) from None
+            raise SendLatch().reject(error.code, error.message, status=400) from None
         remaining_s = call.deadline - self._clock.read_monotonic()
         return AtMostOnceRun(call=call, now=self._clock.read_wall(), remaining_s=remaining_s)
 
@@ -155,7 +155,7 @@
             earlier = await self._look_up(run)
             if earlier is not None:
                 return earlier
-            raise run.latch.refuse(
+            raise run.latch.reject(
                 error.code, error.message, status=error.status, retry_after_s=error.retry_after_s
             ) from None
         return await self._run_with_slot(run, grant)
@@ -238,7 +238,7 @@
         if run.latch.sent:
             self._metrics.count("operations.unknown")
             message = "the endpoint's response was lost; the call may have run"
-            raise run.latch.refuse(ErrorCode.ENDPOINT_FAILED, message, status=503) from error
+            raise run.latch.reject(ErrorCode.ENDPOINT_FAILED, message, status=503) from error
         try:
             await self._store.mark_not_run(run.operation, run.latch)
         except (PlatformUnavailable, PlatformAnswerLost):
@@ -270,7 +270,7 @@
             return await self._serve_recorded(decision)
         if isinstance(decision, KeyReused):
             message = "the key was used for another call or body; this one did not run"
-            raise run.latch.refuse(ErrorCode.IDEMPOTENCY_KEY_REUSED, message, status=422)
+            raise run.latch.reject(ErrorCode.IDEMPOTENCY_KEY_REUSED, message, status=422)
         if isinstance(decision, Running):
             raise Refusal(
                 ErrorCode.IN_PROGRESS,
@@ -315,7 +315,7 @@
             return Refusal(
                 code, message, status=status, outcome=unknown, retry_after_s=retry_after_s
             )
-        return run.latch.refuse(code, message, status=status, retry_after_s=retry_after_s)
+        return run.latch.reject(code, message, status=status, retry_after_s=retry_after_s)
 
     def _create_platform_rejection(self, run: AtMostOnceRun, message: str) -> Refusal:
         return self.create_unread_rejection(
@@ -336,8 +336,8 @@
 def _create_unsent_rejection(run: AtMostOnceRun, error: Exception) -> Refusal:
     """Create the rejection after a send that did not begin, as the latch proves."""
     if isinstance(error, Obstructed) and error.code is ErrorCode.DEADLINE_EXCEEDED:
-        return run.latch.refuse(error.code, "the deadline has passed", status=504)
+        return run.latch.reject(error.code, "the deadline has passed", status=504)
     unsent = isinstance(error, Obstructed | NotSent)
     code = ErrorCode.NO_ENDPOINT if unsent else ErrorCode.INTERNAL
     message = "the call could not be sent to an endpoint; nothing was sent"
-    return run.latch.refuse(code, message, status=503, retry_after_s=SEND_RETRY_AFTER_S)
+    return run.latch.reject(code, message, status=503, retry_after_s=SEND_RETRY_AFTER_S)
--- a/src/guavamast/caller_input.py
+++ b/src/guavamast/caller_input.py
@@ -42,9 +42,9 @@
         return hashlib.sha256(f"{self.model}\x00{text[:PREFIX_BYTES]}".encode()).hexdigest()[:16]
 
 
-def refuse_input(message: str, code: ErrorCode = ErrorCode.BAD_REQUEST) -> Refusal:
+def reject_input(message: str, code: ErrorCode = ErrorCode.BAD_REQUEST) -> Refusal:
     """Return the rejection of a request with invalid input."""
-    return SendLatch().refuse(code, message, status=400)
+    return SendLatch().reject(code, message, status=400)
 
 
 def parse_bearer(header: str) -> str:
@@ -58,17 +58,17 @@
     if not header:
         return None
     if not (header.isascii() and header.isdigit()) or len(header) > 12:
-        raise refuse_input("X-Request-Timeout-Ms must be a whole number of milliseconds")
+        raise reject_input("X-Request-Timeout-Ms must be a whole number of milliseconds")
     seconds = int(header) / 1000.0
     if not 0 < seconds <= MAX_TIMEOUT_S:
-        raise refuse_input(f"X-Request-Timeout-Ms must be from 1 to {MAX_TIMEOUT_S * 1000:.0f}")
+        raise reject_input(f"X-Request-Timeout-Ms must be from 1 to {MAX_TIMEOUT_S * 1000:.0f}")
     return seconds
 
 
-def parse_label(header: str, *, name: str, longest: int) -> str:
+def parse_label(header: str, *, name: str, max_length: int) -> str:
     """Return a header's value; reject any but printable ASCII without spaces."""
-    if len(header) > longest or not all("!" <= char <= "~" for char in header):
-        raise refuse_input(f"{name} must be at most {longest} printable ASCII characters")
+    if len(header) > max_length or not all("!" <= char <= "~" for char in header):
+        raise reject_input(f"{name} must be at most {max_length} printable ASCII characters")
     return header
 
 
@@ -77,9 +77,9 @@
     try:
         value = json.loads(body)
     except (ValueError, RecursionError) as error:
-        raise refuse_input(f"the body is not JSON: {error}") from error
+        raise reject_input(f"the body is not JSON: {error}") from error
     if not isinstance(value, dict):
-        raise refuse_input("the body must be a JSON object")
+        raise reject_input("the body must be a JSON object")
     return value
 
 
@@ -88,13 +88,13 @@
     value = parse_json_object(body)
     model = value.get("model")
     if not isinstance(model, str) or not model:
-        raise refuse_input("model must be a string")
+        raise reject_input("model must be a string")
     stream = value.get("stream", False)
     if not isinstance(stream, bool):
-        raise refuse_input("stream must be true or false")
+        raise reject_input("stream must be true or false")
     max_tokens = value.get("max_tokens", DEFAULT_MAX_TOKENS)
     if type(max_tokens) is not int or not 0 < max_tokens <= MAX_MAX_TOKENS:
-        raise refuse_input(f"max_tokens must be a whole number from 1 to {MAX_MAX_TOKENS}")
+        raise reject_input(f"max_tokens must be a whole number from 1 to {MAX_MAX_TOKENS}")
     return ChatBody(
         model=model,
         messages=_parse_messages(value.get("messages")),
@@ -105,14 +105,14 @@
 
 def _parse_messages(messages: object) -> list[dict[str, Any]]:
     if not isinstance(messages, list) or not messages:
-        raise refuse_input("messages must be a non-empty list")
+        raise reject_input("messages must be a non-empty list")
     for index, message in enumerate(messages):
         if not isinstance(message, dict):
-            raise refuse_input(f"messages[{index}] must be an object")
+            raise reject_input(f"messages[{index}] must be an object")
         if not isinstance(message.get("role"), str):
-            raise refuse_input(f"messages[{index}].role must be a string")
+            raise reject_input(f"messages[{index}].role must be a string")
         if not _is_text(message.get("content")):
-            raise refuse_input(f"messages[{index}].content must be a string")
+            raise reject_input(f"messages[{index}].content must be a string")
     return messages
 
 
--- a/src/guavamast/callers.py
+++ b/src/guavamast/callers.py
@@ -17,7 +17,7 @@
     parse_bearer,
     parse_label,
     parse_timeout,
-    refuse_input,
+    reject_input,
 )
 from guavamast.errors import ErrorCode, Outcome, Refusal, SendLatch
 from guavamast.log import get_logger
@@ -103,7 +103,7 @@
         limit = self.get_body_limit()
         if size > limit:
             self.set_header("Connection", "close")
-            raise SendLatch().refuse(
+            raise SendLatch().reject(
                 ErrorCode.BODY_TOO_LARGE, f"the body is larger than {limit} bytes", status=413
             )
 
@@ -190,16 +190,16 @@
     def read_request_id(self) -> None:
         """Read the caller's request id, or generate one."""
         header = self.request.headers.get("X-Request-Id", "")
-        given = parse_label(header, name="X-Request-Id", longest=MAX_REQUEST_ID_LENGTH)
+        given = parse_label(header, name="X-Request-Id", max_length=MAX_REQUEST_ID_LENGTH)
         self.request_id = given or uuid.uuid4().hex
 
-    def find_caller(self) -> Organisation:
+    def authenticate_caller(self) -> Organisation:
         """Return the organisation whose key the request carries."""
         self.require_ready()
         key = parse_bearer(self.request.headers.get("Authorization", ""))
         organisation = self.services.state.find_organisation(key) if key else None
         if organisation is None:
-            raise SendLatch().refuse(
+            raise SendLatch().reject(
                 ErrorCode.UNAUTHENTICATED, "the API key is missing or unknown", status=401
             )
         self._organisation = organisation.name
@@ -209,29 +209,29 @@
         """Reject when this instance has no configuration, is isolated or is leaving."""
         state = self.services.state
         if state.configuration.version == 0:
-            raise SendLatch().refuse(
+            raise SendLatch().reject(
                 ErrorCode.NO_CONFIGURATION,
                 "no configuration is in force yet",
                 status=503,
                 retry_after_s=NO_CONFIGURATION_RETRY_S,
             )
         if state.isolated:
-            raise SendLatch().refuse(
+            raise SendLatch().reject(
                 ErrorCode.NO_CONFIGURATION,
                 "this instance has contact with neither the platform nor another instance",
                 status=503,
                 retry_after_s=ISOLATED_RETRY_S,
             )
         if state.leaving:
-            others = ", ".join(item.instance.caller_address for item in state.list_others()[:3])
+            others = ", ".join(item.instance.caller_address for item in state.list_live_peers()[:3])
             raise _reject_leaving(f"this instance is leaving; others: {others or 'none known'}")
 
-    def find_class(self, organisation: Organisation, kind: str) -> ServiceClass:
+    def look_up_class(self, organisation: Organisation, kind: str) -> ServiceClass:
         """Return the organisation's service class for a kind of request."""
         name = organisation.contract.classes.get(kind)
         if name is None:
             message = f"{organisation.name} has no class for the kind {kind!r}"
-            raise refuse_input(message, ErrorCode.UNKNOWN_CLASS)
+            raise reject_input(message, ErrorCode.UNKNOWN_CLASS)
         self._class_name = name
         return self.services.state.configuration.classes[name]
 
@@ -242,15 +242,15 @@
 
 
 def _reject_leaving(message: str) -> Refusal:
-    return SendLatch().refuse(ErrorCode.LEAVING, message, status=503, retry_after_s=LEAVING_RETRY_S)
+    return SendLatch().reject(ErrorCode.LEAVING, message, status=503, retry_after_s=LEAVING_RETRY_S)
 
 
 def _translate_error(error: BaseException | None, status: int) -> Refusal:
     if isinstance(error, HTTPError) and status == 404:
-        return SendLatch().refuse(ErrorCode.NOT_FOUND, "no such path", status=404)
+        return SendLatch().reject(ErrorCode.NOT_FOUND, "no such path", status=404)
     if isinstance(error, HTTPError) and status < 500:
         message = error.log_message or error.reason or "the request is invalid"
-        return SendLatch().refuse(ErrorCode.BAD_REQUEST, message, status=status)
+        return SendLatch().reject(ErrorCode.BAD_REQUEST, message, status=status)
     # The error may have occurred after a send, so the outcome of the work is unknown.
     return Refusal(
         ErrorCode.INTERNAL,
@@ -266,4 +266,4 @@
 
     def prepare(self) -> None:
         """Reject the request as not found."""
-        raise SendLatch().refuse(ErrorCode.NOT_FOUND, "no such path", status=404)
+        raise SendLatch().reject(ErrorCode.NOT_FOUND, "no such path", status=404)
--- a/src/guavamast/chat_handlers.py
+++ b/src/guavamast/chat_handlers.py
@@ -14,7 +14,7 @@
 from guavamast.event_stream import DONE, encode_event, encode_json_event
 
 if TYPE_CHECKING:
-    from guavamast.answers import ResponseChunk
+    from guavamast.response_checker import ResponseChunk
 
 DEFAULT_KIND: Final = "chat"
 
@@ -25,12 +25,12 @@
     async def post(self) -> None:
         """Serve a chat, streamed or not."""
         self.read_request_id()
-        organisation = self.find_caller()
+        organisation = self.authenticate_caller()
         kind = self.request.headers.get("X-Request-Kind", DEFAULT_KIND)
-        service_class = self.find_class(organisation, kind)
+        service_class = self.look_up_class(organisation, kind)
         body = parse_chat_body(self.read_body())
         if body.model not in self.services.state.configuration.models:
-            raise SendLatch().refuse(
+            raise SendLatch().reject(
                 ErrorCode.UNKNOWN_MODEL, f"no model {body.model!r}", status=404
             )
         chat = Chat(
--- a/src/guavamast/chats.py
+++ b/src/guavamast/chats.py
@@ -8,10 +8,10 @@
 from enum import Enum
 from typing import TYPE_CHECKING, Final
 
-from guavamast.answers import AnswerInvalid, ResponseChecker
 from guavamast.engine_client import EndpointBroken, EngineCall, SendForbidden
 from guavamast.errors import ErrorCode, Outcome, Refusal, SendLatch
 from guavamast.log import get_logger
+from guavamast.response_checker import AnswerInvalid, ResponseChecker
 from guavamast.retries import compute_backoff
 from guavamast.slot_finder import SlotRequirements
 from guavamast.slots import Release
@@ -20,13 +20,13 @@
     import random
     from collections.abc import AsyncIterator, Callable
 
-    from guavamast.answers import ResponseChunk
     from guavamast.caller_input import ChatBody
     from guavamast.engine_client import EngineClient
     from guavamast.entry_state import EntryState
     from guavamast.event_stream import Event
     from guavamast.fleet_objects import Organisation, ServiceClass
     from guavamast.metrics import Metrics
+    from guavamast.response_checker import ResponseChunk
     from guavamast.retries import RetryBudget
     from guavamast.send_gates import PauseDetector
     from guavamast.slot_finder import SlotFinder
@@ -359,7 +359,7 @@
     """Return the rejection of a chat that may have been sent; retrying a chat is always safe."""
     message = "the engines that received the request did not complete its response"
     if not latch.sent:
-        return latch.refuse(code, message, status=status, retry_after_s=FAILED_RETRY_S)
+        return latch.reject(code, message, status=status, retry_after_s=FAILED_RETRY_S)
     return Refusal(
         code,
         f"{message}; {progress.next_index} tokens were forwarded",
--- a/src/guavamast/configuration_spread.py
+++ b/src/guavamast/configuration_spread.py
@@ -32,7 +32,7 @@
     PEER = "peer"
 
 
-class Standing(StrEnum):
+class ConfigurationState(StrEnum):
     """Whether an instance may use the configuration that it has."""
 
     WAITING = "waiting"
@@ -195,7 +195,7 @@
             version, text = delta.version, new_text
         return self.accept(version, text, source=Source.PEER, now=now)
 
-    def hear_platform(self, head: int, *, now: float) -> None:
+    def record_head(self, head: int, *, now: float) -> None:
         """Record the version of the head row; 0 if no configuration has been accepted yet."""
         self._head = max(head, self._head or 0)
         self._head_read_at = self._received_at = now
@@ -203,7 +203,7 @@
         self._update_behind_since(now)
         self._set_next_poll(self._timing.poll_s, now)
 
-    def miss_platform(self, *, now: float) -> None:
+    def record_failed_poll(self, *, now: float) -> None:
         """Record that the head row could not be read."""
         self._failed_polls += 1
         mean = min(self._timing.poll_s * 2.0 ** (self._failed_polls - 1), self._timing.max_poll_s)
@@ -297,7 +297,7 @@
         )
         return None if offered and not waited else self._head
 
-    def judge(self, *, now: float, others_known: bool) -> Standing:
+    def compute_state(self, *, now: float, others_known: bool) -> ConfigurationState:
         """Return whether this instance may use its configuration.
 
         Args:
@@ -310,9 +310,11 @@
             The state of the configuration.
         """
         if not self._version:
-            return Standing.WAITING
+            return ConfigurationState.WAITING
         silent = now - self._received_at > self._timing.isolated_s
-        return Standing.ISOLATED if silent and others_known else Standing.CURRENT
+        return (
+            ConfigurationState.ISOLATED if silent and others_known else ConfigurationState.CURRENT
+        )
 
     def _may_accept_from_peers(self, version: int, now: float) -> bool:
         """Return whether a peer's version may be accepted.
--- a/src/guavamast/demo.py
+++ b/src/guavamast/demo.py
@@ -85,7 +85,7 @@
     fleet = LocalFleet()
     await fleet.start()
     try:
-        version = await apply_configuration(fleet.url, fleet.make_text())
+        version = await apply_configuration(fleet.url, fleet.build_text())
         await fleet.wait_for_version(version)
         print(f"configuration {version} is in force")
         await run_requests(fleet)
--- a/src/guavamast/dispatcher.py
+++ b/src/guavamast/dispatcher.py
@@ -14,12 +14,12 @@
 from guavamast._daemon import bind_socket, get_bound_address, run_daemon, wait_for_first
 from guavamast.allotments import AllotmentDispatcher
 from guavamast.clocks import SystemClock
-from guavamast.configuration_spread import ConfigurationSpread, Source, Standing
+from guavamast.configuration_spread import ConfigurationSpread, ConfigurationState, Source
 from guavamast.errors import GuavamastError
 from guavamast.findings import FindingsError
 from guavamast.fleet_objects import Configuration
 from guavamast.fleet_reader import IncrementalReader
-from guavamast.heartbeats import HeartbeatLinks
+from guavamast.heartbeat_links import HeartbeatLinks
 from guavamast.hosted_endpoints import HostedEndpoints
 from guavamast.keeper_host import PROBE_INTERVAL_S, KeeperHost
 from guavamast.leases import LeaseHolder, LeaseParameters
@@ -119,9 +119,9 @@
     async def leave(self) -> None:
         """Hand the kept endpoints over to other dispatchers."""
         self.membership.leave(now=self.clock())
-        self.heartbeats.tell_soon()
+        self.heartbeats.schedule_flush()
         self._publish(self.clock())
-        others = self.membership.make_view(now=self.clock()).list_serving()
+        others = self.membership.create_view(now=self.clock()).list_serving()
         if others:
             await asyncio.sleep(HANDOVER_S)
 
@@ -150,7 +150,7 @@
             self.membership.leave(now=now)
         self.membership.set_load(request.load)
         if request.leaving or request.configuration_text:
-            self.heartbeats.tell_soon()
+            self.heartbeats.schedule_flush()
         return self.configuration.version
 
     def answer_allotment(
@@ -185,7 +185,7 @@
             instance=name,
             host=self.host,
             get_configuration=lambda: self.configuration,
-            get_view=lambda: self.membership.make_view(now=self.clock()),
+            get_view=lambda: self.membership.create_view(now=self.clock()),
         )
         return OrderLoop(issuer=giver, kept=hosted, clock=clock)
 
@@ -194,7 +194,7 @@
             host=self.host,
             feed=self.feed,
             answer_allotment=self.answer_allotment,
-            take_announcement=self.handle_announcement,
+            handle_announcement=self.handle_announcement,
             serve_gossip=self.heartbeats.serve,
         )
 
@@ -215,9 +215,9 @@
             head = await self._plans.read_head()
         except PlatformError as error:
             get_logger().info("failed to read the head row: %s", error)
-            self.spread.miss_platform(now=self.clock())
+            self.spread.record_failed_poll(now=self.clock())
             return
-        self.spread.hear_platform(head.version, now=self.clock())
+        self.spread.record_head(head.version, now=self.clock())
 
     async def _read_snapshot(self, version: int) -> None:
         try:
@@ -245,7 +245,7 @@
         self.membership.set_configuration_version(version)
         self.host.configure(configuration)
         self.feed.set_configuration(configuration)
-        self.heartbeats.tell_soon()
+        self.heartbeats.schedule_flush()
         get_logger().info("configuration %d in force", version)
         if self._settings.instance.name in configuration.leaving_instances:
             self.leave_requested.set()
@@ -257,21 +257,21 @@
             except PlatformError as error:
                 get_logger().info("failed to read the list of instances: %s", error)
             else:
-                self.membership.replace_listed(item.peer_address for item in listed)
+                self.membership.set_platform_addresses(item.peer_address for item in listed)
             await asyncio.sleep(SEED_INTERVAL_S)
 
     async def _publish_views(self) -> None:
         while True:
             self._apply_newest_configuration()
             now = self.clock()
-            view = self.membership.make_view(now=now)
+            view = self.membership.create_view(now=now)
             due = now - self._published_at > LOAD_VIEW_INTERVAL_S
             if due or self._summarize(view, now) != self._published:
                 self._publish(now)
             await asyncio.sleep(VIEW_INTERVAL_S)
 
     def _publish(self, now: float) -> None:
-        view = self.membership.make_view(now=now)
+        view = self.membership.create_view(now=now)
         serving = frozenset(member.instance.name for member in view.list_serving())
         if serving != self._serving:
             self._serving = serving
@@ -283,9 +283,9 @@
 
     def _is_isolated(self, now: float) -> bool:
         # Members that are gone count, because this instance may be the one that was cut off.
-        others_known = len(self.membership.list_all()) > 1
-        standing = self.spread.judge(now=now, others_known=others_known)
-        return standing is Standing.ISOLATED
+        others_known = len(self.membership.list_shareable()) > 1
+        standing = self.spread.compute_state(now=now, others_known=others_known)
+        return standing is ConfigurationState.ISOLATED
 
     def _summarize(self, view: MembershipView, now: float) -> tuple[object, ...]:
         members = tuple(
--- a/src/guavamast/entry.py
+++ b/src/guavamast/entry.py
@@ -214,7 +214,7 @@
         """
         await self.view_link.announce(peer_pb2.AnnounceRequest(leaving=True))
         deadline = self.clock() + self._settings.drain_wait_s
-        if self.state.list_others():
+        if self.state.list_live_peers():
             await asyncio.sleep(self._settings.address_validity_s)
         self.state.leaving = True
         while self.services.in_flight and self.clock() < deadline:
@@ -254,7 +254,7 @@
         Without the seeds, an entry whose local dispatcher dies before it has reported any other
         member knows no dispatcher to follow. The seeds are known from the start.
         """
-        members = [item.instance.peer_address for item in self.state.list_others()]
+        members = [item.instance.peer_address for item in self.state.list_live_peers()]
         own = self._settings.instance.peer_address
         seeds = [item for item in self._settings.seeds if item != own and item not in members]
         return [*members, *seeds]
--- a/src/guavamast/entry_state.py
+++ b/src/guavamast/entry_state.py
@@ -112,7 +112,7 @@
             return None
         return endpoint
 
-    def list_others(self) -> list[Member]:
+    def list_live_peers(self) -> list[Member]:
         """Return the other live members, to which rejected callers are redirected."""
         return [
             member
--- a/src/guavamast/errors.py
+++ b/src/guavamast/errors.py
@@ -109,7 +109,7 @@
         """Set the latch; call right before the first byte is written to the connection."""
         self._sent = True
 
-    def refuse(
+    def reject(
         self,
         code: ErrorCode,
         message: str,
--- a/src/guavamast/fleet_handlers.py
+++ b/src/guavamast/fleet_handlers.py
@@ -17,7 +17,7 @@
     def get(self) -> None:
         """List the models of the configuration."""
         self.read_request_id()
-        self.find_caller()
+        self.authenticate_caller()
         models = self.services.state.configuration.models.values()
         data = [{"id": m.name, "object": "model", "version": m.version} for m in models]
         self.finish({"object": "list", "data": data})
--- a/src/guavamast/fleet_status.py
+++ b/src/guavamast/fleet_status.py
@@ -48,7 +48,7 @@
     instances: tuple[InstanceStatus, ...]
     endpoints: tuple[EndpointStatus, ...] = ()
 
-    def list_behind(self) -> list[str]:
+    def list_outdated(self) -> list[str]:
         """Return the instances, other than gone ones, that are below the highest version seen."""
         versions = [instance.configuration_version for instance in self.instances]
         newest = max([self.configuration_version, *versions])
--- a/src/guavamast/heartbeat_exchange.py
+++ b/src/guavamast/heartbeat_exchange.py
@@ -78,7 +78,7 @@
         self._digest = 0
         self._digest_sequence = -1
 
-    def has_news(self, state: ExchangeState, *, now: float) -> bool:
+    def has_updates(self, state: ExchangeState, *, now: float) -> bool:
         """Return whether there are updates to send before the next period."""
         return (
             state.sent_own != self._get_own_state()
@@ -91,7 +91,7 @@
             or self._spread.should_request_from(state.peer, now=now)
         )
 
-    def make_message(self, state: ExchangeState, *, now: float) -> HeartbeatMessage:
+    def build_message(self, state: ExchangeState, *, now: float) -> HeartbeatMessage:
         """Return the next message of a stream and record its content as sent.
 
         Args:
@@ -111,7 +111,7 @@
         self._add_configuration(message, state, now)
         return message
 
-    def take_message(
+    def apply_message(
         self, message: HeartbeatMessage, state: ExchangeState, *, now: float
     ) -> ReceivedChanges:
         """Apply a message received on a stream.
@@ -148,7 +148,7 @@
         else:
             message.members.append(encode_changing_fields(own))
         if state.must_send_members:
-            members = [member for member in membership.list_all() if member is not own]
+            members = [member for member in membership.list_shareable() if member is not own]
             message.members.extend(encode_member(member) for member in members)
         elif (
             state.sent_state_sequence is not None
@@ -197,7 +197,7 @@
 
     def _decode(self, message: HeartbeatMessage) -> list[Member]:
         decoded = (
-            decode_member(item, known=self._membership.find(item.name)) for item in message.members
+            decode_member(item, known=self._membership.get(item.name)) for item in message.members
         )
         return [member for member in decoded if member is not None]
 
--- a/src/guavamast/heartbeats.py
+++ b/src/guavamast/heartbeat_links.py
@@ -148,7 +148,7 @@
             task.cancel()
         await asyncio.gather(*self._tasks, return_exceptions=True)
 
-    def tell_soon(self) -> None:
+    def schedule_flush(self) -> None:
         """Send pending updates soon, without waiting for the next period."""
         if self._flush is None:
             self._flush = asyncio.get_running_loop().call_later(COALESCE_S, self._send_updates)
@@ -174,7 +174,7 @@
         self._flush = None
         now = self._clock()
         for link in self._links:
-            if self._exchange.has_news(link.state, now=now):
+            if self._exchange.has_updates(link.state, now=now):
                 link.wake()
 
     def _update_links(self, now: float) -> None:
@@ -221,7 +221,7 @@
             return
         self._reconnect_at = now + RECONNECT_INTERVAL_S * self._random.uniform(0.5, 1.5)
         linked = {link.address for link in self._links}
-        addresses = [c for c in self._membership.list_contacts() if c not in linked]
+        addresses = [c for c in self._membership.list_reconnect_addresses() if c not in linked]
         ready = [c for c in addresses if self._retry_at.get(c, now) <= now]
         self._retry_at = {a: at for a, at in self._retry_at.items() if at > now - 60.0}
         if ready:
@@ -267,9 +267,9 @@
         self._retry_at[address] = now + pause * self._random.uniform(0.5, 1.5)
         self._metrics.count("heartbeat.dial_failed")
         if name and isinstance(error, ConnectionRefusedError):
-            self._membership.report_lost(name, now=now)
+            self._membership.report_connection_refused(name, now=now)
             self._on_change()
-            self.tell_soon()
+            self.schedule_flush()
 
     async def _serve_link(self, link: HeartbeatLink) -> None:
         if self._closing:
@@ -280,7 +280,7 @@
         broken = True
         try:
             broken = await link.run(
-                build_message=lambda: self._exchange.make_message(link.state, now=self._clock()),
+                build_message=lambda: self._exchange.build_message(link.state, now=self._clock()),
                 on_message=lambda message: self._receive(link, message),
             )
         finally:
@@ -301,15 +301,15 @@
     def _receive(self, link: HeartbeatLink, message: HeartbeatMessage) -> None:
         first = not link.state.peer
         link.received_at = self._clock()
-        changes = self._exchange.take_message(message, link.state, now=link.received_at)
+        changes = self._exchange.apply_message(message, link.state, now=link.received_at)
         if first:
             self._failures.pop(link.address, None)
             self._close_older(link)
         if changes.members or changes.configuration:
             self._on_change()
-            self.tell_soon()
-        elif self._exchange.has_news(link.state, now=link.received_at):
-            self.tell_soon()
+            self.schedule_flush()
+        elif self._exchange.has_updates(link.state, now=link.received_at):
+            self.schedule_flush()
 
     def _close_older(self, link: HeartbeatLink) -> None:
         for other in list(self._links):
@@ -318,7 +318,7 @@
                 other.close()
 
     def _set_gauges(self, now: float) -> None:
-        states = [member.state for member in self._membership.make_view(now=now).members]
+        states = [member.state for member in self._membership.create_view(now=now).members]
         self._metrics.gauge("heartbeat.links", len(self._links))
         for state in (MemberState.LIVE, MemberState.SUSPECT, MemberState.LEAVING):
             self._metrics.gauge(f"membership.{state.name.lower()}", states.count(state))
--- a/src/guavamast/limit_gate.py
+++ b/src/guavamast/limit_gate.py
@@ -104,7 +104,7 @@
     def _create_rejection(
         self, organisation: Organisation, code: str, retry_after_s: float
     ) -> Refusal:
-        return SendLatch().refuse(
+        return SendLatch().reject(
             code,
             f"{organisation.name} has reached a limit of its contract",
             status=TOO_MANY_REQUESTS,
--- a/src/guavamast/local_fleet.py
+++ b/src/guavamast/local_fleet.py
@@ -232,7 +232,7 @@
         """URL of the first entry."""
         return f"http://{self.entries[0].address}"
 
-    def make_text(self, *, leaving: frozenset[str] = frozenset()) -> str:
+    def build_text(self, *, leaving: frozenset[str] = frozenset()) -> str:
         """Return the text of this fleet's configuration."""
         return build_fleet_text(
             engine_urls=[engine.url for engine in self.engines],
--- a/src/guavamast/membership.py
+++ b/src/guavamast/membership.py
@@ -170,7 +170,7 @@
         """Announce that this instance is gone, right before its process exits."""
         self._set_own_state(MemberState.GONE)
 
-    def report_lost(self, name: str, *, now: float) -> None:
+    def report_connection_refused(self, name: str, *, now: float) -> None:
         """Suspect a neighbour whose address refuses connections, without waiting for silence.
 
         Args:
@@ -196,11 +196,11 @@
         """Add the settings' peer addresses, which are dialled for as long as this process runs."""
         self._seeds = tuple(dict.fromkeys([*self._seeds, *addresses]))
 
-    def replace_listed(self, addresses: Iterable[str]) -> None:
+    def set_platform_addresses(self, addresses: Iterable[str]) -> None:
         """Set the peer addresses of the platform's list, which lags and omits what has left."""
         self._listed = tuple(addresses)
 
-    def make_view(self, *, now: float) -> MembershipView:
+    def create_view(self, *, now: float) -> MembershipView:
         """Return the members that are not gone, ordered by name.
 
         Args:
@@ -216,7 +216,7 @@
             members=tuple(sorted([*kept, self._me], key=lambda member: member.instance.name))
         )
 
-    def find(self, name: str) -> Member | None:
+    def get(self, name: str) -> Member | None:
         """Return the record of an instance, even if it is gone."""
         if name == self._me.instance.name:
             return self._me
@@ -228,7 +228,7 @@
         self._update_overlay(self._ticked_at)
         return tuple(self._records[name].member for name in sorted(self._neighbours))
 
-    def list_contacts(self) -> tuple[str, ...]:
+    def list_reconnect_addresses(self) -> tuple[str, ...]:
         """Return the peer addresses of seeds and gone instances, to be dialled now and then.
 
         Without this, the two sides of a network partition consider each other gone and never
@@ -264,7 +264,7 @@
         changed = self._detail_changes.list_after(after)
         return [(number, self._records[name].member) for number, name in changed]
 
-    def list_all(self) -> list[Member]:
+    def list_shareable(self) -> list[Member]:
         """Return all records that may be sent to a new neighbour, including this instance's own.
 
         Records that were gone when first received are left out. Otherwise an instance that has
--- a/src/guavamast/operator_handlers.py
+++ b/src/guavamast/operator_handlers.py
@@ -225,7 +225,7 @@
     def get(self) -> None:
         """Send this instance's view of the fleet; works while the platform is down."""
         status = self.services.status.read_status()
-        self.write(asdict(status) | {"behind": status.list_behind()})
+        self.write(asdict(status) | {"behind": status.list_outdated()})
 
 
 class AuditHandler(OperatorHandler):
--- a/src/guavamast/peer_service.py
+++ b/src/guavamast/peer_service.py
@@ -26,7 +26,7 @@
         host: The keepers.
         feed: Publishes configuration and members to entries.
         answer_allotment: Splits an organisation's limits; None for an outdated ask.
-        take_announcement: Handles an announcement and returns the version in force.
+        handle_announcement: Handles an announcement and returns the version in force.
         serve_gossip: Serves one stream of heartbeats.
     """
 
@@ -38,13 +38,13 @@
         answer_allotment: Callable[
             [peer_pb2.AllotmentAskMessage, str], peer_pb2.KeeperMessage | None
         ],
-        take_announcement: Callable[[peer_pb2.AnnounceRequest], int],
+        handle_announcement: Callable[[peer_pb2.AnnounceRequest], int],
         serve_gossip: Callable[[Stream], Awaitable[None]],
     ) -> None:
         self._host = host
         self._feed = feed
         self._answer_allotment = answer_allotment
-        self._take_announcement = take_announcement
+        self._take_announcement = handle_announcement
         self._serve_gossip = serve_gossip
 
     async def Slots(  # noqa: N802
--- a/src/guavamast/service_calls.py
+++ b/src/guavamast/service_calls.py
@@ -268,7 +268,7 @@
         try:
             return await self._slots.acquire(call, excluded=failed)
         except SlotUnavailable as error:
-            raise latch.refuse(
+            raise latch.reject(
                 error.code, error.message, status=error.status, retry_after_s=error.retry_after_s
             ) from None
 
@@ -282,10 +282,10 @@
 
 def _build_rejection(latch: SendLatch, error: Exception) -> Refusal:
     if isinstance(error, Obstructed) and error.code is ErrorCode.DEADLINE_EXCEEDED:
-        return latch.refuse(error.code, "the deadline has passed", status=504)
+        return latch.reject(error.code, "the deadline has passed", status=504)
     code = ErrorCode.ENDPOINT_FAILED if latch.sent else ErrorCode.NO_ENDPOINT
     message = "no endpoint returned a complete response"
-    return latch.refuse(code, message, status=503, retry_after_s=SEND_RETRY_AFTER_S)
+    return latch.reject(code, message, status=503, retry_after_s=SEND_RETRY_AFTER_S)
 
 
 def _build_unknown_key_rejection() -> Refusal:
--- a/src/guavamast/service_handlers.py
+++ b/src/guavamast/service_handlers.py
@@ -10,7 +10,7 @@
 from guavamast.caller_input import (
     MAX_IDEMPOTENCY_KEY_LENGTH,
     parse_label,
-    refuse_input,
+    reject_input,
 )
 from guavamast.callers import CallerHandler
 from guavamast.errors import ErrorCode, SendLatch
@@ -46,11 +46,11 @@
     async def post(self, service: str, call: str) -> None:
         """Run a call and relay its response."""
         self.read_request_id()
-        organisation = self.find_caller()
+        organisation = self.authenticate_caller()
         rule = find_rule(self.services.state.configuration, service, call)
         self._require_service(service)
         kind = self.request.headers.get("X-Request-Kind", call)
-        service_class = self.find_class(organisation, kind)
+        service_class = self.look_up_class(organisation, kind)
         request = ServiceCall(
             request_id=self.request_id,
             organisation=organisation.name,
@@ -73,15 +73,15 @@
         endpoints = self.services.state.configuration.endpoints.values()
         known = {item.service for item in endpoints if item.kind is EndpointKind.SERVICE}
         if service not in known:
-            raise SendLatch().refuse(
+            raise SendLatch().reject(
                 ErrorCode.UNKNOWN_SERVICE, f"unknown service {service!r}", status=404
             )
 
     def _read_idempotency_key(self, rule: CallRule) -> str:
         header = self.request.headers.get("Idempotency-Key", "")
-        key = parse_label(header, name="Idempotency-Key", longest=MAX_IDEMPOTENCY_KEY_LENGTH)
+        key = parse_label(header, name="Idempotency-Key", max_length=MAX_IDEMPOTENCY_KEY_LENGTH)
         if not key and not rule.idempotent:
-            raise refuse_input(
+            raise reject_input(
                 "a non-idempotent call requires an Idempotency-Key header",
                 ErrorCode.IDEMPOTENCY_KEY_MISSING,
             )
@@ -99,8 +99,8 @@
     async def get(self, key: str) -> None:
         """Return the state of a non-idempotent call of this organisation."""
         self.read_request_id()
-        organisation = self.find_caller()
-        parse_label(key, name="the key", longest=MAX_IDEMPOTENCY_KEY_LENGTH)
+        organisation = self.authenticate_caller()
+        parse_label(key, name="the key", max_length=MAX_IDEMPOTENCY_KEY_LENGTH)
         view = await self.calls.get_operation(organisation.name, key)
         self.finish(encode_view(key, view))
 
--- a/src/guavamast/slot_finder.py
+++ b/src/guavamast/slot_finder.py
@@ -216,7 +216,7 @@
         )
 
     def _reject_late(self, latch: SendLatch) -> Refusal:
-        return latch.refuse(
+        return latch.reject(
             ErrorCode.DEADLINE_EXCEEDED,
             "no slot became free before the deadline",
             status=504,
@@ -225,7 +225,7 @@
 
     def _reject(self, rejections: list[AskRefused], latch: SendLatch) -> Refusal:
         if not rejections:
-            return latch.refuse(
+            return latch.reject(
                 ErrorCode.NO_ENDPOINT,
                 "no endpoint can take the request now",
                 status=503,
@@ -234,7 +234,7 @@
         # The retry delay of a leaving endpoint says nothing about the others' capacity.
         staying = [rejection for rejection in rejections if rejection.code not in UNAVAILABLE_CODES]
         soonest = min(staying or rejections, key=lambda rejection: rejection.retry_after_s)
-        return latch.refuse(
+        return latch.reject(
             soonest.code,
             f"refused by {len(rejections)} endpoints' keepers",
             status=STATUS_BY_CODE.get(soonest.code, 503),
--- a/tests/_callers.py
+++ b/tests/_callers.py
@@ -18,7 +18,7 @@
 
 
 @dataclass(frozen=True, slots=True, kw_only=True)
-class StreamedAnswer:
+class StreamedResponse:
     """What a caller received of a streamed chat."""
 
     status: int
@@ -28,7 +28,7 @@
     error: dict[str, Any] | None
 
 
-def expect_answer(prompt: str) -> str:
+def build_expected_response(prompt: str) -> str:
     """Return the only correct response of the stand-in engines."""
     return "".join(generate_response(model="small", prompt=prompt, max_tokens=MAX_TOKENS))
 
@@ -85,7 +85,7 @@
             "/v1/chat/completions", body=build_chat_body(prompt, stream=False), headers=headers
         )
 
-    async def stream(self, prompt: str, headers: dict[str, str] | None = None) -> StreamedAnswer:
+    async def stream(self, prompt: str, headers: dict[str, str] | None = None) -> StreamedResponse:
         """Send one streamed chat and read the response to its end."""
         response = await self.fetch(
             "/v1/chat/completions", body=build_chat_body(prompt, stream=True), headers=headers
@@ -113,14 +113,14 @@
     return json.loads(response.body)["error"]
 
 
-def read_stream(response: HTTPResponse) -> StreamedAnswer:
+def read_stream(response: HTTPResponse) -> StreamedResponse:
     """Parse the events of a response."""
     text = ""
     ended = False
     error = None
     if response.headers.get("Content-Type", "") != "text/event-stream":
         error = read_error(response) if response.body else {"code": "none"}
-        return StreamedAnswer(status=response.code, text="", ended=False, error=error)
+        return StreamedResponse(status=response.code, text="", ended=False, error=error)
     for event in EventDecoder().decode(response.body):
         if event.data == DONE:
             ended = True
@@ -128,4 +128,4 @@
             error = json.loads(event.data)["error"]
         else:
             text += json.loads(event.data)["choices"][0]["delta"]["content"]
-    return StreamedAnswer(status=response.code, text=text, ended=ended, error=error)
+    return StreamedResponse(status=response.code, text=text, ended=ended, error=error)
--- a/tests/_processes.py
+++ b/tests/_processes.py
@@ -98,7 +98,7 @@
             self.dispatchers.append(self.start_daemon("dispatcher", number))
             self.entries.append(self.start_daemon("entry", number))
         await self.wait_alive(range(self.instances))
-        version = await apply_configuration(self.urls[0], self.make_text())
+        version = await apply_configuration(self.urls[0], self.build_text())
         await self.wait_for_version(version, range(self.instances))
 
     def start_daemon(self, role: str, number: int) -> Process:
@@ -106,7 +106,7 @@
         path = self.folder / f"instance-{number}.ini"
         return Process(role, "--settings", str(path), log=self.folder / f"{role}-{number}.log")
 
-    def make_text(self, **options: Any) -> str:
+    def build_text(self, **options: Any) -> str:
         """Return the text of this fleet's configuration."""
         return build_fleet_text(
             engine_urls=[url for _, url in self.engines],
@@ -124,7 +124,7 @@
         for number in numbers:
             await self._wait(number, "/readyz", 200, lambda body: body["version"] >= version)
 
-    async def fault(self, url: str, **fault: Any) -> None:
+    async def set_fault(self, url: str, **fault: Any) -> None:
         """Set a stand-in's fault."""
         await Caller(url=url).fetch("/fault", body=json.dumps(fault).encode())
 
@@ -142,7 +142,7 @@
         caller = Caller(url=self.urls[number], key=OPERATOR_TOKEN)
         return json.loads((await caller.fetch("/v1/status", method="GET")).body)
 
-    def find_faults(self) -> list[str]:
+    def find_tracebacks(self) -> list[str]:
         """Return the tracebacks of uncaught exceptions in the logs, with the file names."""
         tracebacks = []
         for path in sorted(self.folder.glob("*.log")):
@@ -154,7 +154,7 @@
 
     def close(self) -> None:
         """Kill all processes and print the tracebacks that they logged."""
-        for fault in self.find_faults():
+        for fault in self.find_tracebacks():
             print(fault, file=sys.stderr)
         standins = [self.platform, *(p for p, _ in [*self.engines, *self.services])]
         for process in [*self.entries, *self.dispatchers, *standins]:
--- a/tests/test_caller_input.py
+++ b/tests/test_caller_input.py
@@ -63,9 +63,9 @@
 
     @staticmethod
     def parse_id(header: str) -> str:
-        return parse_label(header, name="X-Request-Id", longest=128)
+        return parse_label(header, name="X-Request-Id", max_length=128)
 
-    def test_lone_surrogate_is_refused(self) -> None:
+    def test_lone_surrogate_is_rejected(self) -> None:
         # JSON can escape a lone surrogate, which UTF-8 can't encode. Unless it is rejected here, it
         # causes an error without a code later on.
         body = b'{"model":"m","messages":[{"role":"user","content":"\\ud800"}]}'
--- a/tests/test_chats.py
+++ b/tests/test_chats.py
@@ -11,7 +11,7 @@
 from guavamast.local_fleet import OPERATOR_TOKEN, LocalFleet
 from guavamast.standins.engine import EngineStandin, RunState
 from guavamast.standins.faults import Fault
-from tests._callers import Caller, expect_answer, read_error
+from tests._callers import Caller, build_expected_response, read_error
 from tests._waits import wait_until
 
 LONG_TIMEOUT_MS = "3600000"
@@ -37,7 +37,7 @@
         )
         await self.fleet.start()
         self.addAsyncCleanup(self.fleet.close)
-        version = await apply_configuration(self.fleet.url, self.fleet.make_text())
+        version = await apply_configuration(self.fleet.url, self.fleet.build_text())
         await self.fleet.wait_for_version(version)
         self.caller = Caller(url=self.fleet.url)
 
@@ -53,12 +53,12 @@
 
     async def test_plain_and_streamed(self) -> None:
         streamed = await self.caller.stream("a prompt")
-        self.assertEqual(streamed.text, expect_answer("a prompt"))
+        self.assertEqual(streamed.text, build_expected_response("a prompt"))
         self.assertTrue(streamed.ended)
         plain = await self.caller.chat("another", **{"X-Request-Id": "mine"})
         self.assertEqual(plain.headers["X-Request-Id"], "mine")
         message = json.loads(plain.body)["choices"][0]["message"]
-        self.assertEqual(message["content"], expect_answer("another"))
+        self.assertEqual(message["content"], build_expected_response("another"))
 
     async def test_many_concurrent_streams_get_their_own_answers(self) -> None:
         prompts = [f"prompt number {number}" for number in range(200)]
@@ -67,7 +67,7 @@
         requests = (self.caller.stream(prompt, headers=headers) for prompt in prompts)
         answers = await asyncio.gather(*requests)
         for prompt, answer in zip(prompts, answers, strict=True):
-            self.assertEqual(answer.text, expect_answer(prompt), answer.error)
+            self.assertEqual(answer.text, build_expected_response(prompt), answer.error)
             self.assertTrue(answer.ended)
         self.assertEqual(self.count_in_flight(), 0)
 
@@ -105,18 +105,18 @@
         # before the send keeps later ones away from it. All responses are complete.
         running = [asyncio.ensure_future(self.caller.stream(f"r{i}")) for i in range(20)]
         await wait_until(lambda: len(self.fleet.engines[0].state.runs) > 0)
-        text = self.fleet.make_text(leaving=frozenset({"engine-0"}))
+        text = self.fleet.build_text(leaving=frozenset({"engine-0"}))
         version = await apply_configuration(self.fleet.url, text)
         await self.fleet.wait_for_version(version)
         before = len(self.fleet.engines[0].state.runs)
         for number, answer in enumerate(await asyncio.gather(*running)):
-            self.assertEqual(answer.text, expect_answer(f"r{number}"))
+            self.assertEqual(answer.text, build_expected_response(f"r{number}"))
         later = await asyncio.gather(*(self.caller.stream(f"l{i}") for i in range(20)))
         self.assertTrue(all(answer.ended for answer in later))
         self.assertEqual(len(self.fleet.engines[0].state.runs), before)
 
-    async def test_callers_key_is_no_operators(self) -> None:
-        response = await self.caller.fetch("/v1/plans", body=self.fleet.make_text().encode())
+    async def test_caller_key_is_not_an_operator_token(self) -> None:
+        response = await self.caller.fetch("/v1/plans", body=self.fleet.build_text().encode())
         self.assertEqual(response.code, 403)
         response = await Caller(url=self.fleet.url, key="").fetch("/v1/plans", body=b"")
         self.assertEqual(response.code, 401)
@@ -126,10 +126,10 @@
         self.assertEqual(response.code, 200)
 
 
-class EndOfProcessTest(FleetTest):
+class ProcessExitTest(FleetTest):
     """A request that is being received when its entry's process ends."""
 
-    async def test_request_without_its_body_is_refused_as_not_run(self) -> None:
+    async def test_request_without_its_body_is_rejected_as_not_run(self) -> None:
         # The loop ends after the head and before the body: asyncio cancels the handler. The caller
         # is told that nothing has run, so that it retries at another instance.
         host, port = self.fleet.entries[0].address.split(":")
@@ -154,7 +154,7 @@
 class PausedEntryTest(FleetTest):
     """An entry whose process was paused."""
 
-    async def test_nothing_is_sent_until_the_pause_is_digested(self) -> None:
+    async def test_nothing_is_sent_until_the_loop_has_caught_up(self) -> None:
         # The entry is paused between the grant and the send. Nothing may reach an engine until the
         # loop has applied the updates of the meantime; the caller only waits longer.
         pauses = SimpleNamespace(is_settled=lambda now: False)  # noqa: ARG005
@@ -164,7 +164,7 @@
         await asyncio.sleep(0.5)
         self.assertEqual(self.list_runs(), [])
         chats._pauses = real_pauses
-        self.assertEqual((await answer).text, expect_answer("paused"))
+        self.assertEqual((await answer).text, build_expected_response("paused"))
 
 
 class EngineFailureTest(FleetTest):
@@ -179,7 +179,7 @@
         prompts = [f"{kind} {number}" for number in range(12)]
         answers = await asyncio.gather(*(self.caller.stream(prompt) for prompt in prompts))
         for prompt, answer in zip(prompts, answers, strict=True):
-            expected = expect_answer(prompt)
+            expected = build_expected_response(prompt)
             self.assertTrue(expected.startswith(answer.text), prompt)
             self.assertEqual(answer.ended, answer.text == expected and answer.error is None)
             if not answer.ended:
@@ -205,15 +205,15 @@
         # After three tokens a chunk is sent twice. Its index is not the expected one.
         await self.check_corrupted_stream("repeat")
 
-    async def test_crashed_engine_is_left_for_the_other(self) -> None:
+    async def test_crashed_engine_fails_over_to_the_other(self) -> None:
         # One engine rejects all requests. The caller gets a complete response from the other one.
         self.fleet.engines[0].fault = Fault(kind="crash")
         for number in range(6):
             answer = await self.caller.stream(f"c{number}")
-            self.assertEqual(answer.text, expect_answer(f"c{number}"), answer.error)
+            self.assertEqual(answer.text, build_expected_response(f"c{number}"), answer.error)
 
 
-class CallerGoneTest(FleetTest):
+class CallerDisconnectTest(FleetTest):
     """Callers that disconnect."""
 
     engines = 1
@@ -236,9 +236,9 @@
         writer.close()
         await wait_until(lambda: engine.state.runs[0].state is RunState.CANCELLED)
         await wait_until(lambda: self.count_in_flight() == 0)
-        self.assertEqual((await self.caller.stream("next")).text, expect_answer("next"))
+        self.assertEqual((await self.caller.stream("next")).text, build_expected_response("next"))
 
-    async def test_caller_that_goes_while_it_waits_leaves_the_queue(self) -> None:
+    async def test_caller_that_disconnects_while_queued_leaves_the_queue(self) -> None:
         # One caller holds the only slot; a second one is queued and disconnects. Its ask must be
         # withdrawn at once, although no write of a token reveals the disconnect.
         running = asyncio.ensure_future(self.caller.stream("tokens=100;first"))
--- a/tests/test_configuration_spread_properties.py
+++ b/tests/test_configuration_spread_properties.py
@@ -16,8 +16,8 @@
 from guavamast.configuration_spread import (
     ConfigurationOffer,
     ConfigurationSpread,
+    ConfigurationState,
     Source,
-    Standing,
 )
 
 TEXTS = st.text(alphabet="ab\né", max_size=30)
@@ -28,9 +28,9 @@
     """Return the state of a new instance that has read the head row, or failed to (None)."""
     spread = ConfigurationSpread(now=0.0, seed=1)
     if head is None:
-        spread.miss_platform(now=NOW_S)
+        spread.record_failed_poll(now=NOW_S)
     else:
-        spread.hear_platform(head, now=NOW_S)
+        spread.record_head(head, now=NOW_S)
     return spread
 
 
@@ -123,10 +123,12 @@
     def test_a_new_instance_with_the_platform_takes_no_less_than_the_head(self) -> None:
         spread = create_spread(head=5)
         self.assertFalse(spread.accept(4, "old", source=Source.PEER, now=NOW_S))
-        self.assertEqual(spread.judge(now=NOW_S, others_known=True), Standing.WAITING)
+        self.assertEqual(
+            spread.compute_state(now=NOW_S, others_known=True), ConfigurationState.WAITING
+        )
         self.assertTrue(spread.accept(5, "new", source=Source.PEER, now=NOW_S))
 
-    def test_an_instance_that_hears_nobody_is_isolated_until_it_hears_someone(self) -> None:
+    def test_instance_without_contact_is_isolated_until_contact_returns(self) -> None:
         """An instance loses its peers and the platform while callers still reach it.
 
         A plan that removes an endpoint may be confirmed elsewhere, and this instance would keep
@@ -136,22 +138,30 @@
         spread = create_spread()
         spread.accept(1, "text", source=Source.PLATFORM, now=NOW_S)
         late = NOW_S + 9.0
-        self.assertEqual(spread.judge(now=NOW_S + 7.0, others_known=True), Standing.CURRENT)
-        self.assertEqual(spread.judge(now=late, others_known=True), Standing.ISOLATED)
-        self.assertEqual(spread.judge(now=late, others_known=False), Standing.CURRENT)
+        self.assertEqual(
+            spread.compute_state(now=NOW_S + 7.0, others_known=True), ConfigurationState.CURRENT
+        )
+        self.assertEqual(
+            spread.compute_state(now=late, others_known=True), ConfigurationState.ISOLATED
+        )
+        self.assertEqual(
+            spread.compute_state(now=late, others_known=False), ConfigurationState.CURRENT
+        )
         spread.record_peer_version("peer", 1, now=late)
-        self.assertEqual(spread.judge(now=late, others_known=True), Standing.CURRENT)
+        self.assertEqual(
+            spread.compute_state(now=late, others_known=True), ConfigurationState.CURRENT
+        )
 
     @given(st.integers(0, 2**32), st.integers(1, 8))
     def test_polls_are_jittered_and_slow_down_in_an_outage(self, seed: int, misses: int) -> None:
         spread = ConfigurationSpread(now=0.0, seed=seed)
-        spread.hear_platform(1, now=10.0)
+        spread.record_head(1, now=10.0)
         self.assertTrue(12.5 <= spread.next_poll_at <= 17.5)
         for _ in range(misses):
-            spread.miss_platform(now=10.0)
+            spread.record_failed_poll(now=10.0)
         self.assertLessEqual(spread.next_poll_at, 10.0 + 45.0)
 
-    def test_the_snapshot_is_read_once_peers_had_their_time(self) -> None:
+    def test_snapshot_is_read_after_the_peer_transfer_time(self) -> None:
         """All instances see a new head in seconds; a megabyte each would overload the platform."""
         spread = create_spread(head=3)
         self.assertEqual(spread.choose_snapshot(now=NOW_S), 3)
--- a/tests/test_daemon.py
+++ b/tests/test_daemon.py
@@ -15,7 +15,7 @@
 class StopListeningTest(unittest.IsolatedAsyncioTestCase):
     """A closing listener resets no pending connection."""
 
-    async def test_a_caller_that_waits_to_be_accepted_is_answered(self) -> None:
+    async def test_connection_in_the_accept_queue_gets_a_response(self) -> None:
         """A caller that connects while the instance shuts down gets a response.
 
         Its connection and request wait in the accept queue while the loop is busy; closing the
--- a/tests/test_entry.py
+++ b/tests/test_entry.py
@@ -14,14 +14,14 @@
 from guavamast.fleet_objects import Configuration, FailureDomain, Instance
 from guavamast.local_fleet import LocalFleet, reserve_ports, write_instance_settings
 from guavamast.placement import EndpointChooser
-from tests._callers import Caller, expect_answer
+from tests._callers import Caller, build_expected_response
 from tests._waits import wait_until
 
 
 class EntryStateTest(unittest.TestCase):
     """The configuration in force at an entry."""
 
-    def test_versions_never_go_back(self) -> None:
+    def test_older_version_is_ignored(self) -> None:
         # Two dispatchers send different versions and the older one arrives last. Applying it would
         # send new work to an endpoint that has left.
         instance = Instance(
@@ -36,7 +36,7 @@
         self.assertEqual(state.configuration.version, 2)
 
 
-class LoneEntryTest(unittest.IsolatedAsyncioTestCase):
+class DeadDispatcherTest(unittest.IsolatedAsyncioTestCase):
     """An entry whose local dispatcher never reports another member."""
 
     async def test_seed_is_followed_when_the_own_dispatcher_is_dead(self) -> None:
@@ -46,7 +46,7 @@
         fleet = LocalFleet()
         await fleet.start()
         self.addAsyncCleanup(fleet.close)
-        await apply_configuration(fleet.url, fleet.make_text())
+        await apply_configuration(fleet.url, fleet.build_text())
         dispatcher = fleet.dispatchers[0]
         with tempfile.TemporaryDirectory() as folder:
             (settings,) = write_instance_settings(
@@ -60,4 +60,4 @@
         self.addAsyncCleanup(entry.close)
         await wait_until(lambda: entry.state.configuration.version > 0)
         answer = await Caller(url=f"http://{entry.address}").stream("hello")
-        self.assertEqual(answer.text, expect_answer("hello"), answer.error)
+        self.assertEqual(answer.text, build_expected_response("hello"), answer.error)
--- a/tests/test_fleet_changes.py
+++ b/tests/test_fleet_changes.py
@@ -7,7 +7,7 @@
 import unittest
 from dataclasses import dataclass, field
 
-from tests._callers import Caller, StreamedAnswer, expect_answer
+from tests._callers import Caller, StreamedResponse, build_expected_response
 from tests._processes import ProcessFleet
 
 CONNECTION_ERRORS = (ConnectionError, OSError)
@@ -21,7 +21,7 @@
     """
 
     urls: list[str]
-    responses: dict[str, StreamedAnswer] = field(default_factory=dict)
+    responses: dict[str, StreamedResponse] = field(default_factory=dict)
     stop: bool = False
 
     async def run(self, callers: int) -> None:
@@ -35,14 +35,14 @@
             self.responses[prompt] = await self._send(prompt, worker + number)
             number += 1
 
-    async def _send(self, prompt: str, start: int) -> StreamedAnswer:
+    async def _send(self, prompt: str, start: int) -> StreamedResponse:
         for attempt in range(200):
             url = self.urls[(start + attempt) % len(self.urls)]
             try:
                 response = await Caller(url=url).stream(prompt)
             except CONNECTION_ERRORS as error:
                 if "refused" not in str(error):
-                    return StreamedAnswer(
+                    return StreamedResponse(
                         status=599, text="", ended=False, error={"code": repr(error)}
                     )
                 await asyncio.sleep(0.02)
@@ -70,7 +70,9 @@
         await self.task
         self.assertGreater(len(self.load.responses), 50)
         for prompt, response in self.load.responses.items():
-            self.assertEqual(response.text, expect_answer(prompt), (prompt, response.error))
+            self.assertEqual(
+                response.text, build_expected_response(prompt), (prompt, response.error)
+            )
             self.assertTrue(response.ended)
 
     async def test_all_instances_replaced_one_by_one(self) -> None:
@@ -89,7 +91,7 @@
             await self.fleet.wait_for_version(1, [number])
         await self.finish_load()
 
-    async def test_frozen_dispatcher_and_its_return(self) -> None:
+    async def test_paused_and_resumed_dispatcher(self) -> None:
         # A dispatcher is paused longer than any timeout of the slot streams. Entries move its asks
         # to the next keeper and release the slots that it grants late, after it resumes. Responses
         # are complete, some late.
@@ -99,7 +101,7 @@
         await asyncio.sleep(2)
         await self.finish_load()
 
-    async def test_killed_dispatcher_and_frozen_other(self) -> None:
+    async def test_killed_dispatcher_while_another_is_paused(self) -> None:
         # Two failures at once: one dispatcher is killed while another is paused. The third keeps
         # all endpoints, and responses are complete.
         self.fleet.dispatchers[0].kill()
@@ -111,7 +113,7 @@
         await asyncio.sleep(2)
         await self.finish_load()
 
-    async def test_frozen_engine_is_left(self) -> None:
+    async def test_streams_of_a_paused_engine_resume_at_another(self) -> None:
         # An engine's process is paused during responses: its connections stay open without data.
         # The entry treats this as a failure and resumes at the other engine. Responses are
         # complete, the first ones late by the stall timeout.
@@ -125,7 +127,7 @@
 class KilledEntryTest(unittest.IsolatedAsyncioTestCase):
     """An entry is killed with responses in flight."""
 
-    async def test_cut_stream_shows_and_its_slots_come_back(self) -> None:
+    async def test_truncated_stream_is_visible_and_its_slots_are_released(self) -> None:
         # The caller's connection ends without the end marker, so a truncated response is detected.
         # The engine's run is cancelled and the keepers free the slots: as many requests as there
         # are slots are served through the other entry.
@@ -138,12 +140,12 @@
         await asyncio.sleep(0.4)
         fleet.entries[0].kill()
         for result in await asyncio.gather(*interrupted, return_exceptions=True):
-            ended = isinstance(result, StreamedAnswer) and result.ended
+            ended = isinstance(result, StreamedResponse) and result.ended
             self.assertFalse(ended)
         caller = Caller(url=fleet.urls[1])
         answers = await asyncio.gather(*(caller.stream(f"next {n}") for n in range(16)))
         for number, answer in enumerate(answers):
-            self.assertEqual(answer.text, expect_answer(f"next {number}"), answer.error)
+            self.assertEqual(answer.text, build_expected_response(f"next {number}"), answer.error)
         engine = Caller(url=fleet.engines[0][1])
         runs = json.loads((await engine.fetch("/runs", method="GET")).body)["runs"]
         self.assertNotIn("running", {run["state"] for run in runs})
--- a/tests/test_heartbeat_exchange_properties.py
+++ b/tests/test_heartbeat_exchange_properties.py
@@ -50,7 +50,7 @@
         self.accepted = 0
         self.versions: dict[str, tuple[int, int]] = {}
         for node in self.loop.nodes.values():
-            node.spread.hear_platform(0, now=0.0)
+            node.spread.record_head(0, now=0.0)
 
     def apply(self, fault: Fault) -> None:
         """Inject a fault and run the rounds after it."""
@@ -88,11 +88,11 @@
 
     def _restart(self, name: str) -> None:
         node = self.loop.start(name)
-        node.spread.hear_platform(self.accepted, now=self.loop.now)
+        node.spread.record_head(self.accepted, now=self.loop.now)
 
     def _old_clock(self, name: str) -> None:
         node = self.loop.start(name, incarnation=1)
-        node.spread.hear_platform(self.accepted, now=self.loop.now)
+        node.spread.record_head(self.accepted, now=self.loop.now)
 
     def _pause(self, name: str) -> None:
         if name in self.loop.nodes:
@@ -147,7 +147,9 @@
                 self.assertEqual(node.spread.version, highest)
 
     @given(st.sampled_from(NAMES), st.integers(10, 120))
-    def test_a_paused_instance_judges_nobody_by_its_own_pause(self, name: str, rounds: int) -> None:
+    def test_paused_instance_suspects_nobody_after_its_own_pause(
+        self, name: str, rounds: int
+    ) -> None:
         """A process is paused for long enough to be declared gone, then resumes.
 
         It finds every neighbour silent for the length of its pause. If it counted that silence, it
@@ -158,7 +160,7 @@
             history.run_round()
         before = {n: node.membership.me.incarnation for n, node in history.loop.nodes.items()}
         history.apply(Fault(kind="pause", name=name, rounds=rounds))
-        view = history.loop.nodes["i1" if name == "i0" else "i0"].membership.make_view(now=0.0)
+        view = history.loop.nodes["i1" if name == "i0" else "i0"].membership.create_view(now=0.0)
         self.assertNotIn(name, [member.instance.name for member in view.members])
         history.end_faults()
         history.converge()
@@ -172,7 +174,7 @@
             history.run_round()
         history.apply(Fault(kind="leave", name=name, rounds=1))
         for node in history.loop.nodes.values():
-            view = node.membership.make_view(now=history.loop.now)
+            view = node.membership.create_view(now=history.loop.now)
             states = {member.instance.name: member.state for member in view.members}
             self.assertEqual(states[name], MemberState.LEAVING)
             self.assertNotIn(name, [m.instance.name for m in view.list_serving()])
--- a/tests/test_heartbeat_links.py
+++ b/tests/test_heartbeat_links.py
@@ -13,7 +13,7 @@
 from guavamast._daemon import bind_socket, get_bound_address
 from guavamast.configuration_spread import ConfigurationSpread, Source
 from guavamast.fleet_objects import FailureDomain, Instance
-from guavamast.heartbeats import HeartbeatLinks
+from guavamast.heartbeat_links import HeartbeatLinks
 from guavamast.members import MemberState
 from guavamast.membership import Membership, MembershipTiming
 from guavamast.metrics import NoMetrics
@@ -114,7 +114,7 @@
         )
         self.membership.add_seeds(seeds)
         self.spread = ConfigurationSpread(now=now, seed=1)
-        self.spread.hear_platform(0, now=now)
+        self.spread.record_head(0, now=now)
         self.links = FilteredLinks(
             membership=self.membership, spread=self.spread, metrics=NoMetrics()
         )
@@ -142,7 +142,7 @@
 
     def list_serving(self) -> list[str]:
         """Return the names of the instances that it considers serving."""
-        view = self.membership.make_view(now=time.monotonic())
+        view = self.membership.create_view(now=time.monotonic())
         return [member.instance.name for member in view.list_serving()]
 
 
@@ -172,7 +172,7 @@
             await asyncio.sleep(0.02)
 
     def _is_gone(self, name: str, suspected: list[str]) -> bool:
-        states = [peer.membership.find(name).state for peer in self.peers.values()]
+        states = [peer.membership.get(name).state for peer in self.peers.values()]
         suspected.extend(state.name for state in states if state == MemberState.SUSPECT)
         return set(states) == {MemberState.GONE}
 
@@ -184,7 +184,7 @@
     async def test_a_configuration_reaches_all_and_a_graceful_end_is_told(self) -> None:
         now = time.monotonic()
         self.peers["c0"].spread.accept(1, "one\n" * 2000, source=Source.PLATFORM, now=now)
-        self.peers["c0"].links.tell_soon()
+        self.peers["c0"].links.schedule_flush()
         await self.wait_for(lambda: all(p.spread.version == 1 for p in self.peers.values()))
         self.assertEqual(len({peer.spread.text for peer in self.peers.values()}), 1)
         await self.peers.pop("d1").close()
@@ -225,7 +225,7 @@
         await self.start("b1", address=old.address)
         await self.wait_agreed()
         for peer in self.peers.values():
-            self.assertGreater(peer.membership.find("b1").incarnation, before)
+            self.assertGreater(peer.membership.get("b1").incarnation, before)
 
     async def test_the_end_of_a_peer_that_dialled_is_noticed_at_once(self) -> None:
         """A process is killed that had dialled all of its streams itself.
@@ -239,9 +239,9 @@
         two = Peer("b0", [one.address], timing=slow)
         for peer in (one, two):
             await peer.start()
-        await self.wait_for(lambda: one.membership.find("b0") is not None)
+        await self.wait_for(lambda: one.membership.get("b0") is not None)
         await two.kill()
-        await self.wait_for(lambda: one.membership.find("b0").state == MemberState.SUSPECT)
+        await self.wait_for(lambda: one.membership.get("b0").state == MemberState.SUSPECT)
         await one.close()
 
     async def test_closing_ends_whatever_a_dial_has_come_to(self) -> None:
@@ -253,7 +253,7 @@
         peer = Peer("g0", [])
         self.addCleanup(peer._socket.close)
         stream = DelayedStream()
-        with mock.patch("guavamast.heartbeats.PeerStub", return_value=stream):
+        with mock.patch("guavamast.heartbeat_links.PeerStub", return_value=stream):
             dial = asyncio.ensure_future(peer.links._run_dialled("127.0.0.1:1", ""))
             while not stream.opening:
                 await asyncio.sleep(0)
--- a/tests/test_member_codec.py
+++ b/tests/test_member_codec.py
@@ -22,7 +22,7 @@
 class MemberCodecTest(unittest.TestCase):
     """Whole records and records without their instance."""
 
-    def test_a_record_comes_back(self) -> None:
+    def test_record_round_trips(self) -> None:
         self.assertEqual(decode_member(encode_member(MEMBER)), MEMBER)
         self.assertEqual(decode_member(encode_changing_fields(MEMBER), known=MEMBER), MEMBER)
 
--- a/tests/test_membership.py
+++ b/tests/test_membership.py
@@ -33,7 +33,7 @@
 
 def find_state(membership: Membership, name: str) -> MemberState:
     """Return the recorded state of an instance; GONE if there is no record."""
-    member = membership.find(name)
+    member = membership.get(name)
     return member.state if member else MemberState.GONE
 
 
@@ -48,11 +48,11 @@
             states.append(find_state(membership, "b"))
         self.assertEqual(states[3:5], [MemberState.LIVE, MemberState.SUSPECT])
         self.assertEqual(states[-1], MemberState.GONE)
-        self.assertEqual(membership.list_contacts(), ("b",))
+        self.assertEqual(membership.list_reconnect_addresses(), ("b",))
         for second in range(10, 7300):
             membership.tick(now=float(second))
-        self.assertIsNone(membership.find("b"))
-        self.assertEqual(membership.list_contacts(), ())
+        self.assertIsNone(membership.get("b"))
+        self.assertEqual(membership.list_reconnect_addresses(), ())
 
     def test_a_refused_connection_makes_a_neighbour_suspected_at_once(self) -> None:
         """A dispatcher's process is killed and its machine refuses connections at once.
@@ -61,13 +61,13 @@
         """
         membership = create_membership()
         membership.tick(now=1.0)
-        membership.report_lost("b", now=1.0)
+        membership.report_connection_refused("b", now=1.0)
         self.assertEqual(find_state(membership, "b"), MemberState.SUSPECT)
         for second in (2.0, 3.0):
             membership.tick(now=second)
         self.assertEqual(find_state(membership, "b"), MemberState.GONE)
 
-    def test_a_lost_link_between_two_live_instances_makes_less_and_less_noise(self) -> None:
+    def test_repeated_refutations_space_out_suspicions(self) -> None:
         """Only the link between a and b is cut; b refutes each suspicion through other instances.
 
         Each suspicion is sent to the whole fleet. The allowed silence doubles with each
@@ -77,7 +77,7 @@
         suspected_at = []
         for second in range(1, 200):
             membership.tick(now=float(second))
-            known = membership.find("b")
+            known = membership.get("b")
             if known.state == MemberState.SUSPECT:
                 suspected_at.append(second)
                 refutation = create_member("b", incarnation=known.incarnation + 1)
@@ -86,7 +86,7 @@
         self.assertEqual(gaps, sorted(gaps))
         self.assertGreater(gaps[-1], 4 * gaps[0])
 
-    def test_an_allowance_for_an_own_pause_does_not_reach_into_the_future(self) -> None:
+    def test_pause_compensation_never_sets_times_in_the_future(self) -> None:
         """A paused process resumes, first reads queued heartbeats, then compensates for its pause.
 
         The heartbeats were then recorded with a time in the future, and a neighbour that died
@@ -100,7 +100,7 @@
             membership.tick(now=float(second))
         self.assertEqual(find_state(membership, "b"), MemberState.SUSPECT)
 
-    def test_what_is_said_wrongly_of_this_instance_is_refuted(self) -> None:
+    def test_wrong_records_of_this_instance_are_refuted(self) -> None:
         membership = create_membership()
         membership.leave(now=1.0)
         wrong = replace(membership.me, state=MemberState.GONE)
@@ -116,7 +116,7 @@
         membership = create_membership()
         membership.merge([create_member("c", state=MemberState.GONE)], now=0.0)
         membership.merge([create_member("b", state=MemberState.GONE)], now=0.0)
-        names = [member.instance.name for member in membership.list_all()]
+        names = [member.instance.name for member in membership.list_shareable()]
         self.assertEqual(names, ["a", "b"])
         membership.merge([create_member("c")], now=0.0)
         self.assertEqual(find_state(membership, "c"), MemberState.GONE)
--- a/tests/test_membership_properties.py
+++ b/tests/test_membership_properties.py
@@ -45,7 +45,7 @@
     membership = Membership(me=make_instance("me"), incarnation=1, now=0.0)
     for batch in batches:
         membership.merge(batch, now=0.0)
-    return membership.make_view(now=0.0)
+    return membership.create_view(now=0.0)
 
 
 class JoinLawsTest(unittest.TestCase):
--- a/tests/test_operations_processes.py
+++ b/tests/test_operations_processes.py
@@ -128,7 +128,7 @@
     async def fault_services(self, **fault: object) -> None:
         """Set the fault of all endpoints."""
         for _, url in self.fleet.services:
-            await self.fleet.fault(url, **fault)
+            await self.fleet.set_fault(url, **fault)
 
     async def wait_for_runs(self, count: int) -> None:
         """Wait until so many keys have run."""
@@ -202,11 +202,11 @@
         # a response.
         sending = asyncio.ensure_future(self.send_requests("outage", count=60, number=0))
         await self.wait_for_runs(5)
-        await self.fleet.fault(self.fleet.platform_url, kind="lose_answers")
+        await self.fleet.set_fault(self.fleet.platform_url, kind="lose_answers")
         await asyncio.sleep(0.05)
-        await self.fleet.fault(self.fleet.platform_url, kind="down")
+        await self.fleet.set_fault(self.fleet.platform_url, kind="down")
         await sending
-        await self.fleet.fault(self.fleet.platform_url, kind="none")
+        await self.fleet.set_fault(self.fleet.platform_url, kind="none")
         await self.retry_until_settled(1, holder_alive=True)
         await self.assert_guarantees()
         outcomes = {log.outcomes[-1] for log in self.logs}
@@ -230,12 +230,12 @@
         # Platform and services close connections after their work, and the entry is killed.
         sending = asyncio.ensure_future(self.send_requests("pair", count=40, number=0))
         await self.wait_for_runs(5)
-        await self.fleet.fault(self.fleet.platform_url, kind="lose_answers")
+        await self.fleet.set_fault(self.fleet.platform_url, kind="lose_answers")
         await self.fault_services(kind="lose_answers")
         await asyncio.sleep(0.02)
         self.fleet.entries[0].kill()
         await sending
-        await self.fleet.fault(self.fleet.platform_url, kind="none")
+        await self.fleet.set_fault(self.fleet.platform_url, kind="none")
         await self.fault_services(kind="none")
         await self.retry_until_settled(1, holder_alive=False)
         await self.assert_guarantees()
--- a/tests/test_operator_processes.py
+++ b/tests/test_operator_processes.py
@@ -46,7 +46,7 @@
 
     async def plan(self, number: int, rate: int) -> str:
         """Propose a changed rate limit and return the plan's id."""
-        text = self.fleet.make_text().replace("second = 1000", f"second = {rate}")
+        text = self.fleet.build_text().replace("second = 1000", f"second = {rate}")
         path = self.fleet.folder / f"fleet-{rate}.ini"
         path.write_text(text)
         result = await self.run_operator_command(number, "plan", str(path), "--json")
@@ -82,17 +82,17 @@
         # response. The command exits with 0, 1 or 4; repeated after the fault, it prints the one
         # version that was created.
         plan = await self.plan(0, 1003)
-        await self.fleet.fault(self.fleet.platform_url, kind="lose_answers", for_s=0.4)
+        await self.fleet.set_fault(self.fleet.platform_url, kind="lose_answers", for_s=0.4)
         first = await self.run_operator_command(0, "confirm", plan)
         self.assertIn(first.code, (0, 1, 4), first)
-        await self.fleet.fault(self.fleet.platform_url, kind="none")
+        await self.fleet.set_fault(self.fleet.platform_url, kind="none")
         again = await self.run_operator_command(1, "confirm", plan)
         self.assertEqual((again.code, again.out), (0, "version 2\n"))
         self.assertEqual(await self.read_versions(), [2, 1])
 
     async def test_commands_in_an_outage(self) -> None:
         plan = await self.plan(0, 1004)
-        await self.fleet.fault(self.fleet.platform_url, kind="down")
+        await self.fleet.set_fault(self.fleet.platform_url, kind="down")
         for words in (("confirm", plan), ("audit",)):
             result = await self.run_operator_command(0, *words)
             self.assertEqual((result.code, result.out), (1, ""))
@@ -100,5 +100,5 @@
         self.assertEqual((await self.run_operator_command(0, "status")).code, 0)
         shown = await self.run_operator_command(1, "show")
         self.assertEqual((shown.code, shown.out.splitlines()[0]), (0, "# version 1"))
-        await self.fleet.fault(self.fleet.platform_url, kind="none")
+        await self.fleet.set_fault(self.fleet.platform_url, kind="none")
         self.assertEqual((await self.run_operator_command(1, "confirm", plan)).out, "version 2\n")
--- a/tests/test_pages.py
+++ b/tests/test_pages.py
@@ -30,7 +30,7 @@
         # outcome_unknown is both an outcome and a code, so it is counted twice.
         self.assertEqual(sorted(rows), sorted(map(str, codes)))
 
-    def test_every_proof_named_exists(self) -> None:
+    def test_every_test_named_in_promises_exists(self) -> None:
         text = (DOCS / "PROMISES.md").read_text(encoding="utf-8")
         names = set(re.findall(r"`(test_\w+(?:\.\w+\.\w+)?)`", text))
         self.assertGreater(len(names), 40)
--- a/tests/test_answers.py
+++ b/tests/test_response_checker.py
@@ -9,8 +9,8 @@
 from hypothesis import given
 from hypothesis import strategies as st
 
-from guavamast.answers import AnswerInvalid, ResponseChecker
 from guavamast.event_stream import DONE, Event, EventDecoder, encode_event
+from guavamast.response_checker import AnswerInvalid, ResponseChecker
 
 
 def build_chunks(request_id: str, texts: list[str], start: int = 0) -> list[Event]:
@@ -41,11 +41,11 @@
 TEXTS = st.lists(st.text(min_size=1, max_size=8), min_size=1, max_size=12)
 
 
-class AnswerCheckerTest(unittest.TestCase):
+class ResponseCheckerTest(unittest.TestCase):
     """Whatever an engine sends, only a correct prefix of the response is accepted."""
 
     @given(texts=TEXTS, cut=st.integers(0, 12))
-    def test_right_answer_resumed_anywhere(self, texts: list[str], cut: int) -> None:
+    def test_correct_response_resumed_at_any_chunk(self, texts: list[str], cut: int) -> None:
         cut = min(cut, len(texts) - 1)
         first = ResponseChecker(request_id="a")
         text = read_text(first, build_chunks("a", texts)[:cut])
@@ -62,7 +62,7 @@
             st.tuples(st.sampled_from(["drop", "repeat", "swap", "cross"]), st.integers(0, 12))
         ),
     )
-    def test_spoilt_stream_never_gives_wrong_text(
+    def test_corrupted_stream_never_yields_wrong_text(
         self, texts: list[str], other: list[str], edits: list[tuple[str, int]]
     ) -> None:
         events = build_chunks("a", texts)
--- a/tests/test_slot_links.py
+++ b/tests/test_slot_links.py
@@ -50,7 +50,7 @@
             host=self.host,
             feed=ViewFeed(instance="k"),
             answer_allotment=lambda *_: None,
-            take_announcement=lambda _: 1,
+            handle_announcement=lambda _: 1,
             serve_gossip=lambda _: None,
         )
         self._server = Server([service])
