--- a/tools/run_tests.py
+++ b/tools/run_tests.py
@@ -1,11 +1,11 @@
-"""Test runner: all unittest tests, with the failures listed in KNOWN-RED.txt passed over.
+"""Test runner: runs all unittest tests and tolerates the failures listed in KNOWN-RED.txt.
 
 A line of KNOWN-RED.txt is ``test id | command and seed | what was seen | issue``. The run fails
-when a test that is not listed fails, when a listed test passes again, does not exist, or when more
-than three are listed. A line whose first field begins with ``play`` is a finding of a long play
-outside of the tests: it is printed and counts like the others, and no run of the tests can tell
-whether it still stands. A line whose first field begins with ``sometimes`` names a test that fails
-in some runs only: it may pass or fail, is printed and counts like the others.
+when a test that is not listed fails, when a listed test passes or does not exist, or when more than
+three lines are listed. A line whose first field begins with ``play`` is a finding of a long run
+outside of the tests: it is printed and counts toward the limit, but the tests can't show whether it
+still holds. A line whose first field begins with ``sometimes`` names a flaky test: it may pass or
+fail, is printed and counts toward the limit.
 """
 
 from __future__ import annotations
@@ -17,19 +17,19 @@
 from typing import Final
 
 ROOT: Final = Path(__file__).resolve().parent.parent
-KNOWN_RED: Final = ROOT / "KNOWN-RED.txt"
+KNOWN_RED_FILE: Final = ROOT / "KNOWN-RED.txt"
 KNOWN_RED_LIMIT: Final = 3
-PLAY_MARK: Final = "play "
-"""Begins the first field of a finding that no test shows."""
-SOMETIMES_MARK: Final = "sometimes "
-"""Begins the first field of a test that fails in some runs only."""
+EXTERNAL_FINDING_PREFIX: Final = "play "
+"""Prefix of the first field of a finding that no test reproduces."""
+FLAKY_PREFIX: Final = "sometimes "
+"""Prefix of the first field of a test that fails in some runs only."""
 
 
 def read_known_red() -> dict[str, str]:
-    """Return the listed test ids with their whole line."""
-    if not KNOWN_RED.exists():
+    """Return the lines of KNOWN-RED.txt by their first field."""
+    if not KNOWN_RED_FILE.exists():
         return {}
-    lines = [line.strip() for line in KNOWN_RED.read_text().splitlines()]
+    lines = [line.strip() for line in KNOWN_RED_FILE.read_text().splitlines()]
     entries = [line for line in lines if line and not line.startswith("#")]
     return {line.split("|")[0].strip(): line for line in entries}
 
@@ -46,7 +46,7 @@
 
 
 def find_failed_ids(result: unittest.TestResult) -> set[str]:
-    """Return the ids of the tests that failed, a failing subtest counting for its test."""
+    """Return the ids of the failed tests; a failed subtest counts as its test."""
     failed = set()
     for test, _ in [*result.failures, *result.errors]:
         failed.add(getattr(test, "test_case", test).id())
@@ -54,20 +54,20 @@
     return failed
 
 
-def find_listed_ids(known: dict[str, str]) -> set[str]:
-    """Return the ids of the tests whose failure is passed over."""
-    return {entry.removeprefix(SOMETIMES_MARK) for entry in known}
+def find_excused_ids(known: dict[str, str]) -> set[str]:
+    """Return the ids of the tests whose failure is tolerated."""
+    return {entry.removeprefix(FLAKY_PREFIX) for entry in known}
 
 
 def judge(ids: list[str], failed: set[str], known: dict[str, str]) -> list[str]:
-    """Return the reasons why this run fails; none when it passes."""
-    reasons = [f"failed: {test_id}" for test_id in sorted(failed - find_listed_ids(known))]
+    """Return the reasons why this run fails; empty when it passes."""
+    reasons = [f"failed: {test_id}" for test_id in sorted(failed - find_excused_ids(known))]
     if len(known) > KNOWN_RED_LIMIT:
         reasons.append(f"KNOWN-RED.txt lists {len(known)} tests, {KNOWN_RED_LIMIT} at most")
     for entry in known:
-        if entry.startswith(PLAY_MARK):
+        if entry.startswith(EXTERNAL_FINDING_PREFIX):
             continue
-        test_id = entry.removeprefix(SOMETIMES_MARK)
+        test_id = entry.removeprefix(FLAKY_PREFIX)
         if test_id not in ids:
             reasons.append(f"KNOWN-RED.txt names a test that does not exist: {test_id}")
         elif test_id not in failed and entry == test_id:
@@ -92,7 +92,7 @@
     reasons = judge(ids, failed, known)
     for reason in reasons:
         print(reason)
-    unknown_failures = len(failed - find_listed_ids(known))
+    unknown_failures = len(failed - find_excused_ids(known))
     print(f"{len(ids) - len(failed)} passed, {max(unknown_failures, len(reasons))} failed")
     return 1 if reasons or not ids else 0
 
--- a/tools/settings_page.py
+++ b/tools/settings_page.py
@@ -1,4 +1,4 @@
-"""Writes the tables of docs/settings.md from the schemas: python -m tools.settings_page."""
+"""Generator of docs/settings.md from the schemas: ``python -m tools.settings_page``."""
 
 from __future__ import annotations
 
@@ -76,7 +76,7 @@
 
 
 def render_default(key: Key) -> str:
-    """Return what a key that isn't written stands for."""
+    """Return the default of a key, as the page shows it."""
     if key.default is REQUIRED:
         return "needed"
     if key.default in ("", ()):
