--- a/soak/__init__.py
+++ b/soak/__init__.py
@@ -1,1 +1,1 @@
-"""Randomized soak: real instances as processes, faults from outside, promises checked meanwhile."""
+"""Randomized fault soak: instances as processes under injected faults, guarantees checked."""
--- a/soak/__main__.py
+++ b/soak/__main__.py
@@ -1,4 +1,4 @@
-"""Runs the soak by hand: ``python -m soak --seeds 1-50 --parallel 4``."""
+"""Command line of the fault soak: ``python -m soak --seeds 1-50 --parallel 4``."""
 
 from __future__ import annotations
 
@@ -16,7 +16,7 @@
 async def run_seed(
     seed: int, *, length_s: float, instances: int, keep: str, revoke_s: float
 ) -> Verdict:
-    """Run one seed; its logs are kept in a directory when one is given."""
+    """Run one seed, with its logs below ``keep`` if given, and print the verdict."""
     directory = tempfile.mkdtemp(prefix=f"soak-{seed}-", dir=keep or None)
     run = SoakRun(
         seed=seed,
@@ -26,8 +26,8 @@
         revoke_s=revoke_s,
     )
     verdict = await run.run()
-    word = "kept" if not verdict.broken else "BROKEN"
-    print(f"seed {seed}: {word}, {verdict.answered} of {verdict.asked} answered", flush=True)
+    outcome = "kept" if not verdict.broken else "BROKEN"
+    print(f"seed {seed}: {outcome}, {verdict.answered} of {verdict.requests} answered", flush=True)
     for line in verdict.broken:
         print(f"  {line}")
     if verdict.broken:
@@ -45,10 +45,10 @@
     keep: str,
     revoke_s: float,
 ) -> list[Verdict]:
-    """Run seeds, some at a time."""
+    """Run a range of seeds, ``parallel`` of them at a time."""
     task = asyncio.current_task()
     assert task is not None
-    # Ended from outside, the soak still ends the processes that it has started.
+    # On SIGTERM, the soak still stops the processes that it has started.
     asyncio.get_running_loop().add_signal_handler(signal.SIGTERM, task.cancel)
     slots = asyncio.Semaphore(parallel)
 
@@ -69,16 +69,16 @@
     keep: str = "",
     revoke_s: float = REVOKE_S,
 ) -> None:
-    """Run seeds and say which promises were broken.
+    """Run seeds and print the violated guarantees.
 
     Args:
-        seeds: One seed, or the first and the last with a dash.
-        length_s: Seconds for which callers ask.
-        instances: Instances of each run.
-        parallel: Runs at the same time.
-        keep: Directory for the logs; a temporary one by default.
-        revoke_s: Time after which a revoked key must not work; a long one leaves other bounds to
-            decide how long instances serve by old knowledge.
+        seeds: One seed, or a range such as 1-50.
+        length_s: Seconds for which callers send requests.
+        instances: Number of instances in each run.
+        parallel: Number of concurrent runs.
+        keep: Directory for the logs; the system's temporary directory by default.
+        revoke_s: Seconds after which a revoked key must be rejected. With a long bound, other
+            bounds decide how long instances serve by stale state.
     """
     first, _, last = str(seeds).partition("-")
     verdicts = asyncio.run(
@@ -92,9 +92,9 @@
             revoke_s=revoke_s,
         )
     )
-    broken = sum(bool(verdict.broken) for verdict in verdicts)
-    print(f"{len(verdicts) - broken} seeds kept all promises, {broken} did not")
-    sys.exit(1 if broken else 0)
+    failed_seeds = sum(bool(verdict.broken) for verdict in verdicts)
+    print(f"{len(verdicts) - failed_seeds} seeds kept all promises, {failed_seeds} did not")
+    sys.exit(1 if failed_seeds else 0)
 
 
 if __name__ == "__main__":
--- a/soak/callers.py
+++ b/soak/callers.py
@@ -1,4 +1,4 @@
-"""Callers that ask for addresses, keep connections, send requests and note what comes back."""
+"""Callers that resolve addresses, reuse connections, send requests and record the responses."""
 
 from __future__ import annotations
 
@@ -18,46 +18,46 @@
 
     from guavamast.relay.http_connection import ResponseHead
 
-PATHS: Final = {
+PATH_PREFIXES: Final = {
     RequestKind.CALL: CALLS,
     RequestKind.LOOKUP: LOOKUPS,
     RequestKind.STREAM: STREAMS + "stream/",
     RequestKind.RESUMABLE: RESUMABLE + "stream/",
 }
-PATIENCE_S: Final = 4.0
-"""Time that a caller waits for an answer."""
-CONNECT_S: Final = 1.0
-PAUSE_S: Final = 0.05
-"""Between two requests of a caller on average."""
-HELD_FACTOR: Final = 3.0
-"""Some callers keep an answer with addresses for so many times its validity."""
+RESPONSE_TIMEOUT_S: Final = 4.0
+"""Timeout of a caller for a whole response."""
+CONNECT_TIMEOUT_S: Final = 1.0
+MEAN_PAUSE_S: Final = 0.05
+"""Mean pause between two requests of a caller."""
+EXPIRED_ADDRESSES_FACTOR: Final = 3.0
+"""Some callers use resolved addresses for this many times their validity."""
 
 
 @dataclass(slots=True, kw_only=True)
-class _Answer:
-    """What has come of an answer so far."""
+class _Response:
+    """The part of a response received so far."""
 
     head: ResponseHead | None = None
     body: bytearray = field(default_factory=bytearray)
-    whole: bool = False
+    complete: bool = False
 
-    def read_header(self, name: str) -> str | None:
-        """Return a header of the answer."""
+    def get_header(self, name: str) -> str | None:
+        """Return a header of the response, or None if it is missing."""
         if self.head is None:
             return None
         return next((value for key, value in self.head.headers if key.lower() == name), None)
 
 
 class Caller:
-    """One caller, which sends one request after the other.
+    """Caller that sends one request after another.
 
     Args:
-        name: Begins the ids of its requests.
-        organisation: Whose key it holds.
-        key: The key.
-        directories: Addresses of the listeners that tell where to connect.
-        random: Kinds, instances and pauses.
-        asked: Where it notes its requests.
+        name: Prefix of its request ids.
+        organisation: Organisation of its key.
+        key: API key.
+        directories: Addresses of the listeners that resolve caller addresses.
+        random: Chooses request kinds, instances and pauses.
+        requests: List to which it appends its requests.
     """
 
     def __init__(
@@ -68,119 +68,121 @@
         key: str,
         directories: list[str],
         random: Random,
-        asked: list[Asked],
+        requests: list[Asked],
     ) -> None:
         self._name = name
         self._organisation = organisation
         self._key = key
         self._directories = directories
         self._random = random
-        self._asked = asked
+        self._requests = requests
         self._addresses: list[str] = []
-        self._addresses_until = 0.0
-        self._held = HELD_FACTOR if random.random() < 0.3 else 1.0
+        self._addresses_expire_at = 0.0
+        self._validity_factor = EXPIRED_ADDRESSES_FACTOR if random.random() < 0.3 else 1.0
         self._connection: HttpConnection | None = None
         self._address = ""
-        self._number = 0
+        self._request_count = 0
 
     async def run(self, until: float) -> None:
-        """Send requests until a time of the steady clock."""
+        """Send requests until a time of the monotonic clock."""
         while time.monotonic() < until:
-            self._number += 1
+            self._request_count += 1
             if await self._connect():
-                await self._ask(f"{self._name}-{self._number}")
-            await asyncio.sleep(self._random.uniform(0.0, 2.0 * PAUSE_S))
-        self._drop()
+                await self._send_request(f"{self._name}-{self._request_count}")
+            await asyncio.sleep(self._random.uniform(0.0, 2.0 * MEAN_PAUSE_S))
+        self._close_connection()
 
     async def _connect(self) -> bool:
-        """Have a connection to an address that is named; False if there is none."""
+        """Reuse or open a connection to a resolved address; return False if that fails."""
         await self._resolve()
-        kept = self._connection
-        if kept is not None and kept.reusable and self._address in self._addresses:
+        connection = self._connection
+        if connection is not None and connection.reusable and self._address in self._addresses:
             return True
-        self._drop()
+        self._close_connection()
         if not self._addresses:
             return False
         self._address = self._random.choice(self._addresses)
         try:
-            self._connection = await _open(self._address)
+            self._connection = await _open_connection(self._address)
         except ConnectionLost:
             self._addresses.remove(self._address)
             return False
         return True
 
     async def _resolve(self) -> None:
-        """Ask up to three instances for addresses once the last answer has run out."""
-        if time.monotonic() < self._addresses_until and self._addresses:
+        """Resolve addresses at up to three instances once the last ones have expired."""
+        if time.monotonic() < self._addresses_expire_at and self._addresses:
             return
         for directory in self._random.sample(self._directories, min(3, len(self._directories))):
             try:
-                async with asyncio.timeout(CONNECT_S):
+                async with asyncio.timeout(CONNECT_TIMEOUT_S):
                     fields = await _fetch_addresses(directory)
             except (ConnectionLost, MalformedAnswer, TimeoutError, ValueError, KeyError):
                 continue
             self._addresses = list(fields["addresses"])
-            self._addresses_until = time.monotonic() + self._held * float(fields["ttl_s"])
+            self._addresses_expire_at = time.monotonic() + self._validity_factor * float(
+                fields["ttl_s"]
+            )
             return
 
-    async def _ask(self, request_id: str) -> None:
+    async def _send_request(self, request_id: str) -> None:
         kind = self._random.choice(list(RequestKind))
-        answer = _Answer()
-        sent = time.monotonic()
+        response = _Response()
+        sent_at = time.monotonic()
         try:
-            async with asyncio.timeout(PATIENCE_S):
-                await self._exchange(request_id, kind, answer)
+            async with asyncio.timeout(RESPONSE_TIMEOUT_S):
+                await self._exchange(request_id, kind, response)
         except (ConnectionLost, MalformedAnswer, TimeoutError):
-            self._drop()
-        if (answer.read_header("connection") or "").lower() == "close":
-            self._drop()
-        self._asked.append(
+            self._close_connection()
+        if (response.get_header("connection") or "").lower() == "close":
+            self._close_connection()
+        self._requests.append(
             Asked(
                 request_id=request_id,
                 kind=kind,
                 organisation=self._organisation,
-                sent=sent,
+                sent=sent_at,
                 ended=time.monotonic(),
-                status=answer.head.status if answer.head is not None else None,
-                answer_id=answer.read_header("x-attempt-id"),
-                body=bytes(answer.body),
-                expected=_make_expected(kind, request_id),
-                whole=answer.whole,
+                status=response.head.status if response.head is not None else None,
+                answer_id=response.get_header("x-attempt-id"),
+                body=bytes(response.body),
+                expected=_build_expected_body(kind, request_id),
+                whole=response.complete,
             )
         )
 
-    async def _exchange(self, request_id: str, kind: RequestKind, answer: _Answer) -> None:
+    async def _exchange(self, request_id: str, kind: RequestKind, response: _Response) -> None:
         assert self._connection is not None
         body = request_id.encode() if kind is not RequestKind.LOOKUP else b""
         headers = [
             ("Host", HOST),
             ("Authorization", f"Bearer {self._key}"),
             ("X-Attempt-Id", request_id),
-            ("X-Request-Deadline-Ms", str(int(PATIENCE_S * 1000))),
+            ("X-Request-Deadline-Ms", str(int(RESPONSE_TIMEOUT_S * 1000))),
         ]
         if body:
             headers.append(("Content-Length", str(len(body))))
         method = "POST" if body else "GET"
-        await self._connection.send(method, PATHS[kind] + request_id, headers, body)
-        answer.head = await self._connection.read_head()
+        await self._connection.send(method, PATH_PREFIXES[kind] + request_id, headers, body)
+        response.head = await self._connection.read_head()
         while (chunk := await self._connection.read_chunk()) is not None:
-            answer.body += chunk
-        answer.whole = True
+            response.body += chunk
+        response.complete = True
 
-    def _drop(self) -> None:
+    def _close_connection(self) -> None:
         if self._connection is not None:
             self._connection.close()
             self._connection = None
 
 
-async def _open(address: str) -> HttpConnection:
+async def _open_connection(address: str) -> HttpConnection:
     host, _, port = address.rpartition(":")
-    return await HttpConnection.open(host, int(port), timeout_s=CONNECT_S)
+    return await HttpConnection.open(host, int(port), timeout_s=CONNECT_TIMEOUT_S)
 
 
 async def _fetch_addresses(directory: str) -> dict[str, object]:
-    """Return an instance's answer to the question where to connect."""
-    connection = await _open(directory)
+    """Return the addresses that an instance resolves for the host, with their validity."""
+    connection = await _open_connection(directory)
     try:
         target = f"/v1/resolve?name={HOST}&region=r&zone=a"
         await connection.send("GET", target, [("Host", HOST)], b"")
@@ -193,7 +195,7 @@
         connection.close()
 
 
-def _make_expected(kind: RequestKind, request_id: str) -> bytes:
+def _build_expected_body(kind: RequestKind, request_id: str) -> bytes:
     if kind in (RequestKind.STREAM, RequestKind.RESUMABLE):
         return b"".join(make_event(request_id, number) for number in range(1, EVENTS + 1))
     return b"answer " + request_id.encode()
--- a/soak/proxy.py
+++ b/soak/proxy.py
@@ -1,4 +1,4 @@
-"""A loopback TCP proxy that delays, resets, cuts and silences what passes through it."""
+"""Loopback TCP proxy that delays, resets and drops traffic."""
 
 from __future__ import annotations
 
@@ -9,34 +9,34 @@
 from typing import Final
 
 CHUNK_BYTES: Final = 65_536
-"""Bytes passed on at a time."""
+"""Maximum number of bytes forwarded at a time."""
 RESET_ON_CLOSE: Final = struct.pack("ii", 1, 0)
-"""Socket option with which a close sends a reset instead of an end."""
+"""SO_LINGER value that makes a close send RST instead of FIN."""
 
 
 class LinkFault(StrEnum):
-    """What a link does to the bytes on it."""
+    """Fault that a link injects."""
 
     NONE = "none"
     DELAY = "delay"
-    """Each chunk is held for a while."""
+    """Delays each chunk."""
     CUT_TO_SERVER = "cut_to_server"
-    """What the client sends is lost."""
+    """Drops what the client sends."""
     CUT_TO_CLIENT = "cut_to_client"
-    """What the server sends is lost."""
+    """Drops what the server sends."""
     SILENT = "silent"
-    """Both directions are lost; new connections are taken and lead nowhere."""
+    """Drops both directions; new connections are accepted, but forward nothing."""
 
 
 class LinkProxy:
-    """Passes connections on to one server.
+    """Forwards connections to one server.
 
-    Bytes that are lost leave the connection unusable, as on a network: it stays without a word
-    after the fault has ended, and is reset when the fault is ``NONE`` again and either side closes.
+    A connection that has lost bytes stays unusable, as on a network: it forwards nothing after the
+    fault has ended, and is reset when the fault is ``NONE`` again and either side closes.
 
     Args:
         target_port: The server's port on loopback.
-        delay_s: Time for which a delaying link holds each chunk.
+        delay_s: Delay of each chunk under ``DELAY``.
     """
 
     def __init__(self, *, target_port: int, delay_s: float = 0.15) -> None:
@@ -54,12 +54,12 @@
         return int(self._server.sockets[0].getsockname()[1])
 
     async def start(self) -> int:
-        """Begin to pass connections on; returns the port."""
+        """Start to accept connections and return the port."""
         self._server = await asyncio.start_server(self._serve, "127.0.0.1", 0)
         return self.port
 
     async def stop(self) -> None:
-        """Take no more connections and drop those that are open."""
+        """Stop accepting connections and reset the open ones."""
         assert self._server is not None
         self._server.close()
         self.reset_all()
@@ -78,14 +78,14 @@
         self._tasks.add(task)
         self._writers.add(writer)
         try:
-            await self._pass_on(reader, writer)
+            await self._forward(reader, writer)
         except (OSError, asyncio.CancelledError):
             _reset(writer)
         finally:
             self._writers.discard(writer)
             self._tasks.discard(task)
 
-    async def _pass_on(self, reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
+    async def _forward(self, reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
         server_reader, server_writer = await asyncio.open_connection("127.0.0.1", self.target_port)
         self._writers.add(server_writer)
         try:
@@ -99,17 +99,17 @@
             self._writers.discard(server_writer)
 
     async def _copy(
-        self, reader: asyncio.StreamReader, writer: asyncio.StreamWriter, cut: LinkFault
+        self, reader: asyncio.StreamReader, writer: asyncio.StreamWriter, cut_fault: LinkFault
     ) -> None:
-        broken = False
+        lost_bytes = False
         while data := await reader.read(CHUNK_BYTES):
             if self.fault is LinkFault.DELAY:
                 await asyncio.sleep(self._delay_s)
-            broken = broken or self.fault in (cut, LinkFault.SILENT)
-            if not broken:
+            lost_bytes = lost_bytes or self.fault in (cut_fault, LinkFault.SILENT)
+            if not lost_bytes:
                 writer.write(data)
                 await writer.drain()
-        if broken:
+        if lost_bytes:
             _reset(writer)
         elif not writer.is_closing():
             writer.close()
--- a/soak/schedule.py
+++ b/soak/schedule.py
@@ -1,4 +1,4 @@
-"""Which faults strike when, drawn from a seed."""
+"""Fault schedule of a soak run, generated from a seed."""
 
 from __future__ import annotations
 
@@ -8,61 +8,61 @@
 from typing import Final
 
 QUIET_START_S: Final = 1.0
-"""Nothing strikes before callers have been served for a while."""
+"""Time without faults at the start, in which callers are served."""
 RECOVERY_S: Final = 4.0
-"""Nothing strikes in this last part of a run, in which all has to be served again: instances start
-in under a second, and what they know of a store that was away is read within another two."""
-SHORTEST_S: Final = 0.3
-LONGEST_S: Final = 3.0
-"""Times that faults last: below and above each timeout of the relay."""
+"""Time without faults at the end, in which all requests must be served again: instances start in
+under a second, and read the state of a store that was unreachable within another two."""
+SHORTEST_FAULT_S: Final = 0.3
+LONGEST_FAULT_S: Final = 3.0
+"""Range of fault durations: from below to above each timeout of the relay."""
 FAULTS_PER_S: Final = 1.2
-"""Faults that begin in a second on average, so that they come in series and overlap."""
-FREEZE_S: Final = 6.0
-"""Longest stop of a process: beyond the time after which revoked keys must not work."""
+"""Mean number of faults that begin per second, so that faults follow closely and overlap."""
+LONGEST_FREEZE_S: Final = 6.0
+"""Longest freeze of a process: longer than the time after which revoked keys must be rejected."""
 
 
 class FaultKind(StrEnum):
-    """What a fault does, and to what."""
+    """Kind of a fault: its effect and its target."""
 
     INSTANCE_KILL = "instance_kill"
-    """SIGKILL, and a start after the fault's time."""
+    """SIGKILL, and a restart after the fault's duration."""
     INSTANCE_FREEZE = "instance_freeze"
-    """SIGSTOP, and SIGCONT after the fault's time."""
+    """SIGSTOP, and SIGCONT after the fault's duration."""
     INSTANCE_TERM = "instance_term"
-    """SIGTERM, and a start after the process has ended."""
+    """SIGTERM, and a restart after the process has exited."""
     INSTANCE_HUP = "instance_hup"
     INSTANCE_SKEW = "instance_skew"
-    """SIGKILL, and a start with a time of day that is ahead or behind."""
+    """SIGKILL, and a restart with a wall clock that is ahead or behind."""
     KILL_ALL = "kill_all"
     """SIGKILL of all instances at once."""
     ENGINE_LINK = "engine_link"
-    """A fault of the link to an engine."""
+    """The link to an engine delays or drops traffic."""
     ENGINE_RESET = "engine_reset"
     """All open connections to an engine are reset."""
     ENGINE_ANSWERS = "engine_answers"
-    """An engine answers wrongly or not at all."""
+    """An engine sends faulty responses or none."""
     ENGINE_CRASH = "engine_crash"
-    """An engine ends; another with its id starts at the same address after the fault's time."""
+    """An engine crashes; one with the same id and address starts after the fault's duration."""
     ENGINE_REUSE = "engine_reuse"
-    """An engine ends for good; one of another service gets its address."""
+    """An engine crashes for good; an engine of another service gets its address."""
     ENGINE_DRAIN = "engine_drain"
-    """An engine says that it leaves, and is back after the fault's time."""
+    """An engine is listed as draining, and as ready after the fault's duration."""
     STORE_LINK = "store_link"
-    """A fault of one instance's link to the store."""
+    """One instance's link to the store delays or drops traffic."""
     STORE_ANSWERS = "store_answers"
-    """The store refuses, falls silent or loses answers, for all."""
+    """The store rejects requests, stops responding or loses responses, for all instances."""
     CONFIG_CHANGE = "config_change"
     REVOKE = "revoke"
-    """A key is taken away."""
+    """The key of an organisation is revoked."""
 
     @property
-    def strikes_instances(self) -> bool:
-        """Whether it disturbs instances themselves, and nothing that they learn from."""
+    def affects_instances(self) -> bool:
+        """Whether it disrupts only instances, and no source of their state."""
         return self is FaultKind.KILL_ALL or self.value.startswith("instance_")
 
     @property
     def planned(self) -> bool:
-        """Whether this is work during which no request may be lost."""
+        """Whether this is planned work, during which no request may fail."""
         return self in (
             FaultKind.INSTANCE_TERM,
             FaultKind.INSTANCE_HUP,
@@ -77,25 +77,25 @@
     """One fault of a run."""
 
     at_s: float
-    """Seconds from the start of the callers."""
+    """Start of the fault in seconds after the start of the callers."""
     kind: FaultKind
     for_s: float
-    pick: float
-    """0 to 1: which of the things that the fault may strike."""
+    target: float
+    """0 to 1: position of the target among the candidates."""
     variant: float
-    """0 to 1: which of the fault's forms."""
+    """0 to 1: position of the variant among those of the kind."""
 
-    def choose(self, things: list[str]) -> str:
-        """Return the thing that the fault strikes."""
-        return things[int(self.pick * len(things)) % len(things)]
+    def choose_target(self, candidates: list[str]) -> str:
+        """Return the candidate that the fault affects."""
+        return candidates[int(self.target * len(candidates)) % len(candidates)]
 
 
 def plan_faults(seed: int, *, length_s: float) -> list[Fault]:
-    """Return the faults of a run in the order of their times.
+    """Return the faults of a run, ordered by start.
 
     Args:
-        seed: The same seed gives the same faults.
-        length_s: Length of the run, its recovery included.
+        seed: Seed of the generator; the same seed gives the same faults.
+        length_s: Length of the run, including its recovery.
     """
     random = Random(seed)
     kinds = list(FaultKind)
@@ -104,10 +104,12 @@
     at_s = QUIET_START_S
     while at_s < end_s:
         kind = random.choice(kinds)
-        longest_s = FREEZE_S if kind is FaultKind.INSTANCE_FREEZE else LONGEST_S
-        for_s = min(random.uniform(SHORTEST_S, longest_s), max(SHORTEST_S, end_s - at_s))
+        longest_s = LONGEST_FREEZE_S if kind is FaultKind.INSTANCE_FREEZE else LONGEST_FAULT_S
+        for_s = min(
+            random.uniform(SHORTEST_FAULT_S, longest_s), max(SHORTEST_FAULT_S, end_s - at_s)
+        )
         fault = Fault(
-            at_s=at_s, kind=kind, for_s=for_s, pick=random.random(), variant=random.random()
+            at_s=at_s, kind=kind, for_s=for_s, target=random.random(), variant=random.random()
         )
         faults.append(fault)
         at_s += random.expovariate(FAULTS_PER_S)
--- a/soak/skewed.py
+++ b/soak/skewed.py
@@ -1,4 +1,4 @@
-"""Runs one instance whose time of day is ahead or behind."""
+"""Process of one instance whose wall clock is ahead or behind."""
 
 from __future__ import annotations
 
@@ -7,16 +7,16 @@
 import time
 
 from guavamast.platform.__main__ import main
-from soak.instances import SKEW_VARIABLE
+from soak.instances import SKEW_ENV_VARIABLE
 
 
 def skew_time_of_day(skew_s: float) -> None:
-    """Move the time of day of this process; the steady clocks stay as they are."""
+    """Shift the wall clock of this process; its monotonic clocks are unchanged."""
     read_time, read_time_ns = time.time, time.time_ns
     time.time = lambda: read_time() + skew_s
     time.time_ns = lambda: read_time_ns() + int(skew_s * 1e9)
 
 
 if __name__ == "__main__":
-    skew_time_of_day(float(os.environ.get(SKEW_VARIABLE, "0")))
+    skew_time_of_day(float(os.environ.get(SKEW_ENV_VARIABLE, "0")))
     sys.exit(main())
--- a/soak/world.py
+++ b/soak/world.py
@@ -1,4 +1,4 @@
-"""A site with links that can be disturbed: instances, engines, services and the store."""
+"""Site of a soak run: instances, engines, services and the store, behind faulty links."""
 
 from __future__ import annotations
 
@@ -15,31 +15,31 @@
     from guavamast.platform.standins.engine import EngineStandIn, Run
 
 ENGINE_WORK_S: Final = 0.03
-"""Time that an engine takes before an answer, so that faults meet requests at work."""
+"""Time that an engine takes before a response, so that faults affect running requests."""
 KEYS: Final = {
     "bakery": KEY,
     "florist": "florist-key",
     "revocable-1": "key-1",
     "revocable-2": "key-2",
 }
-"""Keys by organisation; those of the revocable ones may be taken away."""
+"""Keys by organisation; those of the revocable organisations may be revoked."""
 
 
-class World(Site):
-    """A site whose engines and store are reached over proxies.
+class SoakSite(Site):
+    """Site whose engines and store are reached through proxies.
 
     Args:
-        directory: Where settings and logs are written.
+        directory: Directory for settings and logs.
     """
 
     def __init__(self, *, directory: str) -> None:
         super().__init__()
         self.instances: list[Instance] = []
         self.links: dict[str, LinkProxy] = {}
-        """Links to the engines, by their ids."""
-        self.services: dict[str, str] = {}
-        """Services of the engines, by their ids."""
-        self.ended: list[tuple[str, EngineStandIn]] = []
+        """Links to the engines, by engine id."""
+        self.engine_services: dict[str, str] = {}
+        """Services of the engines, by engine id."""
+        self.replaced_engines: list[tuple[str, EngineStandIn]] = []
         """Engines that have been replaced, with their ids."""
         self.revoked: dict[str, float] = {}
         self.drains: dict[str, list[Span]] = {}
@@ -52,41 +52,41 @@
         engine.work_s = ENGINE_WORK_S
         link = LinkProxy(target_port=engine.port)
         self.links[engine_id] = link
-        self.services[engine_id] = service
+        self.engine_services[engine_id] = service
         await link.start()
-        self.list_at_link(engine_id)
+        self.list_engine_link(engine_id)
         return engine
 
-    def list_at_link(self, engine_id: str, *, state: str = "ready") -> None:
-        """Write an engine's row with the address of its link."""
+    def list_engine_link(self, engine_id: str, *, state: str = "ready") -> None:
+        """Write an engine's row to the store, with the address of its link."""
         self.list_engine(
-            engine_id, self.services[engine_id], self.links[engine_id].port, state=state
+            engine_id, self.engine_services[engine_id], self.links[engine_id].port, state=state
         )
 
     async def restart_engine(self, engine_id: str) -> None:
-        """Start an engine anew under its id and address; it knows nothing of before."""
-        await self._replace_engine(engine_id, engine_id, self.services[engine_id])
-        self.list_at_link(engine_id)
+        """Start a new engine with the id and address of another, but none of its state."""
+        await self._replace_engine(engine_id, engine_id, self.engine_services[engine_id])
+        self.list_engine_link(engine_id)
 
     async def reuse_address(self, engine_id: str, new_id: str) -> None:
-        """Give the address of an engine that is gone to one of the other service."""
-        service = "portal" if self.services[engine_id] == "pool" else "pool"
+        """Reassign the address of a stopped engine to a new engine of the other service."""
+        service = "portal" if self.engine_services[engine_id] == "pool" else "pool"
         await self._replace_engine(engine_id, new_id, service)
         self.links[new_id] = self.links.pop(engine_id)
-        self.services[new_id] = service
-        self.drop_engine(engine_id)
-        self.list_at_link(new_id)
+        self.engine_services[new_id] = service
+        self.unlist_engine(engine_id)
+        self.list_engine_link(new_id)
 
-    def drop_engine(self, engine_id: str) -> None:
-        """Remove an engine's row."""
+    def unlist_engine(self, engine_id: str) -> None:
+        """Remove an engine's row from the store."""
         self.store.drop("servers", engine_id)
 
     async def crash_engine(self, engine_id: str) -> None:
-        """End an engine; its connections are reset."""
+        """Stop an engine and close its connections."""
         await self.engines[engine_id].stop()
 
     async def add_instance(self, name: str) -> None:
-        """Start an instance with a link of its own to the store."""
+        """Start an instance with its own link to the store."""
         settings = self.make_settings(name)
         link = LinkProxy(target_port=self.store_port)
         await link.start()
@@ -98,48 +98,49 @@
     async def stop(self) -> None:
         """Stop instances, stand-ins and links.
 
-        Failure: one instance can't be stopped, the others go on without their site, and ask ports
-        for the store that the engines of a later run have been given.
+        If an instance can't be stopped, the rest of the site is stopped before the error is raised.
+        Otherwise the other instances would keep running without their site, and query the store at
+        ports that a later run has assigned to its engines.
         """
-        ends = [instance.stop() for instance in self.instances]
-        results = await asyncio.gather(*ends, return_exceptions=True)
+        stops = [instance.stop() for instance in self.instances]
+        results = await asyncio.gather(*stops, return_exceptions=True)
         await super().stop()
-        for link in [*self.links.values(), *(one.store_link for one in self.instances)]:
+        for link in [*self.links.values(), *(instance.store_link for instance in self.instances)]:
             await link.stop()
         failures = [result for result in results if isinstance(result, Exception)]
         if failures:
             raise ExceptionGroup("instances that could not be stopped", failures)
 
     def revoke(self, organisation: str) -> None:
-        """Take an organisation's key away."""
+        """Revoke an organisation's key."""
         self.more_keys.pop(organisation, None)
         self.configure()
         self.revoked.setdefault(organisation, time.monotonic())
 
     def list_runs(self) -> list[Ran]:
-        """Return all runs of all engines."""
+        """Return all runs of all engines, including the replaced ones."""
         return [
             _describe_run(run, engine_id)
-            for engine_id, engine in [*self.engines.items(), *self.ended]
+            for engine_id, engine in [*self.engines.items(), *self.replaced_engines]
             for run in engine.runs
         ]
 
-    def find_surprises(self) -> list[str]:
-        """Return what instances did that nobody had asked for."""
-        found = []
+    def find_instance_failures(self) -> list[str]:
+        """Return unexpected exits and logged errors of all instances."""
+        failures = []
         for instance in self.instances:
-            found += instance.surprises + instance.find_faults()
-        return found
+            failures += instance.unexpected_exits + instance.find_logged_errors()
+        return failures
 
     async def _replace_engine(self, old_id: str, new_id: str, service: str) -> None:
         old = self.engines.pop(old_id)
-        self.ended.append((old_id, old))
+        self.replaced_engines.append((old_id, old))
         engine = type(old)(engine_id=new_id)
         engine.work_s = ENGINE_WORK_S
         self.links[old_id].target_port = await engine.listen()
-        # Only now, as another fault may end whatever engine it finds here.
+        # Added only once it listens, as a concurrent fault may stop any engine found here.
         self.engines[new_id] = engine
-        self.services[old_id if old_id == new_id else new_id] = service
+        self.engine_services[old_id if old_id == new_id else new_id] = service
 
 
 def _describe_run(run: Run, engine_id: str) -> Ran:
