--- a/soak/callers.py
+++ b/soak/callers.py
@@ -8,8 +8,14 @@
 from dataclasses import dataclass, field
 from typing import TYPE_CHECKING, Final
 
-from guavamast.platform.standins.engine import EVENTS, make_event
-from guavamast.platform.standins.site import CALLS, HOST, LOOKUPS, RESUMABLE, STREAMS
+from guavamast.platform.standins.engine import EVENTS_PER_STREAM, encode_event
+from guavamast.platform.standins.site import (
+    CALL_PREFIX,
+    HOST,
+    LOOKUP_PREFIX,
+    RESUMABLE_PREFIX,
+    STREAM_PREFIX,
+)
 from guavamast.relay.http_connection import ConnectionLost, HttpConnection, MalformedAnswer
 from soak.promises import Asked, RequestKind
 
@@ -19,10 +25,10 @@
     from guavamast.relay.http_connection import ResponseHead
 
 PATH_PREFIXES: Final = {
-    RequestKind.CALL: CALLS,
-    RequestKind.LOOKUP: LOOKUPS,
-    RequestKind.STREAM: STREAMS + "stream/",
-    RequestKind.RESUMABLE: RESUMABLE + "stream/",
+    RequestKind.CALL: CALL_PREFIX,
+    RequestKind.LOOKUP: LOOKUP_PREFIX,
+    RequestKind.STREAM: STREAM_PREFIX + "stream/",
+    RequestKind.RESUMABLE: RESUMABLE_PREFIX + "stream/",
 }
 RESPONSE_TIMEOUT_S: Final = 4.0
 """Timeout of a caller for a whole response."""
@@ -197,5 +203,7 @@
 
 def _build_expected_body(kind: RequestKind, request_id: str) -> bytes:
     if kind in (RequestKind.STREAM, RequestKind.RESUMABLE):
-        return b"".join(make_event(request_id, number) for number in range(1, EVENTS + 1))
+        return b"".join(
+            encode_event(request_id, number) for number in range(1, EVENTS_PER_STREAM + 1)
+        )
     return b"answer " + request_id.encode()
--- a/soak/run.py
+++ b/soak/run.py
@@ -274,7 +274,7 @@
 
     async def _change_configuration(self, fault: Fault) -> None:
         del fault
-        self._site.configure()
+        self._site.publish_configuration()
 
     async def _revoke(self, fault: Fault) -> None:
         revocable = [name for name in KEYS if name.startswith("revocable")]
--- a/soak/world.py
+++ b/soak/world.py
@@ -43,13 +43,13 @@
         """Engines that have been replaced, with their ids."""
         self.revoked: dict[str, float] = {}
         self.drains: dict[str, list[Span]] = {}
-        self.more_keys = {name: key for name, key in KEYS.items() if name != "bakery"}
+        self.other_keys = {name: key for name, key in KEYS.items() if name != "bakery"}
         self._directory = directory
 
     async def add_engine(self, engine_id: str, service: str) -> EngineStandIn:
         """Start an engine behind a link and list the link's address."""
         engine = await super().add_engine(engine_id, service)
-        engine.work_s = ENGINE_WORK_S
+        engine.processing_s = ENGINE_WORK_S
         link = LinkProxy(target_port=engine.port)
         self.links[engine_id] = link
         self.engine_services[engine_id] = service
@@ -59,7 +59,7 @@
 
     def list_engine_link(self, engine_id: str, *, state: str = "ready") -> None:
         """Write an engine's row to the store, with the address of its link."""
-        self.list_engine(
+        self.register_engine(
             engine_id, self.engine_services[engine_id], self.links[engine_id].port, state=state
         )
 
@@ -87,7 +87,7 @@
 
     async def add_instance(self, name: str) -> None:
         """Start an instance with its own link to the store."""
-        settings = self.make_settings(name)
+        settings = self.build_settings(name)
         link = LinkProxy(target_port=self.store_port)
         await link.start()
         settings["platform"]["address"] = f"127.0.0.1:{link.port}"
@@ -113,8 +113,8 @@
 
     def revoke(self, organisation: str) -> None:
         """Revoke an organisation's key."""
-        self.more_keys.pop(organisation, None)
-        self.configure()
+        self.other_keys.pop(organisation, None)
+        self.publish_configuration()
         self.revoked.setdefault(organisation, time.monotonic())
 
     def list_runs(self) -> list[Ran]:
@@ -136,7 +136,7 @@
         old = self.engines.pop(old_id)
         self.replaced_engines.append((old_id, old))
         engine = type(old)(engine_id=new_id)
-        engine.work_s = ENGINE_WORK_S
+        engine.processing_s = ENGINE_WORK_S
         self.links[old_id].target_port = await engine.listen()
         # Added only once it listens, as a concurrent fault may stop any engine found here.
         self.engines[new_id] = engine
