--- a/soak/__main__.py
+++ b/soak/__main__.py
@@ -9,7 +9,7 @@
 
 import fire
 
-from soak.promises import REVOKE_S
+from soak.guarantees import REVOKE_BOUND_S
 from soak.run import SoakRun, Verdict
 
 
@@ -26,11 +26,11 @@
         revoke_s=revoke_s,
     )
     verdict = await run.run()
-    outcome = "kept" if not verdict.broken else "BROKEN"
+    outcome = "kept" if not verdict.violations else "BROKEN"
     print(f"seed {seed}: {outcome}, {verdict.answered} of {verdict.requests} answered", flush=True)
-    for line in verdict.broken:
+    for line in verdict.violations:
         print(f"  {line}")
-    if verdict.broken:
+    if verdict.violations:
         print(f"  logs in {directory}; faults:", *verdict.faults, sep="\n    ", flush=True)
     return verdict
 
@@ -67,7 +67,7 @@
     instances: int = 4,
     parallel: int = 4,
     keep: str = "",
-    revoke_s: float = REVOKE_S,
+    revoke_s: float = REVOKE_BOUND_S,
 ) -> None:
     """Run seeds and print the violated guarantees.
 
@@ -92,7 +92,7 @@
             revoke_s=revoke_s,
         )
     )
-    failed_seeds = sum(bool(verdict.broken) for verdict in verdicts)
+    failed_seeds = sum(bool(verdict.violations) for verdict in verdicts)
     print(f"{len(verdicts) - failed_seeds} seeds kept all promises, {failed_seeds} did not")
     sys.exit(1 if failed_seeds else 0)
 
--- a/soak/callers.py
+++ b/soak/callers.py
@@ -17,7 +17,7 @@
     STREAM_PREFIX,
 )
 from guavamast.relay.http_connection import ConnectionLost, HttpConnection, MalformedAnswer
-from soak.promises import Asked, RequestKind
+from soak.guarantees import RequestKind, RequestRecord
 
 if TYPE_CHECKING:
     from random import Random
@@ -74,7 +74,7 @@
         key: str,
         directories: list[str],
         random: Random,
-        requests: list[Asked],
+        requests: list[RequestRecord],
     ) -> None:
         self._name = name
         self._organisation = organisation
@@ -143,17 +143,17 @@
         if (response.get_header("connection") or "").lower() == "close":
             self._close_connection()
         self._requests.append(
-            Asked(
+            RequestRecord(
                 request_id=request_id,
                 kind=kind,
                 organisation=self._organisation,
-                sent=sent_at,
-                ended=time.monotonic(),
+                sent_at=sent_at,
+                ended_at=time.monotonic(),
                 status=response.head.status if response.head is not None else None,
-                answer_id=response.get_header("x-attempt-id"),
+                response_id=response.get_header("x-attempt-id"),
                 body=bytes(response.body),
-                expected=_build_expected_body(kind, request_id),
-                whole=response.complete,
+                expected_body=_build_expected_body(kind, request_id),
+                complete=response.complete,
             )
         )
 
--- a/soak/promises.py
+++ b/soak/guarantees.py
@@ -10,9 +10,9 @@
 NOT_RUN_STATUSES: Final = (408, 421, 429, 503)
 """Statuses that state that a request has not run and never will."""
 DENIAL_STATUSES: Final = (401, 403, 404)
-REVOKE_S: Final = 2.0
+REVOKE_BOUND_S: Final = 2.0
 """Time after which a revoked key must be rejected, unless a run has another bound."""
-DRAIN_S: Final = 2.0
+DRAIN_BOUND_S: Final = 2.0
 """Time after which a leaving engine must receive no requests."""
 SETTLED_AFTER_S: Final = 3.5
 """Time without a disruption after which the bounds in seconds hold."""
@@ -37,33 +37,33 @@
 
 
 @dataclass(frozen=True, slots=True, kw_only=True)
-class Asked:
+class RequestRecord:
     """One request as its caller recorded it."""
 
     request_id: str
     kind: RequestKind
     organisation: str
-    sent: float
-    ended: float
+    sent_at: float
+    ended_at: float
     status: int | None
     """None if no status was received."""
-    answer_id: str | None
+    response_id: str | None
     """Request id in the response."""
     body: bytes
-    expected: bytes
+    expected_body: bytes
     """Complete body that an engine sends for the request."""
-    whole: bool
+    complete: bool
 
 
 @dataclass(frozen=True, slots=True, kw_only=True)
-class Ran:
+class RunRecord:
     """One run as an engine recorded it."""
 
     request_id: str
     engine: str
     organisation: str
-    began: float
-    intact: bool
+    started_at: float
+    unmodified: bool
     """Whether method, target and body were the caller's, and no API key was forwarded."""
 
 
@@ -71,43 +71,43 @@
 class Span:
     """Time span of a disruption or a drain."""
 
-    began: float
-    ended: float
+    started_at: float
+    ended_at: float
 
 
 @dataclass(frozen=True, slots=True, kw_only=True)
-class Record:
+class SoakRecord:
     """Everything that was recorded in a soak run."""
 
-    asked: list[Asked]
-    ran: list[Ran]
+    requests: list[RequestRecord]
+    runs: list[RunRecord]
     revoked: dict[str, float]
     """Time at which each organisation's key was revoked."""
     drains: dict[str, list[Span]]
     """Spans from the listing as draining to the listing as ready, by engine."""
     disruptions: list[Span]
-    outer_disruptions: list[Span]
+    external_disruptions: list[Span]
     """Disruptions of the store, links and engines: all but those of instances."""
     revoke_s: float
     """Time after which a revoked key must be rejected in this run."""
-    recovered: float
+    recovered_at: float
     """Time from which all requests must be served again."""
-    ended: float
+    ended_at: float
     """Time at which callers stopped sending and the site was shut down."""
 
 
-def check(record: Record) -> list[str]:
+def find_violations(record: SoakRecord) -> list[str]:
     """Return each violated guarantee with the request that shows it."""
-    runs: dict[str, list[Ran]] = defaultdict(list)
-    for run in record.ran:
+    runs: dict[str, list[RunRecord]] = defaultdict(list)
+    for run in record.runs:
         runs[run.request_id].append(run)
     violations = []
-    for request in record.asked:
+    for request in record.requests:
         violations += _check_response(request)
         violations += _check_undisturbed(request, record)
         violations += _check_runs(request, runs[request.request_id])
-    sent_at = {request.request_id: request.sent for request in record.asked}
-    for run in record.ran:
+    sent_at = {request.request_id: request.sent_at for request in record.requests}
+    for run in record.runs:
         if run.request_id not in sent_at:
             violations.append(f"{run.request_id}: ran at {run.engine}, though nobody asked for it")
             continue
@@ -115,31 +115,31 @@
     return violations + _check_recovery(record)
 
 
-def _check_response(request: Asked) -> list[str]:
+def _check_response(request: RequestRecord) -> list[str]:
     name = f"{request.request_id} ({request.kind})"
     if request.status is None or request.status >= 300:
         if request.status in DENIAL_STATUSES and not request.organisation.startswith("revocable"):
             return [f"{name}: denied with {request.status}"]
         return []
     violations = []
-    if request.answer_id != request.request_id:
-        violations.append(f"{name}: got the answer to {request.answer_id}")
-    if request.whole and request.body != request.expected:
+    if request.response_id != request.request_id:
+        violations.append(f"{name}: got the answer to {request.response_id}")
+    if request.complete and request.body != request.expected_body:
         violations.append(f"{name}: complete response with a wrong body {request.body[:80]!r}")
-    if not request.expected.startswith(request.body):
+    if not request.expected_body.startswith(request.body):
         violations.append(
             f"{name}: response is no prefix of the expected body: {request.body[:80]!r}"
         )
     return violations
 
 
-def _check_undisturbed(request: Asked, record: Record) -> list[str]:
+def _check_undisturbed(request: RequestRecord, record: SoakRecord) -> list[str]:
     """Check that no request fails during planned work: stops, reloads, changes and drains."""
-    if request.ended >= record.ended or not _is_undisturbed(
-        record.disruptions, request.sent, request.ended
+    if request.ended_at >= record.ended_at or not _is_undisturbed(
+        record.disruptions, request.sent_at, request.ended_at
     ):
         return []
-    if request.status is None or (request.status == 200 and not request.whole):
+    if request.status is None or (request.status == 200 and not request.complete):
         return [
             f"{request.request_id} ({request.kind}): no full response, though nothing was disturbed"
         ]
@@ -150,7 +150,7 @@
     return []
 
 
-def _check_runs(request: Asked, runs: list[Ran]) -> list[str]:
+def _check_runs(request: RequestRecord, runs: list[RunRecord]) -> list[str]:
     name = f"{request.request_id} ({request.kind})"
     if request.kind.at_most_once and len(runs) > 1:
         return [f"{name}: ran {len(runs)} times, at {[run.engine for run in runs]}"]
@@ -165,9 +165,9 @@
     ]
 
 
-def _check_run(run: Ran, sent_at: float, record: Record) -> list[str]:
+def _check_run(run: RunRecord, sent_at: float, record: SoakRecord) -> list[str]:
     violations = []
-    if not run.intact:
+    if not run.unmodified:
         violations.append(f"{run.request_id}: changed on its way")
     revoked = record.revoked.get(run.organisation)
     if revoked is not None and sent_at > revoked + record.revoke_s:
@@ -177,9 +177,9 @@
         )
     for drain in record.drains.get(run.engine, []):
         # Only external disruptions count: a disrupted instance rereads stale state before it sends.
-        undisturbed = _is_undisturbed(record.outer_disruptions, run.began, run.began)
-        if undisturbed and drain.began + DRAIN_S < run.began < drain.ended:
-            late_s = run.began - drain.began
+        undisturbed = _is_undisturbed(record.external_disruptions, run.started_at, run.started_at)
+        if undisturbed and drain.started_at + DRAIN_BOUND_S < run.started_at < drain.ended_at:
+            late_s = run.started_at - drain.started_at
             violations.append(f"{run.request_id}: ran at {run.engine} {late_s:.2f} s after it left")
     return violations
 
@@ -187,18 +187,18 @@
 def _is_undisturbed(disruptions: list[Span], started_at: float, ended_at: float) -> bool:
     """Return whether a time span and ``SETTLED_AFTER_S`` before it had no disruption."""
     return not any(
-        span.began <= ended_at and started_at - SETTLED_AFTER_S <= span.ended
+        span.started_at <= ended_at and started_at - SETTLED_AFTER_S <= span.ended_at
         for span in disruptions
     )
 
 
-def _check_recovery(record: Record) -> list[str]:
+def _check_recovery(record: SoakRecord) -> list[str]:
     last_requests = [
         request
-        for request in record.asked
-        if request.sent >= record.recovered and request.organisation not in record.revoked
+        for request in record.requests
+        if request.sent_at >= record.recovered_at and request.organisation not in record.revoked
     ]
-    succeeded = sum(request.status == 200 and request.whole for request in last_requests)
+    succeeded = sum(request.status == 200 and request.complete for request in last_requests)
     if succeeded < RECOVERED_SHARE * len(last_requests) or not last_requests:
         return [f"only {succeeded} of the last {len(last_requests)} requests were answered"]
     return []
--- a/soak/run.py
+++ b/soak/run.py
@@ -11,10 +11,10 @@
 from guavamast.platform.standins.engine import EngineFault
 from guavamast.platform.standins.store import StoreFault
 from soak.callers import Caller
-from soak.promises import REVOKE_S, Asked, Record, Span, check
+from soak.guarantees import REVOKE_BOUND_S, RequestRecord, SoakRecord, Span, find_violations
 from soak.proxy import LinkFault
 from soak.schedule import RECOVERY_S, Fault, FaultKind, plan_faults
-from soak.world import KEYS, SoakSite
+from soak.site import KEYS, SoakSite
 
 if TYPE_CHECKING:
     from collections.abc import Awaitable, Callable
@@ -57,7 +57,7 @@
     answered: int
     faults: list[str]
     """Injected faults: start, kind and duration."""
-    broken: list[str]
+    violations: list[str]
     """Violated guarantees."""
 
 
@@ -80,7 +80,7 @@
         length_s: float,
         instances: int,
         directory: str,
-        revoke_s: float = REVOKE_S,
+        revoke_s: float = REVOKE_BOUND_S,
     ) -> None:
         self._seed = seed
         self._length_s = length_s
@@ -88,7 +88,7 @@
         self._site = SoakSite(directory=directory)
         self._site.bounds["revoke_ms"] = int(revoke_s * 1000)
         self._revoke_s = revoke_s
-        self._requests: list[Asked] = []
+        self._requests: list[RequestRecord] = []
         self._disruptions: list[Span] = []
         self._external_disruptions: list[Span] = []
         self._injected_faults: list[str] = []
@@ -130,23 +130,23 @@
         return self._build_verdict(started_at + self._length_s)
 
     def _build_verdict(self, ended_at: float) -> Verdict:
-        record = Record(
-            asked=self._requests,
-            ran=self._site.list_runs(),
+        record = SoakRecord(
+            requests=self._requests,
+            runs=self._site.list_runs(),
             revoked=self._site.revoked,
             drains=self._site.drains,
             disruptions=self._disruptions,
-            outer_disruptions=self._external_disruptions,
+            external_disruptions=self._external_disruptions,
             revoke_s=self._revoke_s,
-            recovered=ended_at - RECOVERY_S + RECOVERY_GRACE_S,
-            ended=ended_at,
+            recovered_at=ended_at - RECOVERY_S + RECOVERY_GRACE_S,
+            ended_at=ended_at,
         )
         return Verdict(
             seed=self._seed,
             requests=len(self._requests),
-            answered=sum(request.status == 200 and request.whole for request in self._requests),
+            answered=sum(request.status == 200 and request.complete for request in self._requests),
             faults=self._injected_faults,
-            broken=check(record) + self._site.find_instance_failures(),
+            violations=find_violations(record) + self._site.find_instance_failures(),
         )
 
     def _build_callers(self) -> list[Caller]:
@@ -184,13 +184,13 @@
                     await probe.run(time.monotonic() + 0.2)
 
     async def _inject(self, fault: Fault, started_at: float) -> None:
-        await asyncio.sleep(max(0.0, started_at + fault.at_s - time.monotonic()))
-        self._injected_faults.append(f"{fault.at_s:.2f} {fault.kind} for {fault.for_s:.2f}")
+        await asyncio.sleep(max(0.0, started_at + fault.start_s - time.monotonic()))
+        self._injected_faults.append(f"{fault.start_s:.2f} {fault.kind} for {fault.duration_s:.2f}")
         injected_at = time.monotonic()
         await self._injectors[fault.kind](fault)
         if fault.kind.planned:
             return
-        span = Span(began=injected_at, ended=time.monotonic())
+        span = Span(started_at=injected_at, ended_at=time.monotonic())
         self._disruptions.append(span)
         if not fault.kind.affects_instances:
             self._external_disruptions.append(span)
@@ -199,10 +199,10 @@
         return int(fault.target * len(self._site.instances))
 
     async def _kill_instance(self, fault: Fault) -> None:
-        await self._site.instances[self._choose_instance(fault)].kill(for_s=fault.for_s)
+        await self._site.instances[self._choose_instance(fault)].kill(for_s=fault.duration_s)
 
     async def _freeze_instance(self, fault: Fault) -> None:
-        await self._site.instances[self._choose_instance(fault)].freeze(for_s=fault.for_s)
+        await self._site.instances[self._choose_instance(fault)].freeze(for_s=fault.duration_s)
 
     async def _terminate_instance(self, fault: Fault) -> None:
         await self._site.instances[self._choose_instance(fault)].terminate()
@@ -216,13 +216,13 @@
         await instance.kill(for_s=RESTART_DELAY_S, skew_s=skew_s)
 
     async def _kill_all(self, fault: Fault) -> None:
-        kills = [instance.kill(for_s=fault.for_s) for instance in self._site.instances]
+        kills = [instance.kill(for_s=fault.duration_s) for instance in self._site.instances]
         await asyncio.gather(*kills)
 
     async def _impair_engine_link(self, fault: Fault) -> None:
         link = self._site.links[fault.choose_target(sorted(self._site.links))]
         link.fault = LINK_FAULTS[int(fault.variant * len(LINK_FAULTS))]
-        await asyncio.sleep(fault.for_s)
+        await asyncio.sleep(fault.duration_s)
         link.fault = LinkFault.NONE
 
     async def _reset_engine_link(self, fault: Fault) -> None:
@@ -231,13 +231,13 @@
     async def _inject_engine_fault(self, fault: Fault) -> None:
         engine = self._site.engines[fault.choose_target(sorted(self._site.engines))]
         engine.fault = ENGINE_FAULTS[int(fault.variant * len(ENGINE_FAULTS))]
-        await asyncio.sleep(fault.for_s)
+        await asyncio.sleep(fault.duration_s)
         engine.fault = EngineFault.NONE
 
     async def _crash_engine(self, fault: Fault) -> None:
         engine_id = fault.choose_target(sorted(self._site.engines))
         await self._site.crash_engine(engine_id)
-        await asyncio.sleep(fault.for_s)
+        await asyncio.sleep(fault.duration_s)
         if engine_id in self._site.engines:
             await self._site.restart_engine(engine_id)
 
@@ -254,22 +254,22 @@
         engine_id = fault.choose_target(sorted(self._site.engines))
         self._site.list_engine_link(engine_id, state="draining")
         drain_started_at = time.monotonic()
-        await asyncio.sleep(fault.for_s)
+        await asyncio.sleep(fault.duration_s)
         if engine_id in self._site.links:
             self._site.list_engine_link(engine_id)
-        span = Span(began=drain_started_at, ended=time.monotonic())
+        span = Span(started_at=drain_started_at, ended_at=time.monotonic())
         self._site.drains.setdefault(engine_id, []).append(span)
 
     async def _impair_store_link(self, fault: Fault) -> None:
         link = self._site.instances[self._choose_instance(fault)].store_link
         link.fault = LINK_FAULTS[int(fault.variant * len(LINK_FAULTS))]
-        await asyncio.sleep(fault.for_s)
+        await asyncio.sleep(fault.duration_s)
         link.fault = LinkFault.NONE
         link.reset_all()
 
     async def _inject_store_fault(self, fault: Fault) -> None:
         self._site.store.fault = STORE_FAULTS[int(fault.variant * len(STORE_FAULTS))]
-        await asyncio.sleep(fault.for_s)
+        await asyncio.sleep(fault.duration_s)
         self._site.store.fault = StoreFault.NONE
 
     async def _change_configuration(self, fault: Fault) -> None:
--- a/soak/schedule.py
+++ b/soak/schedule.py
@@ -76,10 +76,10 @@
 class Fault:
     """One fault of a run."""
 
-    at_s: float
+    start_s: float
     """Start of the fault in seconds after the start of the callers."""
     kind: FaultKind
-    for_s: float
+    duration_s: float
     target: float
     """0 to 1: position of the target among the candidates."""
     variant: float
@@ -109,7 +109,11 @@
             random.uniform(SHORTEST_FAULT_S, longest_s), max(SHORTEST_FAULT_S, end_s - at_s)
         )
         fault = Fault(
-            at_s=at_s, kind=kind, for_s=for_s, target=random.random(), variant=random.random()
+            start_s=at_s,
+            kind=kind,
+            duration_s=for_s,
+            target=random.random(),
+            variant=random.random(),
         )
         faults.append(fault)
         at_s += random.expovariate(FAULTS_PER_S)
--- a/soak/world.py
+++ b/soak/site.py
@@ -7,8 +7,8 @@
 from typing import TYPE_CHECKING, Final
 
 from guavamast.platform.standins.site import KEY, Site
+from soak.guarantees import RunRecord, Span
 from soak.instances import Instance
-from soak.promises import Ran, Span
 from soak.proxy import LinkProxy
 
 if TYPE_CHECKING:
@@ -117,7 +117,7 @@
         self.publish_configuration()
         self.revoked.setdefault(organisation, time.monotonic())
 
-    def list_runs(self) -> list[Ran]:
+    def list_runs(self) -> list[RunRecord]:
         """Return all runs of all engines, including the replaced ones."""
         return [
             _describe_run(run, engine_id)
@@ -143,17 +143,17 @@
         self.engine_services[old_id if old_id == new_id else new_id] = service
 
 
-def _describe_run(run: Run, engine_id: str) -> Ran:
+def _describe_run(run: Run, engine_id: str) -> RunRecord:
     expected = b"" if "/lookup/" in run.target else run.request_id.encode()
     intact = (
         run.target.endswith("/" + run.request_id)
         and run.body == expected
         and "authorization" not in run.headers
     )
-    return Ran(
+    return RunRecord(
         request_id=run.request_id,
         engine=engine_id,
         organisation=run.tenant,
-        began=run.began,
-        intact=intact,
+        started_at=run.began,
+        unmodified=intact,
     )
--- a/tests/test_heartbeat_links.py
+++ b/tests/test_heartbeat_links.py
@@ -181,7 +181,7 @@
         names = sorted(self.peers)
         await self.wait_for(lambda: all(p.list_serving() == names for p in self.peers.values()))
 
-    async def test_a_configuration_reaches_all_and_a_graceful_end_is_told(self) -> None:
+    async def test_configuration_and_graceful_end_reach_all(self) -> None:
         now = time.monotonic()
         self.peers["c0"].spread.accept(1, "one\n" * 2000, source=Source.PLATFORM, now=now)
         self.peers["c0"].links.schedule_flush()
@@ -192,7 +192,7 @@
         await self.wait_for(lambda: self._is_gone("d1", suspected))
         self.assertEqual(suspected, [], "an instance that ends gracefully is told, not suspected")
 
-    async def test_halves_that_lose_each_other_find_together_again(self) -> None:
+    async def test_partition_heals(self) -> None:
         """Two regions are partitioned while the connections between them look open.
 
         Each side continues alone: its callers get only its own instances and keepers move there.
@@ -244,7 +244,7 @@
         await self.wait_for(lambda: one.membership.get("b0").state == MemberState.SUSPECT)
         await one.close()
 
-    async def test_closing_ends_whatever_a_dial_has_come_to(self) -> None:
+    async def test_close_ends_at_any_step_of_a_dial(self) -> None:
         """A dispatcher is stopped just as the connection of a dial is made.
 
         The cancellation was lost, the stream stayed open, and the process hung until it was
--- a/tests/test_soak.py
+++ b/tests/test_soak.py
@@ -7,7 +7,16 @@
 import unittest
 from dataclasses import replace
 
-from soak.promises import DRAIN_S, REVOKE_S, Asked, Ran, Record, RequestKind, Span, check
+from soak.guarantees import (
+    DRAIN_BOUND_S,
+    REVOKE_BOUND_S,
+    RequestKind,
+    RequestRecord,
+    RunRecord,
+    SoakRecord,
+    Span,
+    find_violations,
+)
 from soak.proxy import LinkFault, LinkProxy
 from soak.run import SoakRun
 from soak.schedule import RECOVERY_S, FaultKind, plan_faults
@@ -23,112 +32,118 @@
 """Longer than any freeze, so that keys are accepted however old an instance's state gets."""
 CI_LENGTH_S = 9.0
 
-CALL = Asked(
+CALL = RequestRecord(
     request_id="r1",
     kind=RequestKind.CALL,
     organisation="bakery",
-    sent=10.0,
-    ended=10.1,
+    sent_at=10.0,
+    ended_at=10.1,
     status=200,
-    answer_id="r1",
+    response_id="r1",
     body=b"answer r1",
-    expected=b"answer r1",
-    whole=True,
+    expected_body=b"answer r1",
+    complete=True,
 )
-RUN = Ran(
+RUN = RunRecord(
     request_id="r1",
     engine="portal-0",
     organisation="bakery",
-    began=10.05,
-    intact=True,
+    started_at=10.05,
+    unmodified=True,
 )
 
 
-def build_record(asked: list[Asked], ran: list[Ran]) -> Record:
+def build_record(asked: list[RequestRecord], ran: list[RunRecord]) -> SoakRecord:
     """Return the record of a run without faults, with a valid response at its end."""
     last = replace(CALL, request_id="last", sent=20.0, ended=20.1, answer_id="last")
     last_run = replace(RUN, request_id="last", began=20.05)
-    return Record(
-        asked=[*asked, last],
-        ran=[*ran, last_run],
+    return SoakRecord(
+        requests=[*asked, last],
+        runs=[*ran, last_run],
         revoked={},
         drains={},
         disruptions=[],
-        outer_disruptions=[],
-        revoke_s=REVOKE_S,
-        recovered=19.0,
-        ended=21.0,
+        external_disruptions=[],
+        revoke_s=REVOKE_BOUND_S,
+        recovered_at=19.0,
+        ended_at=21.0,
     )
 
 
 class CheckTest(unittest.TestCase):
     """Each violated guarantee is found."""
 
-    def assert_broken(self, record: Record, text: str) -> None:
-        broken = check(record)
+    def assert_violation(self, record: SoakRecord, text: str) -> None:
+        broken = find_violations(record)
         self.assertEqual(len(broken), 1, broken)
         self.assertIn(text, broken[0])
 
-    def test_nothing_is_broken_by_good_answers(self) -> None:
-        self.assertEqual(check(build_record([CALL], [RUN])), [])
+    def test_valid_responses_violate_nothing(self) -> None:
+        self.assertEqual(find_violations(build_record([CALL], [RUN])), [])
 
     def test_second_run(self) -> None:
         again = replace(RUN, engine="portal-1")
-        self.assert_broken(build_record([CALL], [RUN, again]), "ran 2 times")
+        self.assert_violation(build_record([CALL], [RUN, again]), "ran 2 times")
 
     def test_rejected_request_that_ran(self) -> None:
         refused = replace(CALL, status=503, body=b"")
-        self.assert_broken(build_record([refused], [RUN]), "refused as not run")
+        self.assert_violation(build_record([refused], [RUN]), "refused as not run")
 
     def test_crossed_responses_and_wrong_bodies(self) -> None:
         crossed = replace(CALL, answer_id="r2")
-        self.assert_broken(build_record([crossed], [RUN]), "got the answer to r2")
+        self.assert_violation(build_record([crossed], [RUN]), "got the answer to r2")
         record = build_record([replace(CALL, body=b"answer r1!")], [RUN])
-        self.assertEqual(len(check(record)), 2)
+        self.assertEqual(len(find_violations(record)), 2)
 
     def test_denial_of_a_valid_request(self) -> None:
         denied = replace(CALL, status=401, body=b"")
-        self.assert_broken(build_record([denied], []), "denied with 401")
+        self.assert_violation(build_record([denied], []), "denied with 401")
 
     def test_failures_without_a_fault(self) -> None:
         lost = replace(CALL, status=None, body=b"", whole=False)
         record = build_record([lost], [RUN])
-        self.assert_broken(record, "nothing was disturbed")
-        disturbed = replace(record, disruptions=[Span(began=9.0, ended=9.5)])
-        self.assertEqual(check(disturbed), [])
+        self.assert_violation(record, "nothing was disturbed")
+        disturbed = replace(record, disruptions=[Span(started_at=9.0, ended_at=9.5)])
+        self.assertEqual(find_violations(disturbed), [])
         failed = replace(CALL, status=502, body=b"")
-        self.assert_broken(build_record([failed], [RUN]), "502, though")
+        self.assert_violation(build_record([failed], [RUN]), "502, though")
 
     def test_run_for_a_revoked_key(self) -> None:
         record = build_record([CALL], [RUN])
-        revoked = {"bakery": CALL.sent - REVOKE_S - 0.1}
-        self.assertIn("its key was taken away", check(replace(record, revoked=revoked))[0])
+        revoked = {"bakery": CALL.sent_at - REVOKE_BOUND_S - 0.1}
+        self.assertIn(
+            "its key was taken away", find_violations(replace(record, revoked=revoked))[0]
+        )
 
     def test_run_on_a_drained_engine(self) -> None:
         record = build_record([CALL], [RUN])
-        drains = {"portal-0": [Span(began=RUN.began - DRAIN_S - 0.1, ended=12.0)]}
-        self.assert_broken(replace(record, drains=drains), "after it left")
+        drains = {
+            "portal-0": [Span(started_at=RUN.started_at - DRAIN_BOUND_S - 0.1, ended_at=12.0)]
+        }
+        self.assert_violation(replace(record, drains=drains), "after it left")
 
     def test_a_paused_instance_may_not_send_to_a_drained_engine_either(self) -> None:
         record = build_record([CALL], [RUN])
-        drains = {"portal-0": [Span(began=RUN.began - DRAIN_S - 0.1, ended=12.0)]}
-        spans = [Span(began=RUN.began - 2.0, ended=RUN.began - 1.0)]
+        drains = {
+            "portal-0": [Span(started_at=RUN.started_at - DRAIN_BOUND_S - 0.1, ended_at=12.0)]
+        }
+        spans = [Span(started_at=RUN.started_at - 2.0, ended_at=RUN.started_at - 1.0)]
         frozen = replace(record, drains=drains, disruptions=spans)
-        self.assert_broken(frozen, "after it left")
-        self.assertEqual(check(replace(frozen, outer_disruptions=spans)), [])
+        self.assert_violation(frozen, "after it left")
+        self.assertEqual(find_violations(replace(frozen, outer_disruptions=spans)), [])
 
     def test_altered_or_unrequested_run(self) -> None:
         changed = replace(RUN, intact=False)
-        self.assert_broken(build_record([CALL], [changed]), "changed on its way")
+        self.assert_violation(build_record([CALL], [changed]), "changed on its way")
         unrequested = replace(RUN, request_id="r9")
-        self.assert_broken(build_record([CALL], [RUN, unrequested]), "nobody asked")
+        self.assert_violation(build_record([CALL], [RUN, unrequested]), "nobody asked")
         other = replace(RUN, organisation="florist")
-        self.assert_broken(build_record([CALL], [other]), "ran as florist")
+        self.assert_violation(build_record([CALL], [other]), "ran as florist")
 
     def test_no_recovery(self) -> None:
         record = build_record([CALL], [RUN])
         late = [replace(CALL, request_id=f"l{n}", sent=20.0, status=503) for n in range(3)]
-        broken = check(replace(record, asked=[*record.asked, *late]))
+        broken = find_violations(replace(record, asked=[*record.requests, *late]))
         self.assertIn("only 1 of the last 4 requests were answered", broken)
 
 
@@ -143,7 +158,7 @@
         faults = [fault for seed in range(40) for fault in plan_faults(seed, length_s=20.0)]
         self.assertEqual({fault.kind for fault in faults}, set(FaultKind))
         for fault in faults:
-            self.assertLessEqual(fault.at_s + fault.for_s, 20.0 - RECOVERY_S + 0.3)
+            self.assertLessEqual(fault.start_s + fault.duration_s, 20.0 - RECOVERY_S + 0.3)
 
 
 class LinkProxyTest(unittest.IsolatedAsyncioTestCase):
@@ -193,7 +208,7 @@
         with tempfile.TemporaryDirectory() as directory:
             run = SoakRun(seed=CI_SEED, length_s=CI_LENGTH_S, instances=3, directory=directory)
             verdict = await run.run()
-        self.assertEqual(verdict.broken, [], verdict.faults)
+        self.assertEqual(verdict.violations, [], verdict.faults)
         self.assertGreater(verdict.answered, 0)
 
     async def test_stale_state_sends_nothing_while_keys_are_accepted(self) -> None:
@@ -211,7 +226,7 @@
                 revoke_s=LONG_REVOKE_S,
             )
             verdict = await run.run()
-        self.assertEqual(verdict.broken, [], verdict.faults)
+        self.assertEqual(verdict.violations, [], verdict.faults)
         self.assertGreater(verdict.answered, 0)
 
 
--- a/tools/run_tests.py
+++ b/tools/run_tests.py
@@ -59,7 +59,7 @@
     return {entry.removeprefix(FLAKY_PREFIX) for entry in known}
 
 
-def judge(ids: list[str], failed: set[str], known: dict[str, str]) -> list[str]:
+def find_run_failures(ids: list[str], failed: set[str], known: dict[str, str]) -> list[str]:
     """Return the reasons why this run fails; empty when it passes."""
     reasons = [f"failed: {test_id}" for test_id in sorted(failed - find_excused_ids(known))]
     if len(known) > KNOWN_RED_LIMIT:
@@ -89,7 +89,7 @@
     known = {} if pattern != "test_*.py" else read_known_red()
     for line in known.values():
         print(f"known red: {line}")
-    reasons = judge(ids, failed, known)
+    reasons = find_run_failures(ids, failed, known)
     for reason in reasons:
         print(reason)
     unknown_failures = len(failed - find_excused_ids(known))
