--- a/tests/test_soak.py
+++ b/tests/test_soak.py
@@ -55,8 +55,8 @@
 
 def build_record(asked: list[RequestRecord], ran: list[RunRecord]) -> SoakRecord:
     """Return the record of a run without faults, with a valid response at its end."""
-    last = replace(CALL, request_id="last", sent=20.0, ended=20.1, answer_id="last")
-    last_run = replace(RUN, request_id="last", began=20.05)
+    last = replace(CALL, request_id="last", sent_at=20.0, ended_at=20.1, response_id="last")
+    last_run = replace(RUN, request_id="last", started_at=20.05)
     return SoakRecord(
         requests=[*asked, last],
         runs=[*ran, last_run],
@@ -90,7 +90,7 @@
         self.assert_violation(build_record([refused], [RUN]), "refused as not run")
 
     def test_crossed_responses_and_wrong_bodies(self) -> None:
-        crossed = replace(CALL, answer_id="r2")
+        crossed = replace(CALL, response_id="r2")
         self.assert_violation(build_record([crossed], [RUN]), "got the answer to r2")
         record = build_record([replace(CALL, body=b"answer r1!")], [RUN])
         self.assertEqual(len(find_violations(record)), 2)
@@ -100,7 +100,7 @@
         self.assert_violation(build_record([denied], []), "denied with 401")
 
     def test_failures_without_a_fault(self) -> None:
-        lost = replace(CALL, status=None, body=b"", whole=False)
+        lost = replace(CALL, status=None, body=b"", complete=False)
         record = build_record([lost], [RUN])
         self.assert_violation(record, "nothing was disturbed")
         disturbed = replace(record, disruptions=[Span(started_at=9.0, ended_at=9.5)])
@@ -130,10 +130,10 @@
         spans = [Span(started_at=RUN.started_at - 2.0, ended_at=RUN.started_at - 1.0)]
         frozen = replace(record, drains=drains, disruptions=spans)
         self.assert_violation(frozen, "after it left")
-        self.assertEqual(find_violations(replace(frozen, outer_disruptions=spans)), [])
+        self.assertEqual(find_violations(replace(frozen, external_disruptions=spans)), [])
 
     def test_altered_or_unrequested_run(self) -> None:
-        changed = replace(RUN, intact=False)
+        changed = replace(RUN, unmodified=False)
         self.assert_violation(build_record([CALL], [changed]), "changed on its way")
         unrequested = replace(RUN, request_id="r9")
         self.assert_violation(build_record([CALL], [RUN, unrequested]), "nobody asked")
@@ -142,8 +142,8 @@
 
     def test_no_recovery(self) -> None:
         record = build_record([CALL], [RUN])
-        late = [replace(CALL, request_id=f"l{n}", sent=20.0, status=503) for n in range(3)]
-        broken = find_violations(replace(record, asked=[*record.requests, *late]))
+        late = [replace(CALL, request_id=f"l{n}", sent_at=20.0, status=503) for n in range(3)]
+        broken = find_violations(replace(record, requests=[*record.requests, *late]))
         self.assertIn("only 1 of the last 4 requests were answered", broken)
 
 
