--- a/bench/__main__.py
+++ b/bench/__main__.py
@@ -1,4 +1,4 @@
-"""Runs the policy bench: prints Markdown tables and writes plots into docs/plots/.
+"""Benchmarks of the policies; prints Markdown tables and writes plots into docs/plots/.
 
 Usage: ``python -m bench [--seeds N] [--only SECTION]``.
 """
@@ -60,12 +60,14 @@
 
 
 def run_all(jobs: list[tuple[Site, Scenario, str]], seeds: range) -> Runs:
-    """Run each job with each seed."""
-    flat = [(site, scenario, policy, seed) for site, scenario, policy in jobs for seed in seeds]
+    """Run each job with each seed, in ``PROCESSES`` processes."""
+    combinations = [
+        (site, scenario, policy, seed) for site, scenario, policy in jobs for seed in seeds
+    ]
     runs: Runs = {}
     with ProcessPoolExecutor(PROCESSES) as executor:
-        outcomes = executor.map(run_once, *zip(*flat, strict=True))
-        for (site, scenario, policy, _), outcome in zip(flat, outcomes, strict=True):
+        outcomes = executor.map(run_once, *zip(*combinations, strict=True))
+        for (site, scenario, policy, _), outcome in zip(combinations, outcomes, strict=True):
             runs.setdefault((site.name, scenario.name, policy), []).append(outcome)
     return runs
 
@@ -89,7 +91,7 @@
 
 
 def report_keepers(seeds: range) -> None:
-    """Print what asking more keepers and older probes do."""
+    """Print the effect of asking more keepers and of older probes."""
     names = ("calm", "batch burst 2x", "standard burst 2x", "a third crashed")
     jobs = [
         (site, scenario, policy)
@@ -106,7 +108,7 @@
 
 
 def report_limits(seeds: range) -> None:
-    """Print how exactly limits hold."""
+    """Print how exactly an organisation's limits hold."""
     print_head(
         [
             "entries",
@@ -139,7 +141,7 @@
                         format_spread([run.worst_second for run in runs], scale=1.0, digits=2),
                         format_spread([run.worst_concurrent for run in runs], scale=1.0, digits=2),
                         format_spread([run.asks_per_request for run in runs], scale=1.0, digits=2),
-                        format_spread([run.home_bytes_per_s for run in runs], scale=0.001),
+                        format_spread([run.dispatcher_bytes_per_s for run in runs], scale=0.001),
                     ]
                 )
     print()
@@ -166,7 +168,7 @@
 
 
 def plot_attainment(runs: Runs, name: str, scenarios: list[str], values: tuple) -> None:
-    """Plot the top tier's attainment over a row of scenarios."""
+    """Plot the top tier's attainment over the scenarios, with ``values`` on the x axis."""
     pyplot = _load_pyplot()
     figure, all_axes = pyplot.subplots(1, len(SITES), figsize=(10, 4), sharey=True)
     for site, axes in zip(SITES, all_axes, strict=True):
--- a/bench/costs.py
+++ b/bench/costs.py
@@ -1,4 +1,4 @@
-"""Processor time of the entry's decisions against the size of the fleet."""
+"""Processor time of an entry's decisions by the size of the fleet."""
 
 from __future__ import annotations
 
@@ -39,7 +39,7 @@
 
 
 def measure(size: int, action: Callable[[int], None]) -> Cost:
-    """Return the processor time of an action that is given the number of its call."""
+    """Return the processor time of an action, which is passed the number of the call."""
     times = []
     for number in range(CALLS):
         start = process_time()
@@ -55,7 +55,7 @@
 
 
 def measure_choose(size: int) -> Cost:
-    """Return the cost of a choice among so many endpoints, each prompt with another prefix."""
+    """Return the cost of choosing among ``size`` endpoints; each prompt has a new prefix."""
     instance = Instance(
         name="i",
         failure_domain=FailureDomain(name="a", region="r"),
@@ -89,8 +89,8 @@
 
 
 def measure_allotment(size: int) -> Cost:
-    """Return the cost of one answer of an organisation's home to one of so many entries."""
-    home = AllotmentDispatcher()
+    """Return the cost of one allotment by a dispatcher to one of ``size`` entries."""
+    dispatcher = AllotmentDispatcher()
     contract = Contract(requests_per_second=500.0, concurrent=2000, classes={})
     organisation = Organisation(name="o", key_sha256="", contract=contract)
 
@@ -103,6 +103,6 @@
             concurrent_wanted=8,
             tokens_wanted=1,
         )
-        home.ask(ask, organisation, now=number / 20)
+        dispatcher.ask(ask, organisation, now=number / 20)
 
     return measure(size, answer)
--- a/bench/limit_error.py
+++ b/bench/limit_error.py
@@ -1,4 +1,4 @@
-"""How exactly an organisation's limits hold over many entries, and the messages that it takes."""
+"""Accuracy of an organisation's limits over many entries, and the messages needed."""
 
 from __future__ import annotations
 
@@ -22,26 +22,26 @@
 from guavamast.world import Contract, Organisation
 
 DURATION_S: Final = 60.0
-WARM_S: Final = 20.0
+WARM_UP_S: Final = 20.0
 LATENCY_S: Final = 0.003
-RUN_S: Final = 2.0
-"""Mean time that a request runs."""
+MEAN_RUN_S: Final = 2.0
+"""Mean run time of a request."""
 FLUSH_S: Final = 0.5
-TRIES: Final = 4
-"""Times that a request is admitted anew when its first answer was for others."""
+MAX_ADMISSION_ATTEMPTS: Final = 4
+"""Attempts to admit a request, as other requests may use up the allotment that it waits for."""
 FRAME_BYTES: Final = 66 + 14
-"""TCP/IP headers and HTTP/2 and gRPC framing of a message that goes alone."""
+"""TCP/IP headers, and HTTP/2 and gRPC framing, of a message sent by itself."""
 
 
 @dataclass(frozen=True, slots=True, kw_only=True)
 class LimitOutcome:
-    """What one run gave."""
+    """Measurements of one run."""
 
     entries: int
     rate: float
     concurrent: int
     load: float
-    """Offered requests as a share of the limit that binds."""
+    """Offered requests as a share of the binding limit."""
     admitted_share: float
     """Admitted requests as a share of those that an exact limiter would admit."""
     worst_second: float
@@ -49,14 +49,14 @@
     worst_concurrent: float
     """Most requests at once, as a share of the concurrency limit."""
     asks_per_request: float
-    ends: Counter
-    """Requests by what became of them."""
-    home_bytes_per_s: float
-    """Bytes in and out of the organisation's home."""
+    outcomes: Counter
+    """Number of requests by admission state and code."""
+    dispatcher_bytes_per_s: float
+    """Bytes a second received and sent by the dispatcher that allots the limits."""
 
 
 def size_ask(ask: AllotmentAsk) -> int:
-    """Return the bytes of an ask that goes alone."""
+    """Return the bytes on the wire of an ask sent by itself."""
     message = AllotmentAskMessage(
         organisation=ask.organisation,
         sequence=ask.sequence,
@@ -69,7 +69,7 @@
 
 
 def size_allotment(allotment: Allotment) -> int:
-    """Return the bytes of an answer that goes alone."""
+    """Return the bytes on the wire of an allotment sent by itself."""
     message = AllotmentMessage(
         organisation=allotment.organisation,
         sequence=allotment.sequence,
@@ -83,33 +83,35 @@
 
 
 class LimitFleet:
-    """Entries and the home of one organisation."""
+    """Simulates the entries and the allotment dispatcher of one organisation."""
 
     def __init__(self, *, entries: int, organisation: Organisation, seed: int) -> None:
         self.organisation = organisation
         self.random = Random(seed)
-        self.home = AllotmentDispatcher()
+        self.dispatcher = AllotmentDispatcher()
         self.entries = [
             EntryLimiter(entry=f"instance-{n}", first_sequence=1_764_716_400_000)
             for n in range(entries)
         ]
         self.admitted: list[float] = []
-        self.ends: Counter = Counter()
+        self.outcomes: Counter = Counter()
         self.running = 0
-        self.most_running = 0
+        self.max_running = 0
         self.asks = 0
         self.bytes = 0
         self.now = 0.0
         self._events: list[tuple[float, int, str, int, Allotment | None]] = []
         self._count = 0
 
-    def plan(self, time: float, kind: str, number: int, answer: Allotment | None = None) -> None:
-        """Add an event."""
+    def schedule(
+        self, time: float, kind: str, number: int, answer: Allotment | None = None
+    ) -> None:
+        """Schedule an event at a time."""
         self._count += 1
         heapq.heappush(self._events, (time, self._count, kind, number, answer))
 
     def run(self) -> None:
-        """Handle all events."""
+        """Process all events in order of time."""
         while self._events:
             self.now, _, kind, number, answer = heapq.heappop(self._events)
             limiter = self.entries[number]
@@ -121,34 +123,34 @@
             elif kind == "answer":
                 limiter.record_allotment(answer, now=self.now)
             elif kind == "flush" and self.now < DURATION_S:
-                self.plan(self.now + FLUSH_S, "flush", number)
+                self.schedule(self.now + FLUSH_S, "flush", number)
             self._exchange(number)
 
-    def _admit(self, number: int, tries: int) -> None:
+    def _admit(self, number: int, attempt: int) -> None:
         admission = self.entries[number].admit(self.organisation, now=self.now)
-        if admission.state is AdmissionState.PENDING and tries < TRIES:
-            self.plan(self.now + 2.2 * LATENCY_S, f"try{tries + 1}", number)
+        if admission.state is AdmissionState.PENDING and attempt < MAX_ADMISSION_ATTEMPTS:
+            self.schedule(self.now + 2.2 * LATENCY_S, f"try{attempt + 1}", number)
         else:
-            self.ends[admission.state, admission.code] += 1
+            self.outcomes[admission.state, admission.code] += 1
         if admission.granted:
             self.admitted.append(self.now)
             self.running += 1
-            self.most_running = max(self.most_running, self.running)
-            self.plan(self.now + self.random.expovariate(1 / RUN_S), "end", number)
+            self.max_running = max(self.max_running, self.running)
+            self.schedule(self.now + self.random.expovariate(1 / MEAN_RUN_S), "end", number)
 
     def _exchange(self, number: int) -> None:
         for ask in self.entries[number].collect_asks(now=self.now):
-            answer = self.home.ask(ask, self.organisation, now=self.now)
+            answer = self.dispatcher.ask(ask, self.organisation, now=self.now)
             if answer is None:
                 continue
-            if self.now >= WARM_S:
+            if self.now >= WARM_UP_S:
                 self.asks += 1
                 self.bytes += size_ask(ask) + size_allotment(answer)
-            self.plan(self.now + 2 * LATENCY_S, "answer", number, answer)
+            self.schedule(self.now + 2 * LATENCY_S, "answer", number, answer)
 
 
 def count_exact(arrivals: list[float], contract: Contract, random: Random) -> int:
-    """Return the requests that one limiter in one place admits after the warm-up."""
+    """Return the number of requests that a single central limiter admits after the warm-up."""
     tokens = burst = max(1.0, contract.requests_per_second * BURST_S)
     last = 0.0
     running: list[float] = []
@@ -160,52 +162,54 @@
             heapq.heappop(running)
         if tokens >= 1.0 and len(running) < contract.concurrent:
             tokens -= 1.0
-            heapq.heappush(running, time + random.expovariate(1 / RUN_S))
-            count += WARM_S <= time < DURATION_S
+            heapq.heappush(running, time + random.expovariate(1 / MEAN_RUN_S))
+            count += WARM_UP_S <= time < DURATION_S
     return count
 
 
 def measure_limit(
     *, entries: int, rate: float, concurrent: int, load: float, seed: int, skew: float = 0.0
 ) -> LimitOutcome:
-    """Return how well one organisation's limits hold.
+    """Measure how exactly one organisation's limits hold.
 
     Args:
-        entries: Entries that its callers use.
+        entries: Number of entries that its callers use.
         rate: Limit on requests a second.
         concurrent: Limit on requests at once.
-        load: Offered requests as a share of the limit that binds.
+        load: Offered requests as a share of the binding limit.
         seed: Seed of arrivals and run times.
-        skew: Exponent by which some entries get more of them than others.
+        skew: Exponent of the Zipf distribution of requests over entries; 0 for a uniform one.
     """
     contract = Contract(requests_per_second=rate, concurrent=concurrent, classes={})
     organisation = Organisation(name="organisation-1", key_sha256="", contract=contract)
     fleet = LimitFleet(entries=entries, organisation=organisation, seed=seed)
     random = Random(seed + 1)
-    bound = min(rate, concurrent / RUN_S)
+    bound = min(rate, concurrent / MEAN_RUN_S)
     weights = [1 / (number + 1) ** skew for number in range(entries)]
     time = 0.0
     arrivals = []
     while time < DURATION_S:
         time += random.expovariate(bound * load)
         arrivals.append(time)
-        fleet.plan(time, "try1", random.choices(range(entries), weights)[0])
+        fleet.schedule(time, "try1", random.choices(range(entries), weights)[0])
     for number in range(entries):
-        fleet.plan(random.uniform(0, FLUSH_S), "flush", number)
+        fleet.schedule(random.uniform(0, FLUSH_S), "flush", number)
     fleet.run()
-    late = [time for time in fleet.admitted if WARM_S <= time < DURATION_S]
-    seconds = DURATION_S - WARM_S
+    measured = [time for time in fleet.admitted if WARM_UP_S <= time < DURATION_S]
+    seconds = DURATION_S - WARM_UP_S
     exact = count_exact(arrivals, contract, Random(seed))
-    worst = max((bisect_right(late, t + 1.0) - index for index, t in enumerate(late)), default=0)
+    worst = max(
+        (bisect_right(measured, t + 1.0) - index for index, t in enumerate(measured)), default=0
+    )
     return LimitOutcome(
         entries=entries,
         rate=rate,
         concurrent=concurrent,
         load=load,
-        admitted_share=len(late) / max(1, exact),
+        admitted_share=len(measured) / max(1, exact),
         worst_second=worst / rate,
-        worst_concurrent=fleet.most_running / concurrent,
+        worst_concurrent=fleet.max_running / concurrent,
         asks_per_request=fleet.asks / (seconds * bound * load),
-        ends=fleet.ends,
-        home_bytes_per_s=fleet.bytes / seconds,
+        outcomes=fleet.outcomes,
+        dispatcher_bytes_per_s=fleet.bytes / seconds,
     )
--- a/bench/tier_shares.py
+++ b/bench/tier_shares.py
@@ -1,7 +1,7 @@
-"""How strict tiers and guaranteed shares meet at one keeper, against simpler rules.
+"""Strict tiers combined with guaranteed shares at one keeper, compared with simpler rules.
 
-The engine is a fake: slots, a fixed pace and lengths that the keeper doesn't know. A paused request
-gives its slot up after `PAUSE_S` and asks again for its rest.
+The engine is a fake with slots, a fixed pace and output lengths unknown to the keeper. A paused
+request releases its slot after `PAUSE_S` and asks for a slot for its remaining tokens.
 """
 
 from __future__ import annotations
@@ -25,7 +25,7 @@
 SLOTS: Final = 16
 FIRST_TOKEN_S: Final = 0.15
 INTERVAL_S: Final = 0.02
-DEVIATION: Final = 0.8
+LOG_DEVIATION: Final = 0.8
 DURATION_S: Final = 600.0
 SEEDS: Final = (1, 2, 3)
 SHARE: Final = 0.05
@@ -41,12 +41,12 @@
     target_ms: float
     allowed_s: float
     log_tokens: float
-    """Mean of the natural logarithm of the output length; its deviation is `DEVIATION`."""
+    """Mean of the natural logarithm of the output length; the deviation is `LOG_DEVIATION`."""
 
     @property
     def mean_service_s(self) -> float:
-        """Mean seconds of a run."""
-        return FIRST_TOKEN_S + INTERVAL_S * exp(self.log_tokens + 0.5 * DEVIATION**2)
+        """Mean duration of a run, in seconds."""
+        return FIRST_TOKEN_S + INTERVAL_S * exp(self.log_tokens + 0.5 * LOG_DEVIATION**2)
 
 
 TRAFFIC: Final = (
@@ -61,13 +61,13 @@
     "top tier 0.95": (0.95, 0.1, 0.3),
     "top tier 2x": (2.0, 0.1, 0.3),
 }
-"""Offered load of each class, as a multiple of what the slots can run."""
+"""Offered load of each class, as a multiple of the capacity of the slots."""
 RULES: Final = ("strict tiers", "share at once", "share by need", "no pausing", "one class")
 
 
 @dataclass(slots=True, kw_only=True)
 class Job:
-    """One request and what became of it."""
+    """One request with its progress and outcome."""
 
     traffic: Traffic
     organisation: str
@@ -83,7 +83,7 @@
 
 @dataclass(slots=True, kw_only=True)
 class Result:
-    """Figures of one class in one run."""
+    """Measurements of one class in one run."""
 
     asked: int = 0
     on_target: int = 0
@@ -92,13 +92,13 @@
     starts: list[float] = field(default_factory=list)
 
     def find_longest_gap(self) -> float:
-        """Return the longest time without a start."""
+        """Return the longest interval without a start, in seconds."""
         points = [0.0, *self.starts, DURATION_S]
         return max(after - before for before, after in zip(points, points[1:], strict=False))
 
 
 class Run:
-    """One scenario with one seed under one rule."""
+    """Simulates one scenario with one seed under one rule."""
 
     def __init__(self, *, rule: str, loads: tuple[float, ...], seed: int) -> None:
         self._random = random.Random(seed)
@@ -114,24 +114,24 @@
             endpoint=Endpoint(
                 name="e", kind=kind or EndpointKind.ENGINE, url="", failure_domain="d", slots=SLOTS
             ),
-            configuration=make_configuration(rule),
+            configuration=build_configuration(rule),
             now=0.0,
         )
         for traffic, load in zip(TRAFFIC, loads, strict=True):
             self._schedule_arrivals(traffic, load * SLOTS / traffic.mean_service_s)
 
     def run(self) -> dict[str, Result]:
-        """Play the run and return its figures by class."""
+        """Run the simulation and return its measurements by class."""
         while self._events:
             self._now, _, kind, name = heapq.heappop(self._events)
             if self._now > DURATION_S:
                 break
-            self._play(kind, name)
+            self._handle(kind, name)
             due = self._keeper.next_wakeup()
             if due is not None and due != self._wakeup:
                 self._wakeup = due
                 self._push(max(due, self._now), "tick", "")
-        return self._collect()
+        return self._collect_results()
 
     def _schedule_arrivals(self, traffic: Traffic, rate: float) -> None:
         at = self._random.expovariate(rate)
@@ -139,7 +139,7 @@
             job = Job(
                 traffic=traffic,
                 organisation=f"o{min(9, int(self._random.expovariate(0.5)))}",
-                tokens=max(1, int(self._random.lognormvariate(traffic.log_tokens, DEVIATION))),
+                tokens=max(1, int(self._random.lognormvariate(traffic.log_tokens, LOG_DEVIATION))),
                 arrived_at=at,
             )
             self._number += 1
@@ -152,17 +152,17 @@
         self._number += 1
         heapq.heappush(self._events, (at, self._number, kind, name))
 
-    def _play(self, kind: str, name: str) -> None:
+    def _handle(self, kind: str, name: str) -> None:
         if kind == "tick":
-            self._follow(self._keeper.tick(now=self._now))
+            self._apply_events(self._keeper.tick(now=self._now))
         elif kind == "arrive":
-            self._follow(self._keeper.ask(self._make_ask(name), now=self._now))
+            self._apply_events(self._keeper.ask(self._build_ask(name), now=self._now))
         elif kind == "progress":
             self._report_progress(name)
         elif name.split("/")[1] == str(self._jobs[name.split("/")[0]].attempts):
             self._end(name, paused=kind == "paused")
 
-    def _make_ask(self, name: str) -> Ask:
+    def _build_ask(self, name: str) -> Ask:
         job = self._jobs[name]
         job.attempts += 1
         traffic = job.traffic
@@ -180,7 +180,7 @@
             deadline=job.arrived_at + traffic.allowed_s,
         )
 
-    def _follow(self, events: list[KeeperEvent]) -> None:
+    def _apply_events(self, events: list[KeeperEvent]) -> None:
         for event in events:
             name = event.ask.ask_id
             job = self._jobs[name.split("/")[0]]
@@ -225,11 +225,11 @@
         if not paused:
             job.finished_at = self._now
             self._finished.append(job)
-        self._follow(self._keeper.release(release, now=self._now))
+        self._apply_events(self._keeper.release(release, now=self._now))
         if paused:
-            self._follow(self._keeper.ask(self._make_ask(base), now=self._now))
+            self._apply_events(self._keeper.ask(self._build_ask(base), now=self._now))
 
-    def _collect(self) -> dict[str, Result]:
+    def _collect_results(self) -> dict[str, Result]:
         results = {traffic.class_name: Result() for traffic in TRAFFIC}
         for job in self._jobs.values():
             result = results[job.traffic.class_name]
@@ -249,8 +249,8 @@
         return results
 
 
-def make_configuration(rule: str) -> Configuration:
-    """Return the classes; a single one for the rule that knows no tiers."""
+def build_configuration(rule: str) -> Configuration:
+    """Return the classes of a rule; the rule without tiers has a single class."""
     share = SHARE if rule in ("share at once", "share by need", "no pausing") else 0.0
     names = [(t.class_name, t.tier, t.target_ms) for t in TRAFFIC]
     if rule == "one class":
@@ -271,14 +271,14 @@
 
 
 def measure(rule: str, loads: tuple[float, ...], seed: int) -> dict[str, Result]:
-    """Return the figures of one run."""
+    """Return the measurements of one run by class."""
     ceiling = 1.0 if rule == "share at once" else 2.0
     with patch("guavamast.queues.DEBT_CEILING", ceiling):
         return Run(rule=rule, loads=loads, seed=seed).run()
 
 
-def describe(values: list[float], digits: int) -> str:
-    """Return mean and range over the seeds."""
+def format_range(values: list[float], digits: int) -> str:
+    """Return the mean and range of values as text."""
     return f"{mean(values):.{digits}f} ({min(values):.{digits}f}-{max(values):.{digits}f})"
 
 
@@ -297,8 +297,8 @@
                 gap = max(r.find_longest_gap() for r in results)
                 pauses = mean(r.pauses / max(1, r.asked) for r in results)
                 print(
-                    f"{rule:14s} {traffic.class_name:10s} {describe(on_target, 1):19s}"
-                    f" {describe(on_time, 1):19s} {gap:5.0f}  {pauses:.2f}"
+                    f"{rule:14s} {traffic.class_name:10s} {format_range(on_target, 1):19s}"
+                    f" {format_range(on_time, 1):19s} {gap:5.0f}  {pauses:.2f}"
                 )
 
 
