--- a/bench/membership_cost.py
+++ b/bench/membership_cost.py
@@ -1,8 +1,8 @@
-"""Cost of idle dispatchers, and the time from accept to in force, with real processes on loopback.
+"""Cost of idle dispatchers and time to put a configuration in force, in processes on loopback.
 
 Run with ``python -m bench.membership_cost [COUNT ...]``. Bytes are those of the dispatchers' TCP
-connections with 52 bytes of IP and TCP header for each segment, both ways, as ``ss`` gives them;
-processor time is the kernel's own count for all threads of a process.
+connections in both directions, as ``ss`` reports them, plus 52 bytes of IP and TCP header for each
+segment. Processor time is the kernel's count for all threads of a process.
 """
 
 from __future__ import annotations
@@ -30,11 +30,11 @@
 
 WINDOW_S: Final = 30.0
 SETTLE_S: Final = 20.0
-"""Time before measuring, in which streams that joining needed have been closed."""
+"""Time before measuring, in which the streams used for joining are closed."""
 QUIET_S: Final = 10.0
-"""Time after the last change of configuration, in which its version is told of each member."""
+"""Time after the last change of configuration, in which members publish its version."""
 START_GAP_S: Final = 0.1
-"""Time between two starts, which are what loads the machine most."""
+"""Time between two process starts, which load the machine more than anything else here."""
 HEADER_BYTES: Final = 52
 DESIGN_SIZE: Final = 350
 SETTINGS: Final = """\
@@ -66,7 +66,7 @@
 
 @dataclass(frozen=True, slots=True, kw_only=True)
 class Sample:
-    """Counters of all dispatchers of a fleet at one moment."""
+    """Counters summed over all dispatchers of a fleet at one time."""
 
     at: float
     cpu_s: float
@@ -76,10 +76,10 @@
 
 
 class DispatcherFleet:
-    """Real dispatcher processes and one stand-in platform.
+    """Dispatcher processes and one stand-in platform.
 
     Args:
-        folder: Where settings and logs go.
+        folder: Folder for settings and logs.
         count: Number of dispatchers.
     """
 
@@ -97,7 +97,7 @@
             time.sleep(START_GAP_S)
 
     def start(self, number: int) -> None:
-        """Start one dispatcher, again if it ran before."""
+        """Start or restart one dispatcher."""
         settings = str(self.folder / f"n{number:02}.ini")
         self.processes[number] = self._start(f"n{number:02}", "dispatcher", "--settings", settings)
 
@@ -111,7 +111,7 @@
         return (self.folder / f"n{number:02}.log").read_text().splitlines()
 
     async def announce(self, number: int, version: int) -> float:
-        """Have one dispatcher accept a configuration; return the wall clock at that moment."""
+        """Send a configuration to one dispatcher and return the wall clock time of the send."""
         channel = Channel("127.0.0.1", self.ports[number])
         text = CLASS_TEXT.format(limit=100 + version)
         started = time.time()
@@ -122,7 +122,7 @@
         return started
 
     def find_in_force(self, version: int) -> list[float]:
-        """Return the wall clock times at which dispatchers put a version in force."""
+        """Return the wall clock times, from logs, at which dispatchers put a version in force."""
         pattern = re.compile(rf"^(\S+ \S+) INFO configuration {version} in force")
         found = []
         for number in self.processes:
@@ -134,7 +134,7 @@
         return found
 
     def sample(self) -> Sample:
-        """Read the counters."""
+        """Return the current counters."""
         pids = [process.pid for process in self.processes.values()]
         sent, received, segments = _read_connections(pids)
         cpu_s = sum(_read_cpu_s(pid) for pid in pids)
@@ -143,7 +143,7 @@
         )
 
     def read_memory_mb(self) -> float:
-        """Return the mean resident set of a dispatcher."""
+        """Return the mean resident memory of a dispatcher, in MB."""
         sizes = [psutil.Process(p.pid).memory_info().rss for p in self.processes.values()]
         return fmean(sizes) / 1e6
 
@@ -178,7 +178,7 @@
 
 
 async def measure(count: int) -> dict[str, float]:
-    """Return the figures of one size, each for one dispatcher and second."""
+    """Return the measurements at one fleet size, rates per dispatcher and second."""
     with tempfile.TemporaryDirectory() as folder:
         fleet = DispatcherFleet(folder=Path(folder), count=count)
         try:
@@ -239,7 +239,7 @@
 
 
 def main() -> None:
-    """Measure the sizes given on the command line and fit a line to each figure."""
+    """Measure the sizes given on the command line and fit lines to each measurement."""
     counts = [int(text) for text in sys.argv[1:]] or [5, 14, 40]
     results = {}
     for count in counts:
@@ -251,10 +251,11 @@
 
 
 def _print_fit(name: str, figures: dict[int, float]) -> None:
-    """Print a figure at the design size by two lines: over the size, and over the links.
+    """Print a measurement extrapolated to the design size by two linear fits.
 
-    Links stop growing at about 14 instances, so a line over the size goes on where the cost does
-    not; the one over the links leaves out what grows with the table of members.
+    The number of links stops growing at about 14 instances, so the fit over the fleet size
+    overestimates costs that depend on links. The fit over the links omits costs that grow with the
+    table of members.
     """
     by_size = linear_regression(list(figures), list(figures.values()))
     by_links = linear_regression([count_links(n) for n in figures], list(figures.values()))
@@ -267,7 +268,7 @@
 
 
 def count_links(count: int) -> float:
-    """Return the mean number of neighbours in a fleet of this bench."""
+    """Return the mean number of neighbours of an instance in a fleet of this benchmark."""
     regions = {f"n{number:02}": f"region{number % 3}" for number in range(count)}
     overlay = Overlay()
     return fmean(len(overlay.find_neighbours(name, regions)) for name in regions)
--- a/bench/membership_faults.py
+++ b/bench/membership_faults.py
@@ -1,7 +1,7 @@
-"""Time until all others hold a killed or stopped dispatcher to be gone, with real processes.
+"""Time until all other dispatchers consider a killed or stopped one gone, with real processes.
 
 Run with ``python -m bench.membership_faults [COUNT ...]``. Times are those at which followers of
-the dispatchers' views are told, which happens every quarter of a second at most.
+the dispatchers' views receive the update; a view is sent at most every quarter of a second.
 """
 
 from __future__ import annotations
@@ -24,11 +24,11 @@
 if TYPE_CHECKING:
     from collections.abc import Callable
 
-LIMIT_S: Final = 60.0
+WAIT_TIMEOUT_S: Final = 60.0
 
 
-class Followers:
-    """Holds the names that each dispatcher's last view contains.
+class ViewFollowers:
+    """Follows the views of all dispatchers and stores the member names of each last view.
 
     Args:
         fleet: The dispatchers.
@@ -49,13 +49,13 @@
         """Wait until a condition holds; return the seconds that it took."""
         started = time.monotonic()
         while not condition():
-            if time.monotonic() - started > LIMIT_S:
+            if time.monotonic() - started > WAIT_TIMEOUT_S:
                 return float("nan")
             await asyncio.sleep(0.01)
         return time.monotonic() - started
 
     def agree_on(self, numbers: set[int]) -> bool:
-        """Return whether these dispatchers see just themselves."""
+        """Return whether each of these dispatchers sees exactly these as members."""
         names = frozenset(f"n{number:02}" for number in numbers)
         return all(self.seen.get(number) == names for number in numbers)
 
@@ -81,10 +81,10 @@
 
 
 async def measure(count: int) -> None:
-    """Print the times of one size."""
+    """Print the detection times at one fleet size."""
     with tempfile.TemporaryDirectory() as folder:
         fleet = DispatcherFleet(folder=Path(folder), count=count)
-        followers = Followers(fleet=fleet)
+        followers = ViewFollowers(fleet=fleet)
         try:
             await asyncio.sleep(5.0 + count * 0.2)
             followers.start()
@@ -93,9 +93,9 @@
             rest = everyone - {1}
             fleet.kill(1)
             killed = await followers.wait_for(lambda: followers.agree_on(rest))
-            left = rest - {2}
+            running = rest - {2}
             fleet.processes[2].send_signal(signal.SIGSTOP)
-            stopped = await followers.wait_for(lambda: followers.agree_on(left))
+            stopped = await followers.wait_for(lambda: followers.agree_on(running))
             fleet.processes[2].send_signal(signal.SIGCONT)
             resumed = await followers.wait_for(lambda: followers.agree_on(rest))
             await asyncio.sleep(5.0)
--- a/bench/membership_rounds.py
+++ b/bench/membership_rounds.py
@@ -1,7 +1,7 @@
-"""Spread and detection with the decision objects alone.
+"""Spread of updates and failure detection, with the decision objects and without a network.
 
-Run with ``python -m bench.membership_rounds``. A step is one message over a stream; streams pass
-news on at once, so steps cost milliseconds and rounds are heartbeat periods.
+Run with ``python -m bench.membership_rounds [COUNT ...]``. A step is one message over a stream, and
+a round is one heartbeat period. Streams forward updates immediately, so a step takes milliseconds.
 """
 
 from __future__ import annotations
@@ -26,14 +26,14 @@
 DAYS: Final = 10
 DAY_S: Final = 86_400
 STALLS_PER_DAY: Final = 144.0
-"""Assumed: one stall of an instance in ten minutes."""
+"""Assumption: an instance stalls once in ten minutes."""
 STALL_SCALE_S: Final = 0.3
 STALL_SHAPE: Final = 1.5
-"""Assumed Pareto lengths: 0.3 s at least, one in 32 longer than 3 s, one in 90 than 6 s."""
+"""Assumed Pareto stall lengths: at least 0.3 s, one in 32 above 3 s, one in 90 above 6 s."""
 
 
-def make_loop(count: int) -> ExchangeLoop:
-    """Return instances in three regions with seven failure domains, agreed on their members."""
+def build_loop(count: int) -> ExchangeLoop:
+    """Return instances in three regions and seven failure domains that agree on their members."""
     loop = ExchangeLoop(
         instances=[
             make_instance(f"i{n:03}", region=f"region{n % 7 % 3}", domain=f"d{n % 7}")
@@ -50,8 +50,8 @@
 
 
 def measure_configuration(count: int) -> None:
-    """Print the steps until a whole text and then a small change of it reached everybody."""
-    loop = make_loop(count)
+    """Print the steps until a full configuration, then a small change, reaches all instances."""
+    loop = build_loop(count)
     text = "".join(f"[organisation o{n}]\nconcurrent = {n}\n" for n in range(20_000))
     changed = text.replace("concurrent = 9999\n", "concurrent = 1\n")
     for version, body in ((1, text), (2, changed)):
@@ -70,10 +70,10 @@
 
 
 def measure_idle(count: int) -> None:
-    """Print bytes and processor time of a round, idle and with loads that change at random."""
+    """Print bytes and processor time of a round, idle and with randomly changing loads."""
     random = Random(1)
     for busy in (False, True):
-        loop = make_loop(count)
+        loop = build_loop(count)
         sent, messages, started = 0, 0, 0.0
         for number in range(100):
             if number == 70:
@@ -92,28 +92,28 @@
 
 
 def measure_faults(count: int) -> None:
-    """Print rounds until all agree after faults, and the bytes that it took."""
-    loop = make_loop(count)
-    _print_settling("killed, connections refused", loop, lambda: loop.kill("i003"))
+    """Print the rounds and bytes until all instances agree again after faults."""
+    loop = build_loop(count)
+    _print_convergence("killed, connections refused", loop, lambda: loop.kill("i003"))
     domain = [name for name in loop.nodes if int(name[1:]) % 7 == 4]
-    _print_settling("a failure domain killed", loop, lambda: [loop.kill(n) for n in domain])
-    _print_settling("and started again", loop, lambda: [loop.start(n) for n in domain])
+    _print_convergence("a failure domain killed", loop, lambda: [loop.kill(n) for n in domain])
+    _print_convergence("and started again", loop, lambda: [loop.start(n) for n in domain])
     paused = [name for name in loop.nodes if int(name[1:]) % 3 == 1]
     for name in paused:
         loop.nodes[name].running = False
-    _print_settling("a third stopped", loop, lambda: None)
+    _print_convergence("a third stopped", loop, lambda: None)
     for name in paused:
         loop.nodes[name].running = True
-    _print_settling("and running again", loop, lambda: None)
+    _print_convergence("and running again", loop, lambda: None)
     loop.is_cut = lambda a, b: (int(a[1:]) % 7 % 3 == 0) != (int(b[1:]) % 7 % 3 == 0)
     for _ in range(30):
         loop.run_round()
     loop.is_cut = lambda _a, _b: False
-    _print_settling("a region cut off for 30 rounds and back", loop, lambda: None)
+    _print_convergence("a region cut off for 30 rounds and back", loop, lambda: None)
 
 
-def _print_settling(label: str, loop: ExchangeLoop, cause: object) -> None:
-    cause()
+def _print_convergence(label: str, loop: ExchangeLoop, inject_fault: object) -> None:
+    inject_fault()
     sent, rounds, peak = loop.bytes_sent, 0, 0
     while not loop.agrees() and rounds < 200:
         before = loop.bytes_sent
@@ -126,7 +126,7 @@
 
 
 def measure_overlay(count: int) -> None:
-    """Print degrees, the diameter, and whether the overlay holds when instances vanish at once."""
+    """Print degrees, diameter, and how often the overlay stays connected after random failures."""
     overlay = Overlay()
     regions = {f"i{n:03}": f"region{n % 7 % 3}" for n in range(count)}
     links = {name: overlay.find_neighbours(name, regions) for name in regions}
@@ -135,12 +135,12 @@
     print(f"{count=} degree {min(degrees)}..{max(degrees)} mean {fmean(degrees):.2f} {diameter=}")
     random = Random(1)
     for share in (1 / 7, 1 / 3):
-        whole = 0
+        connected = 0
         for _ in range(200):
             left = set(random.sample(sorted(links), round(count * (1 - share))))
             kept = {name: links[name] & left for name in left}
-            whole += len(_measure_distances(kept, min(left))) == len(left)
-        print(f"{count=} connected without {share:.0%} at random: {whole} of 200")
+            connected += len(_measure_distances(kept, min(left))) == len(left)
+        print(f"{count=} connected without {share:.0%} at random: {connected} of 200")
 
 
 def _measure_distances(links: dict[str, Collection[str]], start: str) -> dict[str, int]:
@@ -156,11 +156,11 @@
 
 
 def measure_detection(suspect_after_s: float) -> None:
-    """Print false suspicions of one observed instance that stalls, and the time of detection."""
+    """Print the false suspicions of an instance that stalls, and the time to detect a failure."""
     random = Random(1)
     timing = MembershipTiming(suspect_after_s=suspect_after_s)
     observer = Membership(me=make_instance("a"), incarnation=1, now=0.0, timing=timing)
-    seen = Member(
+    latest = Member(
         instance=make_instance("b"),
         incarnation=1,
         state=MemberState.LIVE,
@@ -175,19 +175,19 @@
             length = STALL_SCALE_S * random.paretovariate(STALL_SHAPE)
             stalled_until = max(stalled_until, second + length)
         if second >= stalled_until:
-            held = observer.find("b")
-            refuted = held is not None and held.state != MemberState.LIVE
-            incarnation = held.incarnation + 1 if refuted else seen.incarnation
-            seen = _raise_heartbeat(seen, incarnation)
-            observer.merge([seen], now=float(second))
+            observed = observer.find("b")
+            refuted = observed is not None and observed.state != MemberState.LIVE
+            incarnation = observed.incarnation + 1 if refuted else latest.incarnation
+            latest = _raise_heartbeat(latest, incarnation)
+            observer.merge([latest], now=float(second))
         observer.tick(now=float(second))
-        held = observer.find("b")
-        suspected += held.state == MemberState.SUSPECT and state == MemberState.LIVE
-        gone += held.state == MemberState.GONE and state != MemberState.GONE
-        state = held.state
+        observed = observer.find("b")
+        suspected += observed.state == MemberState.SUSPECT and state == MemberState.LIVE
+        gone += observed.state == MemberState.GONE and state != MemberState.GONE
+        state = observed.state
     print(
         f"{suspect_after_s=} gone_after_s={timing.gone_after_s} a day and pair: suspected "
-        f"{suspected / DAYS:.1f} gone {gone / DAYS:.1f}; silent until gone {_detect(timing)} s"
+        f"{suspected / DAYS:.1f} gone {gone / DAYS:.1f}; silent until gone {_detection_s(timing)} s"
     )
 
 
@@ -201,7 +201,7 @@
     )
 
 
-def _detect(timing: MembershipTiming) -> int:
+def _detection_s(timing: MembershipTiming) -> int:
     observer = Membership(me=make_instance("a"), incarnation=1, now=0.0, timing=timing)
     observer.merge(
         [
@@ -223,7 +223,7 @@
 
 
 def main() -> None:
-    """Print all figures."""
+    """Print all measurements."""
     for count in [int(text) for text in sys.argv[1:]] or SIZES:
         measure_overlay(count)
         measure_configuration(count)
--- a/bench/operation_cost.py
+++ b/bench/operation_cost.py
@@ -1,8 +1,8 @@
 """Cost of a non-idempotent call against an idempotent one, with and without group commit.
 
-Run as ``python -m bench.operation_cost``. The stand-ins of platform and service run in a process of
-their own; this process is one entry. Calls come evenly spaced at a fixed rate, whether or not the
-earlier ones have ended.
+Run with ``python -m bench.operation_cost``. The stand-ins of platform and service run in a separate
+process; this process is one entry. Calls are evenly spaced at a fixed rate and do not wait for
+earlier calls to end (open loop).
 """
 
 from __future__ import annotations
@@ -37,28 +37,28 @@
 CALLS: Final = {1.0: 20, 10.0: 100, 100.0: 1000}
 """Calls measured at each rate."""
 PLATFORM_DELAYS_S: Final = (0.0, 0.005)
-"""Time the platform takes for each request besides its own work."""
+"""Delay that the platform adds to each request."""
 DEADLINE_S: Final = 30.0
 
 
 @dataclass(frozen=True, slots=True, kw_only=True)
 class Mode:
-    """One way to make the calls."""
+    """Kind of call and whether its writes use group commit."""
 
     name: str
     idempotent: bool
-    group: bool
+    group_commit: bool
 
 
 MODES: Final = (
-    Mode(name="idempotent", idempotent=True, group=False),
-    Mode(name="once, alone", idempotent=False, group=False),
-    Mode(name="once, grouped", idempotent=False, group=True),
+    Mode(name="idempotent", idempotent=True, group_commit=False),
+    Mode(name="once, alone", idempotent=False, group_commit=False),
+    Mode(name="once, grouped", idempotent=False, group_commit=True),
 )
 
 
 @dataclass(frozen=True, slots=True, kw_only=True)
-class Surroundings:
+class StandinAddresses:
     """Addresses of the stand-ins."""
 
     platform: str
@@ -66,15 +66,15 @@
 
 
 @dataclass(frozen=True, slots=True, kw_only=True)
-class Counts:
-    """What the platform has taken since its start."""
+class PlatformCounts:
+    """Counters of the platform since its start."""
 
     transactions: int
     rows_written: int
 
 
-class OneEndpoint(SlotSource, SlotGrant, SendGate, RetryPolicy):
-    """An endpoint that is always free, so that only the call's own cost shows."""
+class FreeEndpoint(SlotSource, SlotGrant, SendGate, RetryPolicy):
+    """An endpoint that is always free, so that only the cost of the call is measured."""
 
     def __init__(self, url: str) -> None:
         self._endpoint = Endpoint(
@@ -87,7 +87,7 @@
         return self._endpoint
 
     async def acquire(self, call: ServiceCall, *, excluded: frozenset[str]) -> SlotGrant:
-        """Grant at once."""
+        """Grant the slot immediately."""
         del call, excluded
         return self
 
@@ -95,25 +95,25 @@
         """Do nothing."""
 
     def is_open(self, endpoint: Endpoint) -> bool:  # noqa: ARG002
-        """Return that it is open."""
+        """Return True: sending is always allowed."""
         return True
 
     def record_success(self, call: ServiceCall) -> None:
         """Do nothing."""
 
     def plan(self, call: ServiceCall, *, attempt: int, now: float) -> float | None:  # noqa: ARG002
-        """Return that there is no retry."""
+        """Return None: calls are not retried."""
         return None
 
 
-def make_calls(surroundings: Surroundings, mode: Mode, pauses: PauseWatch) -> ServiceCalls:
-    """Return the calls of one entry."""
+def build_calls(addresses: StandinAddresses, mode: Mode, pauses: PauseWatch) -> ServiceCalls:
+    """Return the component that makes the calls of one entry."""
     clock = SystemClock()
-    url = surroundings.platform
+    url = addresses.platform
     client: PlatformClient = HttpPlatformClient(tables_url=url, objects_url=url)
-    if mode.group:
+    if mode.group_commit:
         client = GroupCommit(client=client, clock=clock)
-    endpoint = OneEndpoint(surroundings.service)
+    endpoint = FreeEndpoint(addresses.service)
     return ServiceCalls(
         store=OperationStore(client=client, clock=clock),
         slots=endpoint,
@@ -125,8 +125,8 @@
     )
 
 
-async def make_call(calls: ServiceCalls, mode: Mode, key: str) -> float:
-    """Make one call and return the seconds it took."""
+async def run_call(calls: ServiceCalls, mode: Mode, key: str) -> float:
+    """Make one call and return its duration in seconds."""
     rule = CallRule(service="ledger", call="settle", idempotent=mode.idempotent, timeout_s=10.0)
     started = time.monotonic()
     call = ServiceCall(
@@ -144,56 +144,56 @@
     return time.monotonic() - started
 
 
-async def read_counts(surroundings: Surroundings) -> Counts:
-    """Return what the platform has counted."""
-    answer = await fetch_once(HTTPRequest(f"{surroundings.platform}/counts"))
-    return Counts(**json.loads(answer.body))
+async def read_counts(addresses: StandinAddresses) -> PlatformCounts:
+    """Return the counters of the platform."""
+    response = await fetch_once(HTTPRequest(f"{addresses.platform}/counts"))
+    return PlatformCounts(**json.loads(response.body))
 
 
-async def measure(surroundings: Surroundings, mode: Mode, rate: float, run: int) -> str:
-    """Make calls at a rate and return a line of the table."""
+async def measure(addresses: StandinAddresses, mode: Mode, rate: float, run: int) -> str:
+    """Make calls at a rate and return a row of the table."""
     pauses = PauseWatch(now=time.monotonic())
-    beats = asyncio.ensure_future(beat(pauses))
-    calls = make_calls(surroundings, mode, pauses)
-    before, cpu_before = await read_counts(surroundings), time.process_time()
+    heartbeats = asyncio.ensure_future(record_heartbeats(pauses))
+    calls = build_calls(addresses, mode, pauses)
+    before, cpu_before = await read_counts(addresses), time.process_time()
     tasks = []
     started = time.monotonic()
     for number in range(CALLS[rate]):
         await asyncio.sleep(max(0.0, started + number / rate - time.monotonic()))
-        tasks.append(asyncio.ensure_future(make_call(calls, mode, f"{run}-{number}")))
-    took = sorted(await asyncio.gather(*tasks))
+        tasks.append(asyncio.ensure_future(run_call(calls, mode, f"{run}-{number}")))
+    durations_s = sorted(await asyncio.gather(*tasks))
     cpu_s = time.process_time() - cpu_before
-    after = await read_counts(surroundings)
-    beats.cancel()
-    count = len(took)
+    after = await read_counts(addresses)
+    heartbeats.cancel()
+    count = len(durations_s)
     return (
-        f"| {mode.name} | {rate:.0f} | {count} | {1e3 * took[count // 2]:.1f} "
-        f"| {1e3 * took[int(count * 0.95)]:.1f} "
+        f"| {mode.name} | {rate:.0f} | {count} | {1e3 * durations_s[count // 2]:.1f} "
+        f"| {1e3 * durations_s[int(count * 0.95)]:.1f} "
         f"| {(after.transactions - before.transactions) / count:.2f} "
         f"| {(after.rows_written - before.rows_written) / count:.2f} | {1e3 * cpu_s / count:.2f} |"
     )
 
 
-async def beat(pauses: PauseWatch) -> None:
-    """Show that the loop runs."""
+async def record_heartbeats(pauses: PauseWatch) -> None:
+    """Record heartbeats of the event loop until cancelled, so that sends stay allowed."""
     while True:
         pauses.beat(now=time.monotonic())
         await asyncio.sleep(BEAT_INTERVAL_S)
 
 
-async def measure_all(surroundings: Surroundings) -> None:
+async def measure_all(addresses: StandinAddresses) -> None:
     """Print the table."""
     run = 0
     for delay_s in PLATFORM_DELAYS_S:
         body = json.dumps({"kind": "slow", "delay_s": delay_s}).encode()
-        await fetch_once(HTTPRequest(f"{surroundings.platform}/fault", method="POST", body=body))
+        await fetch_once(HTTPRequest(f"{addresses.platform}/fault", method="POST", body=body))
         print(f"\nPlatform's own time {1e3 * delay_s:.0f} ms a request\n")
         print("| calls | a second | measured | p50 ms | p95 ms | transactions | rows | CPU ms |")
         print("|---|---|---|---|---|---|---|---|")
         for rate in RATES_PER_S:
             for mode in MODES:
                 run += 1
-                print(await measure(surroundings, mode, rate, run), flush=True)
+                print(await measure(addresses, mode, rate, run), flush=True)
 
 
 async def serve_standins() -> None:
@@ -213,8 +213,8 @@
         return
     command = [sys.executable, "-m", "bench.operation_cost", "standins"]
     with subprocess.Popen(command, stdin=subprocess.PIPE, stdout=subprocess.PIPE) as process:
-        surroundings = Surroundings(**json.loads(process.stdout.readline()))
-        asyncio.run(measure_all(surroundings))
+        addresses = StandinAddresses(**json.loads(process.stdout.readline()))
+        asyncio.run(measure_all(addresses))
         process.stdin.close()
 
 
--- a/bench/processes.py
+++ b/bench/processes.py
@@ -1,4 +1,4 @@
-"""Readings of processes and a light HTTP load for the measurements of daemons."""
+"""Resource usage of processes and a light HTTP load generator, to measure daemons."""
 
 from __future__ import annotations
 
@@ -18,7 +18,7 @@
 
 @dataclass(frozen=True, slots=True, kw_only=True)
 class Usage:
-    """What a process has used since its start."""
+    """Processor time of a process since its start, and its resident memory."""
 
     cpu_s: float
     rss_mb: float
@@ -33,18 +33,18 @@
 
 @dataclass(frozen=True, slots=True, kw_only=True)
 class Sample:
-    """One request as its caller saw it."""
+    """Timing and result of one request, as measured by the caller."""
 
     first_byte_s: float
     whole_s: float
     tokens: int
-    ended: bool
+    completed: bool
 
 
-def make_request(
+def build_request(
     address: str, path: str, body: bytes, *, headers: dict[str, str] | None = None
 ) -> bytes:
-    """Return the bytes of one HTTP request that asks for the connection's end."""
+    """Return the bytes of one HTTP request with ``Connection: close``."""
     lines = [
         f"POST {path} HTTP/1.1",
         f"Host: {address}",
@@ -57,8 +57,8 @@
     return ("\r\n".join(lines) + "\r\n\r\n").encode() + body
 
 
-def make_chat(prompt: str, *, max_tokens: int) -> bytes:
-    """Return the body of a streamed chat."""
+def build_chat(prompt: str, *, max_tokens: int) -> bytes:
+    """Return the body of a streamed chat request."""
     body = {
         "model": "small",
         "stream": True,
@@ -69,15 +69,15 @@
 
 
 async def send_once(address: str, request: bytes) -> Sample:
-    """Send one request on a new connection and read its answer without parsing it."""
+    """Send one request on a new connection and read the response without parsing it."""
     host, port = address.split(":")
     start = time.perf_counter()
     reader, writer = await asyncio.open_connection(host, int(port))
     writer.write(request)
     first = 0.0
     content = b""
-    while piece := await reader.read(65536):
-        content += piece
+    while chunk := await reader.read(65536):
+        content += chunk
         if not first and b"data:" in content:
             first = time.perf_counter() - start
     writer.close()
@@ -85,26 +85,26 @@
         first_byte_s=first,
         whole_s=time.perf_counter() - start,
         tokens=content.count(b"data: {"),
-        ended=b"data: [DONE]" in content,
+        completed=b"data: [DONE]" in content,
     )
 
 
 async def run_load(
     send: Callable[[int], Awaitable[Sample]], *, total: int, concurrent: int
 ) -> list[Sample]:
-    """Make requests, so many at a time, and return all samples."""
+    """Send ``total`` requests, ``concurrent`` at a time, and return their samples."""
     numbers = iter(range(total))
     samples: list[Sample] = []
 
-    async def work() -> None:
+    async def send_next() -> None:
         for number in numbers:
             samples.append(await send(number))
 
-    await asyncio.gather(*(work() for _ in range(concurrent)))
+    await asyncio.gather(*(send_next() for _ in range(concurrent)))
     return samples
 
 
-def pick_quantile(values: list[float], share: float) -> float:
-    """Return the value below which a share of the values lies."""
+def compute_quantile(values: list[float], share: float) -> float:
+    """Return the quantile of the values at ``share``."""
     ordered = sorted(values)
     return ordered[min(len(ordered) - 1, int(share * len(ordered)))]
--- a/bench/router_cost.py
+++ b/bench/router_cost.py
@@ -1,4 +1,4 @@
-"""What the router adds to an answer, tokens a second through one entry, memory and start time.
+"""Latency added by the router, tokens a second through one entry, memory and start time.
 
 Run with ``python -m bench.router_cost``; all processes are on loopback.
 """
@@ -14,9 +14,9 @@
 from tests._processes import ProcessFleet
 
 from bench.processes import (
-    make_chat,
-    make_request,
-    pick_quantile,
+    build_chat,
+    build_request,
+    compute_quantile,
     read_usage,
     run_load,
     send_once,
@@ -25,17 +25,17 @@
 if TYPE_CHECKING:
     from bench.processes import Sample
 
-CALM_REQUESTS: Final = 600
-CALM_CONCURRENT: Final = 4
-BUSY_RUNS: Final = ((1500, 20), (150, 400))
-"""Chats and the tokens of each, for the two points of the slope."""
-BUSY_CONCURRENT: Final = 60
+LIGHT_REQUESTS: Final = 600
+LIGHT_CONCURRENT: Final = 4
+SATURATED_RUNS: Final = ((1500, 20), (150, 400))
+"""Number of chats and tokens of each, for the two points of the linear fit."""
+SATURATED_CONCURRENT: Final = 60
 MAX_TOKENS: Final = 40
 PATH: Final = "/v1/chat/completions"
 
 
-async def measure_added(fleet: ProcessFleet) -> None:
-    """Compare chats through the router with chats sent to an engine directly, interleaved."""
+async def measure_added_latency(fleet: ProcessFleet) -> None:
+    """Compare chats through the router with chats sent directly to an engine, mixed at random."""
     entry = fleet.urls[0].removeprefix("http://")
     engines = [url.removeprefix("http://") for _, url in fleet.engines]
     direct: list[Sample] = []
@@ -43,17 +43,17 @@
     rng = random.Random(1)
 
     async def send(number: int) -> Sample:
-        body = make_chat(f"calm {number}", max_tokens=MAX_TOKENS)
+        body = build_chat(f"calm {number}", max_tokens=MAX_TOKENS)
         goes_direct = rng.random() < 0.5
         address = rng.choice(engines) if goes_direct else entry
         headers = {"X-Request-Id": f"direct-{number}"} if goes_direct else None
-        sample = await send_once(address, make_request(address, PATH, body, headers=headers))
+        sample = await send_once(address, build_request(address, PATH, body, headers=headers))
         (direct if goes_direct else routed).append(sample)
         return sample
 
-    await run_load(send, total=CALM_REQUESTS, concurrent=CALM_CONCURRENT)
+    await run_load(send, total=LIGHT_REQUESTS, concurrent=LIGHT_CONCURRENT)
     print(
-        f"| {CALM_CONCURRENT} at a time | first token median / p99, ms | whole median / p99, ms |"
+        f"| {LIGHT_CONCURRENT} at a time | first token median / p99, ms | whole median / p99, ms |"
     )
     print("|---|---|---|")
     for name, samples in (("engine directly", direct), ("through the router", routed)):
@@ -61,8 +61,8 @@
         wholes = [sample.whole_s * 1000 for sample in samples]
         print(
             f"| {name} ({len(samples)}) | "
-            f"{pick_quantile(firsts, 0.5):.1f} / {pick_quantile(firsts, 0.99):.1f} | "
-            f"{pick_quantile(wholes, 0.5):.1f} / {pick_quantile(wholes, 0.99):.1f} |"
+            f"{compute_quantile(firsts, 0.5):.1f} / {compute_quantile(firsts, 0.99):.1f} | "
+            f"{compute_quantile(wholes, 0.5):.1f} / {compute_quantile(wholes, 0.99):.1f} |"
         )
 
 
@@ -78,7 +78,7 @@
 
 
 async def run_chats(fleet: ProcessFleet, *, total: int, length: int) -> Load:
-    """Load one entry with more than it can pass on and read the processes' times."""
+    """Saturate one entry with chats and measure the processor time of the daemons."""
     entry = fleet.urls[0].removeprefix("http://")
     entry_pid = fleet.entries[0].popen.pid
     dispatcher_pids = [process.popen.pid for process in fleet.dispatchers]
@@ -87,14 +87,14 @@
     start = time.perf_counter()
 
     async def send(number: int) -> Sample:
-        body = make_chat(f"tokens={length};busy {number}", max_tokens=length)
-        return await send_once(entry, make_request(entry, PATH, body))
+        body = build_chat(f"tokens={length};busy {number}", max_tokens=length)
+        return await send_once(entry, build_request(entry, PATH, body))
 
-    samples = await run_load(send, total=total, concurrent=BUSY_CONCURRENT)
+    samples = await run_load(send, total=total, concurrent=SATURATED_CONCURRENT)
     elapsed = time.perf_counter() - start
-    whole = sum(sample.ended for sample in samples)
-    if whole != total:
-        raise RuntimeError(f"{total - whole} of {total} answers are not whole")
+    completed = sum(sample.completed for sample in samples)
+    if completed != total:
+        raise RuntimeError(f"{total - completed} of {total} responses are incomplete")
     return Load(
         chats=total,
         tokens=sum(sample.tokens for sample in samples),
@@ -105,11 +105,11 @@
 
 
 async def measure_slopes(fleet: ProcessFleet) -> None:
-    """Fit the processor time of a chat and of a token from two lengths of answer."""
-    loads = [await run_chats(fleet, total=total, length=length) for total, length in BUSY_RUNS]
+    """Compute the processor time of a chat and of a token from runs with two response lengths."""
+    loads = [await run_chats(fleet, total=total, length=length) for total, length in SATURATED_RUNS]
     print("\n| tokens a chat | chats | tokens/s | entry ms a chat | dispatchers ms a chat |")
     print("|---|---|---|---|---|")
-    for (_, length), load in zip(BUSY_RUNS, loads, strict=True):
+    for (_, length), load in zip(SATURATED_RUNS, loads, strict=True):
         print(
             f"| {length} | {load.chats} | {load.tokens / load.elapsed_s:.0f} | "
             f"{load.entry_cpu_s / load.chats * 1e3:.2f} | "
@@ -118,15 +118,15 @@
     short, long = loads
     cost_short = short.entry_cpu_s / short.chats
     cost_long = long.entry_cpu_s / long.chats
-    token_s = (cost_long - cost_short) / (BUSY_RUNS[1][1] - BUSY_RUNS[0][1])
-    chat_s = cost_short - token_s * BUSY_RUNS[0][1]
+    token_s = (cost_long - cost_short) / (SATURATED_RUNS[1][1] - SATURATED_RUNS[0][1])
+    chat_s = cost_short - token_s * SATURATED_RUNS[0][1]
     print(f"entry: {chat_s * 1e3:.2f} ms a chat and {token_s * 1e6:.0f} us a token")
     for role, process in (("entry", fleet.entries[0]), ("dispatcher", fleet.dispatchers[0])):
         print(f"resident memory of {role} after: {read_usage(process.popen.pid).rss_mb:.1f} MB")
 
 
 async def run() -> None:
-    """Run all parts."""
+    """Start a fleet and print all measurements."""
     fleet = ProcessFleet(instances=2, engines=6, services=1)
     try:
         start = time.perf_counter()
@@ -138,7 +138,7 @@
             print(
                 f"resident memory of {name} at start: {read_usage(process.popen.pid).rss_mb:.1f} MB"
             )
-        await measure_added(fleet)
+        await measure_added_latency(fleet)
         await measure_slopes(fleet)
     finally:
         fleet.close()
--- a/bench/slopes.py
+++ b/bench/slopes.py
@@ -1,4 +1,4 @@
-"""Measures again all slopes that ``docs/CAPACITY.md`` rests on; ``make slopes`` runs it.
+"""Repeats all measurements behind the slopes in ``docs/CAPACITY.md``; run with ``make slopes``.
 
 The parts print their own tables. They run one after the other, so that none slows another.
 """
