--- a/bench/baselines.py
+++ b/bench/baselines.py
@@ -1,4 +1,4 @@
-"""What all policies share, and the policies to compare with."""
+"""Base class of the policies, and the baselines that the router is compared with."""
 
 from __future__ import annotations
 
@@ -14,20 +14,20 @@
     from collections.abc import Callable
 
 REPORT_INTERVAL_S: Final = 0.5
-NAIVE_ATTEMPTS: Final = 3
+BASELINE_ATTEMPTS: Final = 3
 """Attempts of a request under the baselines, which have no retry budget."""
-ENGINE_CACHE: Final = 20
-"""Prompt prefixes that an engine remembers."""
+ENGINE_CACHE_PREFIXES: Final = 20
+"""Prompt prefixes that an engine keeps in its KV cache."""
 
 
 class Policy(ABC):
-    """Decides where requests run.
+    """Decides which engine runs each request, and when.
 
     Args:
-        site: The site's shape.
-        fleet: Its configuration and members.
-        scenario: What happens.
-        seed: Seed of the draws of the policy.
+        site: The fleet and traffic of a site.
+        fleet: The configuration and members of the site.
+        scenario: The load and faults of the run.
+        seed: Seed of the policy's random draws.
     """
 
     def __init__(self, *, site: Site, fleet: Fleet, scenario: Scenario, seed: int) -> None:
@@ -37,9 +37,9 @@
         self.random = Random(seed)
         self.events = EventQueue()
         self.wasted: Counter[str] = Counter()
-        """Tokens computed in vain, by cause."""
+        """Tokens that were computed and then discarded, by cause."""
         self.attempts = 0
-        """Attempts sent, but for those that go on after a pause."""
+        """Attempts sent, without those that resume a paused request."""
         self.engines = {
             name: FakeEngine(
                 events=self.events,
@@ -47,7 +47,7 @@
                 slots=endpoint.slots,
                 token_s=SERVICE_UNIT_S if endpoint.service else ENGINE_TOKEN_S,
                 batches=not endpoint.service,
-                cache=ENGINE_CACHE,
+                cache=ENGINE_CACHE_PREFIXES,
             )
             for name, endpoint in fleet.configuration.endpoints.items()
         }
@@ -56,14 +56,14 @@
             self.pools.setdefault(endpoint.service, []).append(self.engines[name])
 
     @abstractmethod
-    def take(self, request: Request) -> None:
+    def receive(self, request: Request) -> None:
         """Decide on an arriving request."""
 
-    def take_report(self, engine: FakeEngine, running: int, as_of: float) -> None:  # noqa: B027
-        """Take an engine's load report, which is late; most policies do without."""
+    def apply_report(self, engine: FakeEngine, running: int, as_of: float) -> None:  # noqa: B027
+        """Apply a delayed load report of an engine; most policies ignore it."""
 
-    def measure_link(self) -> float:
-        """Return the seconds that one message takes."""
+    def draw_link_s(self) -> float:
+        """Return a random latency of one message, in seconds."""
         return self.site.latency_s * self.random.uniform(0.8, 1.5)
 
     def run_at(
@@ -75,23 +75,23 @@
         *,
         imports: bool = False,
     ) -> Run:
-        """Send a request to an engine; ends it at its deadline.
+        """Send a request to an engine and cancel it at its deadline.
 
         Args:
             request: The request.
-            engine: Where to.
+            engine: The engine that runs it.
             skip: Tokens that earlier attempts have delivered.
-            on_end: Called with whether the answer is whole and the tokens delivered in all, -1
-                when the deadline has passed.
-            imports: Whether the KV cache of a paused attempt is imported.
+            on_end: Called with whether the response is complete and the tokens delivered by all
+                attempts, -1 when the deadline has passed.
+            imports: Whether the engine imports the KV cache of a paused attempt.
         """
         self.attempts += not imports
         request.attempts += 1
         ended = False
 
-        def note_first() -> None:
-            if request.first_at is None:
-                request.first_at = self.events.now + self.site.latency_s
+        def record_first_token() -> None:
+            if request.first_token_at is None:
+                request.first_token_at = self.events.now + self.site.latency_s
 
         def end(whole: bool) -> None:
             nonlocal ended
@@ -103,9 +103,9 @@
                 done = engine.compute_done(run) if run.started_at else 0.0
                 delivered = skip + max(0, int(done - run.prefill))
                 self.wasted["failed"] += min(done, run.prefill)
-            self.events.call_later(self.measure_link(), lambda: on_end(whole, delivered))
+            self.events.call_later(self.draw_link_s(), lambda: on_end(whole, delivered))
 
-        def give_up() -> None:
+        def expire() -> None:
             nonlocal ended
             if ended:
                 return
@@ -114,31 +114,35 @@
             on_end(False, -1)
 
         run = Run(
-            request=request, on_first=note_first, on_end=end, skip_tokens=skip, imports=imports
+            request=request,
+            on_first=record_first_token,
+            on_end=end,
+            skip_tokens=skip,
+            imports=imports,
         )
-        self.events.call_later(self.measure_link(), lambda: engine.start(run))
-        self.events.call_at(request.deadline, give_up)
+        self.events.call_later(self.draw_link_s(), lambda: engine.start(run))
+        self.events.call_at(request.deadline, expire)
         return run
 
     def complete(self, request: Request) -> None:
-        """Record a whole answer."""
+        """Record a complete response."""
         request.completed = True
         request.ended_at = self.events.now
 
-    def refuse(self, request: Request) -> None:
-        """Record a request that got no answer."""
-        request.refused = True
+    def reject(self, request: Request) -> None:
+        """Record a request that got no complete response."""
+        request.rejected = True
         request.ended_at = self.events.now
 
 
 class DirectPolicy(Policy):
-    """Sends each request to an engine at once; the engines queue first come first served."""
+    """Sends each request to an engine immediately; the engines queue in order of arrival."""
 
     @abstractmethod
     def pick(self, request: Request, engines: list[FakeEngine]) -> FakeEngine:
-        """Return the engine for a request."""
+        """Return the engine that a request is sent to."""
 
-    def take(self, request: Request) -> None:
+    def receive(self, request: Request) -> None:
         """Send a request."""
         self._attempt(request, set(), 0)
 
@@ -150,9 +154,9 @@
         def end(whole: bool, delivered: int) -> None:
             if whole:
                 self.complete(request)
-            elif delivered < 0 or len(failed) + 1 >= NAIVE_ATTEMPTS:
+            elif delivered < 0 or len(failed) + 1 >= BASELINE_ATTEMPTS:
                 self.wasted["given up"] += max(0, delivered)
-                self.refuse(request)
+                self.reject(request)
             else:
                 self._attempt(request, failed | {engine.name}, delivered)
 
@@ -160,15 +164,15 @@
 
 
 class RandomPolicy(DirectPolicy):
-    """An engine at random."""
+    """Selects an engine at random."""
 
     def pick(self, request: Request, engines: list[FakeEngine]) -> FakeEngine:  # noqa: ARG002
-        """Return any engine."""
+        """Return a random engine."""
         return self.random.choice(engines)
 
 
 class RoundRobinPolicy(DirectPolicy):
-    """Each entry takes the engines in turn."""
+    """Selects the engines in turn, at each entry separately."""
 
     def __init__(self, **arguments: object) -> None:
         super().__init__(**arguments)
@@ -183,56 +187,56 @@
 
 
 class LeastLoadPolicy(DirectPolicy):
-    """The engine whose last report tells the least load."""
+    """Selects the engine with the least load in its last report."""
 
     def __init__(self, **arguments: object) -> None:
         super().__init__(**arguments)
         self._reported: dict[str, int] = {}
 
-    def take_report(self, engine: FakeEngine, running: int, as_of: float) -> None:  # noqa: ARG002
-        """Remember a report."""
+    def apply_report(self, engine: FakeEngine, running: int, as_of: float) -> None:  # noqa: ARG002
+        """Store the load of a report."""
         self._reported[engine.name] = running
 
     def pick(self, request: Request, engines: list[FakeEngine]) -> FakeEngine:  # noqa: ARG002
-        """Return the least loaded engine, a random one among equals."""
+        """Return the least loaded engine; ties are broken at random."""
         return min(
             engines, key=lambda engine: (self._reported.get(engine.name, 0), self.random.random())
         )
 
 
 class CentralPolicy(Policy):
-    """One queue for each pool with the exact number of free slots."""
+    """Central queue for each pool, with exact knowledge of the free slots."""
 
     def __init__(self, **arguments: object) -> None:
         super().__init__(**arguments)
         self._queues: dict[str, deque[tuple[Request, int]]] = {name: deque() for name in self.pools}
         self._free = {engine.name: engine.slots for engine in self.engines.values()}
 
-    def take(self, request: Request) -> None:
+    def receive(self, request: Request) -> None:
         """Queue a request."""
         self._queues[request.kind.service].append((request, 0))
-        self._serve(request.kind.service)
+        self._dispatch(request.kind.service)
 
     def choose_next(self, queue: deque[tuple[Request, int]]) -> tuple[Request, int] | None:
-        """Take the next request from a queue: the first."""
+        """Remove and return the first request whose deadline has not passed."""
         while queue:
             request, skip = queue.popleft()
             if request.deadline > self.events.now:
                 return request, skip
-            self.refuse(request)
+            self.reject(request)
         return None
 
     def choose_engine(
         self, request: Request, engines: list[FakeEngine]  # noqa: ARG002
     ) -> FakeEngine:
-        """Return the engine with the most free slots."""
+        """Return the engine with the most free slots; ties are broken at random."""
         return max(engines, key=lambda engine: (self._free[engine.name], self.random.random()))
 
     def is_usable(self, engine: FakeEngine) -> bool:
-        """Return whether an engine may be sent to."""
+        """Return whether an engine has a free slot."""
         return self._free[engine.name] > 0
 
-    def _serve(self, service: str) -> None:
+    def _dispatch(self, service: str) -> None:
         while engines := [each for each in self.pools[service] if self.is_usable(each)]:
             chosen = self.choose_next(self._queues[service])
             if chosen is None:
@@ -246,28 +250,29 @@
             self._free[engine.name] += 1
             if whole:
                 self.complete(request)
-            elif delivered < 0 or request.attempts >= NAIVE_ATTEMPTS:
+            elif delivered < 0 or request.attempts >= BASELINE_ATTEMPTS:
                 self.wasted["given up"] += max(0, delivered)
-                self.refuse(request)
+                self.reject(request)
             else:
                 self._queues[request.kind.service].appendleft((request, delivered))
-            self._serve(request.kind.service)
+            self._dispatch(request.kind.service)
 
         self.run_at(request, engine, skip, end)
 
 
 class OraclePolicy(CentralPolicy):
-    """Knows lengths, loads, stragglers and crashes; strict tiers, then the earliest deadline.
+    """Knows lengths, loads, stragglers and crashes; strict tiers, then the least slack.
 
-    It sends only what can be completed in time. It is greedy, so it is a near limit, not a proof.
+    It sends only requests that can be completed in time. It is greedy, so its results approximate
+    the optimum and are no proven bound.
     """
 
     def is_usable(self, engine: FakeEngine) -> bool:
-        """Return whether an engine lives and has a slot."""
+        """Return whether an engine is up and has a free slot."""
         return super().is_usable(engine) and not engine.crashed
 
     def choose_next(self, queue: deque[tuple[Request, int]]) -> tuple[Request, int] | None:
-        """Take the most urgent request of the highest tier that can still be completed."""
+        """Remove and return the most urgent request of the highest tier that can be completed."""
         if not queue:
             return None
         token_s = next(iter(self.pools[queue[0][0].kind.service])).token_s
@@ -278,7 +283,7 @@
             need += request.prompt_tokens * PREFILL_S_PER_TOKEN
             if self.events.now + need > limit:
                 queue.remove((request, skip))
-                self.refuse(request)
+                self.reject(request)
             else:
                 usable.append((request.service_class.tier, limit - need, request.number, skip))
         if not usable:
@@ -289,7 +294,7 @@
         return chosen
 
     def choose_engine(self, request: Request, engines: list[FakeEngine]) -> FakeEngine:
-        """Return the engine that completes it first."""
+        """Return the engine with the earliest estimated completion of a request."""
         return min(
             engines,
             key=lambda engine: (
--- a/bench/policies.py
+++ b/bench/policies.py
@@ -1,4 +1,4 @@
-"""The policy that the daemons use, on fakes: an entry's and a keeper's decision classes."""
+"""The policy of the daemons: the decision classes of entries and keepers, on fake engines."""
 
 from __future__ import annotations
 
@@ -19,51 +19,51 @@
     from bench.workload import Request
     from guavamast.slots import KeeperEvent, Probe
 
-TICK_S: Final = 0.1
-PROGRESS_S: Final = 0.5
+TICK_INTERVAL_S: Final = 0.1
+PROGRESS_INTERVAL_S: Final = 0.5
 MAX_TOKENS: Final = 4096
 DEFAULT_RULES: Final = RaceRules()
 
 
 @dataclass(slots=True, eq=False)
-class Ticket:
-    """A request at its entry."""
+class RequestState:
+    """State of one request at its entry."""
 
     request: Request
     race: SlotRace
     failed: set[str] = field(default_factory=set)
     asks: int = 0
     failures: int = 0
-    skip: int = 0
+    skip_tokens: int = 0
     paused: bool = False
-    holds: str = ""
-    """The ask whose slot it uses."""
+    held_ask_id: str = ""
+    """Identifier of the ask whose slot the request uses; empty for none."""
     run: Run | None = None
-    over: bool = False
+    ended: bool = False
 
 
 class RouterPolicy(Policy):
-    """Entries with a chooser and a retry budget each, and a keeper for each endpoint.
+    """Gives each entry a chooser and a retry budget, and each endpoint a keeper.
 
     Args:
-        asked: Keepers asked at once for one request.
-        rules: When a further keeper is asked.
-        probe_delay_s: Time by which probes come later than the answers they belong to.
+        keepers_asked: Number of keepers asked at the same time for one request.
+        rules: Rules for asking a further keeper.
+        probe_delay_s: Delay of probes after the replies that they belong to.
     """
 
     def __init__(
         self,
         *,
-        asked: int = 1,
+        keepers_asked: int = 1,
         rules: RaceRules = DEFAULT_RULES,
         probe_delay_s: float = 0.0,
         **arguments: object,
     ) -> None:
         super().__init__(**arguments)
-        self._asked = asked
+        self._keepers_asked = keepers_asked
         self._rules = rules
         self._probe_delay_s = probe_delay_s
-        self._tickets: dict[str, Ticket] = {}
+        self._states: dict[str, RequestState] = {}
         self.asks = 0
         self.inversions = 0
         self.unused_grants = 0
@@ -80,60 +80,60 @@
             name: EndpointKeeper(endpoint=endpoint, configuration=self.fleet.configuration, now=0.0)
             for name, endpoint in self.fleet.configuration.endpoints.items()
         }
-        self.events.call_later(TICK_S, self._tick)
-        self.events.call_later(PROGRESS_S, self._report_progress)
+        self.events.call_later(TICK_INTERVAL_S, self._tick)
+        self.events.call_later(PROGRESS_INTERVAL_S, self._report_progress)
 
-    def take(self, request: Request) -> None:
-        """Ask for a slot."""
-        ticket = Ticket(request, SlotRace(rules=self._rules))
-        self.events.call_at(request.deadline, lambda: self._expire(ticket))
-        self._ask(ticket, self._asked)
+    def receive(self, request: Request) -> None:
+        """Ask for a slot for an arriving request."""
+        state = RequestState(request, SlotRace(rules=self._rules))
+        self.events.call_at(request.deadline, lambda: self._expire(state))
+        self._ask(state, self._keepers_asked)
 
-    def take_report(self, engine: FakeEngine, running: int, as_of: float) -> None:
-        """Hand a report to the keeper."""
+    def apply_report(self, engine: FakeEngine, running: int, as_of: float) -> None:
+        """Pass a load report to the engine's keeper."""
         report = LoadReport(endpoint=engine.name, as_of=as_of, running=running)
-        self._spread(
+        self._send_events(
             engine.name, self._keepers[engine.name].record_load(report, now=self.events.now)
         )
 
     def _tick(self) -> None:
         for name, keeper in self._keepers.items():
-            self._spread(name, keeper.tick(now=self.events.now))
-        self.events.call_later(TICK_S, self._tick)
+            self._send_events(name, keeper.tick(now=self.events.now))
+        self.events.call_later(TICK_INTERVAL_S, self._tick)
 
     def _report_progress(self) -> None:
         for engine in self.engines.values():
             for run in list(engine.running):
-                ticket = self._tickets.get(str(run.request.number))
-                if ticket is not None and ticket.holds and ticket.run is run:
+                state = self._states.get(str(run.request.number))
+                if state is not None and state.held_ask_id and state.run is run:
                     done = max(0, int(engine.compute_done(run) - run.prefill)) + run.skip_tokens
                     self._keepers[engine.name].record_progress(
-                        ticket.holds, done, now=self.events.now
+                        state.held_ask_id, done, now=self.events.now
                     )
-        self.events.call_later(PROGRESS_S, self._report_progress)
+        self.events.call_later(PROGRESS_INTERVAL_S, self._report_progress)
 
-    def _ask(self, ticket: Ticket, count: int = 1) -> None:
-        request = ticket.request
+    def _ask(self, state: RequestState, count: int = 1) -> None:
+        request = state.request
         wanted = Wanted(
             tier=request.service_class.tier,
             model="" if request.kind.service else "model",
             service=request.kind.service,
             prefix_key=request.prefix_key,
             prompt_tokens=request.prompt_tokens,
-            excluded=ticket.race.asked | ticket.failed,
+            excluded=state.race.asked | state.failed,
             count=count,
         )
         names = self._choosers[request.entry].choose(wanted, now=self.events.now)
         if not names:
-            if not ticket.race.is_waiting:
-                self._end_refused(ticket)
+            if not state.race.is_waiting:
+                self._reject(state)
             return
-        self._tickets[str(request.number)] = ticket
+        self._states[str(request.number)] = state
         for name in names:
-            ticket.asks += 1
+            state.asks += 1
             self.asks += 1
-            ask_id = f"{request.number}/{ticket.asks}"
-            ticket.race.record_ask(ask_id, name)
+            ask_id = f"{request.number}/{state.asks}"
+            state.race.record_ask(ask_id, name)
             ask = Ask(
                 ask_id=ask_id,
                 entry=f"instance-{request.entry}",
@@ -147,23 +147,23 @@
                 max_tokens=MAX_TOKENS,
                 deadline=request.deadline,
             )
-            self.events.call_later(self.measure_link(), lambda ask=ask: self._reach(ask))
+            self.events.call_later(self.draw_link_s(), lambda ask=ask: self._deliver_ask(ask))
 
-    def _reach(self, ask: Ask) -> None:
-        self._spread(ask.endpoint, self._keepers[ask.endpoint].ask(ask, now=self.events.now))
+    def _deliver_ask(self, ask: Ask) -> None:
+        self._send_events(ask.endpoint, self._keepers[ask.endpoint].ask(ask, now=self.events.now))
 
-    def _spread(self, name: str, events: list[KeeperEvent]) -> None:
+    def _send_events(self, name: str, events: list[KeeperEvent]) -> None:
         if not events:
             return
         probe = self._keepers[name].make_probe(now=self.events.now)
         for event in events:
             self.events.call_later(
-                self.measure_link(), lambda event=event: self._hear(event, probe)
+                self.draw_link_s(), lambda event=event: self._receive_event(event, probe)
             )
 
-    def _hear(self, event: KeeperEvent, probe: Probe) -> None:
-        ticket = self._tickets[event.ask.ask_id.partition("/")[0]]
-        chooser = self._choosers[ticket.request.entry]
+    def _receive_event(self, event: KeeperEvent, probe: Probe) -> None:
+        state = self._states[event.ask.ask_id.partition("/")[0]]
+        chooser = self._choosers[state.request.entry]
         if self._probe_delay_s:
             self.events.call_later(
                 self._probe_delay_s, lambda: chooser.record_probe(probe, now=self.events.now)
@@ -171,40 +171,40 @@
         else:
             chooser.record_probe(probe, now=self.events.now)
         if isinstance(event, Granted):
-            self._use(ticket, event.ask)
+            self._use_grant(state, event.ask)
         elif isinstance(event, Refused):
-            self._go_on(ticket, event.ask)
+            self._handle_rejection(state, event.ask)
         elif isinstance(event, Paused):
-            self._pause(ticket, event.ask)
-        elif not ticket.over and ticket.race.record_queued(event):
-            self._ask(ticket)
+            self._pause(state, event.ask)
+        elif not state.ended and state.race.record_queued(event):
+            self._ask(state)
 
-    def _use(self, ticket: Ticket, ask: Ask) -> None:
-        if ticket.over or not ticket.race.record_granted(ask.ask_id):
+    def _use_grant(self, state: RequestState, ask: Ask) -> None:
+        if state.ended or not state.race.record_granted(ask.ask_id):
             self.unused_grants += 1
             self._release(Release(ask_id=ask.ask_id, endpoint=ask.endpoint, used=False))
             return
-        self._withdraw_all(ticket)
-        ticket.holds = ask.ask_id
+        self._withdraw_all(state)
+        state.held_ask_id = ask.ask_id
         started = self.events.now
-        ticket.run = self.run_at(
-            ticket.request,
+        state.run = self.run_at(
+            state.request,
             self.engines[ask.endpoint],
-            ticket.skip,
-            lambda whole, delivered: self._finish(ticket, ask, started, whole, delivered),
-            imports=ticket.paused,
+            state.skip_tokens,
+            lambda whole, delivered: self._finish(state, ask, started, whole, delivered),
+            imports=state.paused,
         )
-        ticket.paused = False
+        state.paused = False
 
     def _finish(
-        self, ticket: Ticket, ask: Ask, started: float, whole: bool, delivered: int
+        self, state: RequestState, ask: Ask, started: float, whole: bool, delivered: int
     ) -> None:
-        if ticket.holds != ask.ask_id:
+        if state.held_ask_id != ask.ask_id:
             return
-        request = ticket.request
-        run = ticket.run
-        ticket.holds = ""
-        ticket.run = None
+        request = state.request
+        run = state.run
+        state.held_ask_id = ""
+        state.run = None
         expired = delivered < 0
         now = self.events.now
         self._release(
@@ -223,21 +223,21 @@
         if whole:
             chooser.record_outcome(ask.endpoint, succeeded=True, now=now)
             budget.record_success(request.service_class.name)
-            ticket.over = True
+            state.ended = True
             self.complete(request)
         elif expired:
-            ticket.over = True
-            self.refuse(request)
+            state.ended = True
+            self.reject(request)
         else:
             chooser.record_outcome(ask.endpoint, succeeded=False, now=now)
-            self._retry(ticket, ask, delivered)
+            self._retry(state, ask, delivered)
 
-    def _retry(self, ticket: Ticket, ask: Ask, delivered: int) -> None:
-        request = ticket.request
-        ticket.failures += 1
+    def _retry(self, state: RequestState, ask: Ask, delivered: int) -> None:
+        request = state.request
+        state.failures += 1
         retry = self._budgets[request.entry].plan(
             request.service_class.name,
-            attempt=ticket.failures,
+            attempt=state.failures,
             idempotent=True,
             deadline=request.deadline,
             now=self.events.now,
@@ -245,72 +245,72 @@
         )
         if retry is None:
             self.wasted["given up"] += delivered
-            self._end_refused(ticket)
+            self._reject(state)
             return
-        ticket.skip = delivered
-        ticket.failed.add(ask.endpoint)
-        ticket.race.restart()
-        self.events.call_later(retry.delay_s, lambda: ticket.over or self._ask(ticket))
+        state.skip_tokens = delivered
+        state.failed.add(ask.endpoint)
+        state.race.restart()
+        self.events.call_later(retry.delay_s, lambda: state.ended or self._ask(state))
 
-    def _pause(self, ticket: Ticket, ask: Ask) -> None:
-        """Stop a run with its KV cache kept, and ask again for a slot to go on."""
-        if ticket.holds != ask.ask_id or ticket.run is None:
+    def _pause(self, state: RequestState, ask: Ask) -> None:
+        """Stop a run, keep its KV cache, and ask for a slot to resume it."""
+        if state.held_ask_id != ask.ask_id or state.run is None:
             return
         self.pauses += 1
         engine = self.engines[ask.endpoint]
-        run = ticket.run
+        run = state.run
         done = engine.cancel(run)
-        ticket.skip += max(0, int(done - run.prefill))
-        ticket.paused = True
+        state.skip_tokens += max(0, int(done - run.prefill))
+        state.paused = True
         self.wasted["paused"] += min(done, CACHED_SHARE * run.prefill)
-        ticket.holds = ""
-        ticket.run = None
+        state.held_ask_id = ""
+        state.run = None
         self._release(
-            Release(ask_id=ask.ask_id, endpoint=ask.endpoint, used=True, tokens=ticket.skip)
+            Release(ask_id=ask.ask_id, endpoint=ask.endpoint, used=True, tokens=state.skip_tokens)
         )
-        ticket.race.restart()
-        self._ask(ticket)
+        state.race.restart()
+        self._ask(state)
 
-    def _go_on(self, ticket: Ticket, ask: Ask) -> None:
-        if ticket.race.record_refused(ask.ask_id) and not ticket.over:
-            self._ask(ticket)
-        elif not (ticket.over or ticket.race.winner or ticket.race.is_waiting):
-            self._end_refused(ticket)
+    def _handle_rejection(self, state: RequestState, ask: Ask) -> None:
+        if state.race.record_refused(ask.ask_id) and not state.ended:
+            self._ask(state)
+        elif not (state.ended or state.race.winner or state.race.is_waiting):
+            self._reject(state)
 
-    def _expire(self, ticket: Ticket) -> None:
-        if ticket.over or ticket.holds:
+    def _expire(self, state: RequestState) -> None:
+        if state.ended or state.held_ask_id:
             return
-        self._end_refused(ticket)
+        self._reject(state)
 
-    def _end_refused(self, ticket: Ticket) -> None:
-        if ticket.over:
+    def _reject(self, state: RequestState) -> None:
+        if state.ended:
             return
-        ticket.over = True
-        self.wasted["refused later"] += ticket.skip
-        self._withdraw_all(ticket)
-        self._note_inversion(ticket.request)
-        self.refuse(ticket.request)
+        state.ended = True
+        self.wasted["refused later"] += state.skip_tokens
+        self._withdraw_all(state)
+        self._record_inversion(state.request)
+        self.reject(state.request)
 
-    def _note_inversion(self, request: Request) -> None:
+    def _record_inversion(self, request: Request) -> None:
         tier = request.service_class.tier
         for engine in self.pools[request.kind.service]:
             probe = self._keepers[engine.name].make_probe(now=self.events.now)
             if not engine.crashed and probe.lowest_tier > tier:
                 request.inverted = True
 
-    def _withdraw_all(self, ticket: Ticket) -> None:
-        for ask_id, name in ticket.race.close().items():
+    def _withdraw_all(self, state: RequestState) -> None:
+        for ask_id, name in state.race.close().items():
             self.events.call_later(
-                self.measure_link(),
-                lambda ask_id=ask_id, name=name: self._spread(
+                self.draw_link_s(),
+                lambda ask_id=ask_id, name=name: self._send_events(
                     name, self._keepers[name].withdraw(ask_id, now=self.events.now)
                 ),
             )
 
     def _release(self, release: Release) -> None:
         self.events.call_later(
-            self.measure_link(),
-            lambda: self._spread(
+            self.draw_link_s(),
+            lambda: self._send_events(
                 release.endpoint,
                 self._keepers[release.endpoint].release(release, now=self.events.now),
             ),
--- a/bench/runs.py
+++ b/bench/runs.py
@@ -1,4 +1,4 @@
-"""One run of a scenario under a policy, and what it measures."""
+"""Simulation of one scenario under one policy, and its measurements."""
 
 from __future__ import annotations
 
@@ -22,9 +22,9 @@
     Request,
     Scenario,
     Site,
+    build_fleet,
+    build_requests,
     compute_capacity,
-    make_fleet,
-    make_requests,
 )
 from guavamast.races import RaceRules
 
@@ -40,7 +40,7 @@
 POLICIES: Final[dict[str, Callable[..., Policy]]] = {
     "guavamast": RouterPolicy,
     "one keeper": lambda **arguments: RouterPolicy(rules=RaceRules(racers=1), **arguments),
-    "two at once": lambda **arguments: RouterPolicy(asked=2, **arguments),
+    "two at once": lambda **arguments: RouterPolicy(keepers_asked=2, **arguments),
     "probes 1 s old": lambda **arguments: RouterPolicy(probe_delay_s=1.0, **arguments),
     "probes 5 s old": lambda **arguments: RouterPolicy(probe_delay_s=5.0, **arguments),
     "random": RandomPolicy,
@@ -53,26 +53,26 @@
 
 @dataclass(slots=True, kw_only=True)
 class Outcome:
-    """What one run gave."""
+    """Measurements of one run."""
 
     attained: dict[str, float] = field(default_factory=dict)
-    """Share of the class's requests that met all its targets."""
+    """Share of each class's requests that met all targets of the class."""
     least_finished: dict[str, int] = field(default_factory=dict)
-    """Fewest completions of a class in any window of 60 s."""
+    """Fewest completions of each class in any window of 60 s."""
     goodput: float = 0.0
     """Work of requests completed in time, as a share of the engines' capacity."""
     wasted: float = 0.0
     """Share of computed work that was discarded."""
     wasted_by: dict[str, float] = field(default_factory=dict)
-    """The same by cause."""
+    """Share of computed work that was discarded, by cause."""
     amplification: float = 0.0
-    """Attempts sent for each request that was sent at all."""
+    """Attempts per request, over the requests with at least one attempt."""
     inverted: float = 0.0
-    """Share of the top tier's requests refused while a lower tier was in the pool."""
+    """Share of the top tier's requests rejected while a lower tier was in the pool."""
     asks: float = 0.0
-    """Asks for each request; 0 without keepers."""
+    """Asks per request; 0 without keepers."""
     unused_grants: float = 0.0
-    """Unused grants for each request."""
+    """Unused grants per request."""
     pauses: float = 0.0
     requests: int = 0
 
@@ -80,19 +80,19 @@
 def run_once(site: Site, scenario: Scenario, policy_name: str, seed: int) -> Outcome:
     """Return the outcome of one run."""
     policy = POLICIES[policy_name](
-        site=site, fleet=make_fleet(site), scenario=scenario, seed=seed + 1
+        site=site, fleet=build_fleet(site), scenario=scenario, seed=seed + 1
     )
-    requests = make_requests(site, scenario, seed)
+    requests = build_requests(site, scenario, seed)
     for request in requests:
-        policy.events.call_at(request.arrives_at, lambda request=request: policy.take(request))
-    _plan_faults(policy, scenario)
+        policy.events.call_at(request.arrives_at, lambda request=request: policy.receive(request))
+    _schedule_faults(policy, scenario)
     for engine in policy.engines.values():
-        _plan_report(policy, engine, scenario.report_lag_s)
+        _schedule_reports(policy, engine, scenario.report_lag_s)
     policy.events.run(DURATION_S + DRAIN_S)
     return _measure(site, policy, requests)
 
 
-def _plan_faults(policy: Policy, scenario: Scenario) -> None:
+def _schedule_faults(policy: Policy, scenario: Scenario) -> None:
     events = policy.events
     engines = policy.pools[""]
     for engine in engines[: scenario.stragglers]:
@@ -106,12 +106,12 @@
         events.call_at(BURST_END_S - 20.0, engine.recover)
 
 
-def _plan_report(policy: Policy, engine: FakeEngine, lag_s: float) -> None:
+def _schedule_reports(policy: Policy, engine: FakeEngine, lag_s: float) -> None:
     def report() -> None:
         running, as_of = engine.load, policy.events.now
         if not engine.crashed:
             policy.events.call_later(
-                lag_s, lambda: policy.take_report(engine, min(running, engine.slots), as_of)
+                lag_s, lambda: policy.apply_report(engine, min(running, engine.slots), as_of)
             )
         policy.events.call_later(REPORT_INTERVAL_S, report)
 
@@ -121,13 +121,13 @@
 def is_attained(request: Request) -> bool:
     """Return whether a request met all targets of its class."""
     target = request.service_class
-    if not request.completed or request.first_at is None:
+    if not request.completed or request.first_token_at is None:
         return False
-    first_s = request.first_at - request.arrives_at
+    first_s = request.first_token_at - request.arrives_at
     total_s = request.ended_at - request.arrives_at
     if request.kind.service:
         return total_s <= target.completion_s
-    interval_s = (request.ended_at - request.first_at) / max(1, request.tokens - 1)
+    interval_s = (request.ended_at - request.first_token_at) / max(1, request.tokens - 1)
     return (
         first_s * 1000 <= target.first_token_ms
         and total_s <= target.completion_s
@@ -139,9 +139,11 @@
     outcome = Outcome(requests=len(requests))
     engine_requests = [request for request in requests if not request.kind.service]
     for target in site.classes:
-        own = [each for each in engine_requests if each.service_class is target]
-        outcome.attained[target.name] = sum(map(is_attained, own)) / max(1, len(own))
-        outcome.least_finished[target.name] = _find_least(own)
+        class_requests = [each for each in engine_requests if each.service_class is target]
+        outcome.attained[target.name] = sum(map(is_attained, class_requests)) / max(
+            1, len(class_requests)
+        )
+        outcome.least_finished[target.name] = _find_least_finished(class_requests)
     in_time = [
         each
         for each in engine_requests
@@ -165,7 +167,7 @@
     return outcome
 
 
-def _find_least(requests: list[Request]) -> int:
+def _find_least_finished(requests: list[Request]) -> int:
     ends = sorted(each.ended_at for each in requests if each.completed)
     starts = [time / 2 for time in range(int(2 * 20.0), int(2 * (DURATION_S - WINDOW_S)) + 1)]
     return min(sum(1 for end in ends if start <= end < start + WINDOW_S) for start in starts)
--- a/bench/tables.py
+++ b/bench/tables.py
@@ -12,13 +12,13 @@
     from bench.workload import Site
 
 TIER_WEIGHTS: Final = (3, 2, 1)
-"""Weights of the tiers' attainment in a score, the highest tier first."""
+"""Weights of the tiers' attainment in the score, highest tier first."""
 ATTAINMENT_SHARES: Final = {"agence": 0.8, "cotopaxi": 0.3}
-"""Share of attainment in a site's score; the rest is goodput less waste."""
+"""Weight of attainment in a site's score; the rest is goodput reduced by discarded work."""
 
 
 def format_spread(values: Sequence[float], *, scale: float = 100.0, digits: int = 1) -> str:
-    """Return the mean with the least and greatest value."""
+    """Return the mean, with the minimum and maximum unless these are nearly equal."""
     low, high = min(values) * scale, max(values) * scale
     middle = f"{mean(values) * scale:.{digits}f}"
     if high - low < 10**-digits / 2:
@@ -27,7 +27,7 @@
 
 
 def compute_score(site: Site, outcome: Outcome, oracle: Outcome) -> float:
-    """Return a site's weighting of an outcome; 1 is all targets met at the oracle's goodput."""
+    """Return the score of an outcome for a site; 1 is all targets met at the oracle's goodput."""
     weighted = [
         weight * attained
         for weight, attained in zip(TIER_WEIGHTS, outcome.attained.values(), strict=True)
@@ -44,13 +44,13 @@
 
 
 def print_head(cells: Sequence[str]) -> None:
-    """Print the head of a table."""
+    """Print the header of a table."""
     print_row(cells)
     print_row(["---"] * len(cells))
 
 
 def print_policies(site: Site, outcomes: dict[str, list[Outcome]], oracles: list[Outcome]) -> None:
-    """Print one scenario's table, a row a policy."""
+    """Print the table of one scenario, with one row for each policy."""
     classes = [each.name for each in site.classes]
     print_head(
         [
@@ -82,7 +82,7 @@
 
 
 def print_keepers(outcomes: dict[str, list[Outcome]]) -> None:
-    """Print what the keepers were asked, a row a policy."""
+    """Print asks, grants and pauses, with one row for each policy."""
     columns: dict[str, Callable[[Outcome], float]] = {
         "interactive %": lambda run: 100 * run.attained["interactive"],
         "standard %": lambda run: 100 * run.attained["standard"],
--- a/bench/workload.py
+++ b/bench/workload.py
@@ -1,4 +1,4 @@
-"""The two sites' shapes and the requests of a scenario."""
+"""Fleets and traffic of the two sites, and the requests of a scenario."""
 
 from __future__ import annotations
 
@@ -21,33 +21,33 @@
 BURST_START_S: Final = 30.0
 BURST_END_S: Final = 110.0
 CALM_LOAD: Final = 0.6
-"""Offered work as a share of capacity when calm."""
+"""Offered work without bursts, as a share of capacity."""
 ENGINE_TOKEN_S: Final = 0.02
-"""Time for a token of each request in a full batch."""
+"""Time to generate one token for each request of a full batch."""
 SERVICE_UNIT_S: Final = 0.01
 SERVICE_SLOTS: Final = 2
 
 
 @dataclass(frozen=True, slots=True, kw_only=True)
-class Kind:
+class RequestKind:
     """One kind of request with its class and sizes."""
 
     name: str
     class_name: str
     share: float
-    """Of the calm work of its pool."""
+    """Share of the pool's work without bursts."""
     prompt_tokens: int
     median_tokens: float
     sigma: float
-    """Of the logarithm of the output's length."""
+    """Standard deviation of the logarithm of the output length."""
     timeout_s: float
     prefixes: int = 0
-    """Different prompt prefixes; 0 for none."""
+    """Number of different prompt prefixes; 0 for none."""
     service: str = ""
 
     @property
     def mean_work(self) -> float:
-        """Mean tokens, a prefill without cache counted by its time."""
+        """Mean work in tokens; an uncached prefill counts as the tokens generated in its time."""
         mean = self.median_tokens * exp(self.sigma**2 / 2)
         return mean + (0.0 if self.service else self.prompt_tokens * 0.0002 / ENGINE_TOKEN_S)
 
@@ -65,7 +65,7 @@
     entries: int
     latency_s: float
     classes: tuple[ServiceClass, ...]
-    kinds: tuple[Kind, ...]
+    kinds: tuple[RequestKind, ...]
 
 
 @dataclass(slots=True, kw_only=True, eq=False)
@@ -74,7 +74,7 @@
 
     number: int
     arrives_at: float
-    kind: Kind
+    kind: RequestKind
     service_class: ServiceClass
     organisation: str
     entry: int
@@ -83,22 +83,22 @@
     deadline: float
     prompt_tokens: int = 0
     ended_at: float | None = None
-    first_at: float | None = None
+    first_token_at: float | None = None
     completed: bool = False
-    refused: bool = False
+    rejected: bool = False
     attempts: int = 0
     inverted: bool = False
-    """Refused while a lower tier was queued or running in its pool."""
+    """Whether it was rejected while a lower tier was queued or running in its pool."""
 
 
 @dataclass(frozen=True, slots=True, kw_only=True)
 class Scenario:
-    """What happens during a run."""
+    """Load and faults of a run."""
 
     name: str
     burst_kind: str = ""
     burst_load: float = 0.0
-    """Work of the burst as a share of the pool's capacity."""
+    """Additional work of the burst as a share of the pool's capacity."""
     stragglers: int = 0
     straggle_factor: float = 4.0
     crash_share: float = 0.0
@@ -114,7 +114,7 @@
     instances: list[Instance] = field(default_factory=list)
 
 
-def _make_class(name: str, tier: int, first_ms: float, completion_s: float) -> ServiceClass:
+def _build_class(name: str, tier: int, first_ms: float, completion_s: float) -> ServiceClass:
     return ServiceClass(
         name=name,
         tier=tier,
@@ -136,12 +136,12 @@
     entries=14,
     latency_s=0.0005,
     classes=(
-        _make_class("interactive", 1, 1000.0, 20.0),
-        _make_class("standard", 2, 4000.0, 40.0),
-        _make_class("batch", 3, 30_000.0, 120.0),
+        _build_class("interactive", 1, 1000.0, 20.0),
+        _build_class("standard", 2, 4000.0, 40.0),
+        _build_class("batch", 3, 30_000.0, 120.0),
     ),
     kinds=(
-        Kind(
+        RequestKind(
             name="drafting",
             class_name="interactive",
             share=0.5,
@@ -151,7 +151,7 @@
             timeout_s=20.0,
             prefixes=60,
         ),
-        Kind(
+        RequestKind(
             name="dossier",
             class_name="standard",
             share=0.3,
@@ -161,7 +161,7 @@
             timeout_s=40.0,
             prefixes=60,
         ),
-        Kind(
+        RequestKind(
             name="report",
             class_name="batch",
             share=0.2,
@@ -170,7 +170,7 @@
             sigma=0.8,
             timeout_s=120.0,
         ),
-        Kind(
+        RequestKind(
             name="approval",
             class_name="interactive",
             share=0.6,
@@ -180,7 +180,7 @@
             timeout_s=20.0,
             service="portal",
         ),
-        Kind(
+        RequestKind(
             name="status",
             class_name="standard",
             share=0.4,
@@ -203,12 +203,12 @@
     entries=13,
     latency_s=0.001,
     classes=(
-        _make_class("interactive", 1, 1000.0, 15.0),
-        _make_class("standard", 2, 4000.0, 20.0),
-        _make_class("batch", 3, 60_000.0, 120.0),
+        _build_class("interactive", 1, 1000.0, 15.0),
+        _build_class("standard", 2, 4000.0, 20.0),
+        _build_class("batch", 3, 60_000.0, 120.0),
     ),
     kinds=(
-        Kind(
+        RequestKind(
             name="terms",
             class_name="interactive",
             share=0.25,
@@ -218,7 +218,7 @@
             timeout_s=15.0,
             prefixes=40,
         ),
-        Kind(
+        RequestKind(
             name="tagging",
             class_name="standard",
             share=0.15,
@@ -227,7 +227,7 @@
             sigma=0.3,
             timeout_s=20.0,
         ),
-        Kind(
+        RequestKind(
             name="summary",
             class_name="batch",
             share=0.6,
@@ -236,7 +236,7 @@
             sigma=0.8,
             timeout_s=120.0,
         ),
-        Kind(
+        RequestKind(
             name="settlement",
             class_name="interactive",
             share=0.5,
@@ -246,7 +246,7 @@
             timeout_s=20.0,
             service="ledger",
         ),
-        Kind(
+        RequestKind(
             name="lookup",
             class_name="standard",
             share=0.5,
@@ -260,7 +260,7 @@
 )
 
 
-def make_fleet(site: Site) -> Fleet:
+def build_fleet(site: Site) -> Fleet:
     """Return a site's endpoints, classes and instances."""
     endpoints = {}
     for number in range(site.engines + site.services):
@@ -313,8 +313,8 @@
     return site.engines * site.slots / ENGINE_TOKEN_S
 
 
-def make_requests(site: Site, scenario: Scenario, seed: int) -> list[Request]:
-    """Return the requests of a run in the order of their arrival."""
+def build_requests(site: Site, scenario: Scenario, seed: int) -> list[Request]:
+    """Return the requests of a run in order of arrival."""
     random = Random(seed)
     classes = {each.name: each for each in site.classes}
     requests: list[Request] = []
@@ -324,16 +324,16 @@
         extra = 0.0
         if kind.name == scenario.burst_kind:
             extra = scenario.burst_load * capacity / kind.mean_work
-        times = _draw_times(random, calm, 0.0, DURATION_S)
-        times += _draw_times(random, extra, BURST_START_S, BURST_END_S)
-        requests += [_make_request(random, site, kind, classes, time) for time in times]
+        times = _draw_arrivals(random, calm, 0.0, DURATION_S)
+        times += _draw_arrivals(random, extra, BURST_START_S, BURST_END_S)
+        requests += [_build_request(random, site, kind, classes, time) for time in times]
     requests.sort(key=lambda request: request.arrives_at)
     for number, request in enumerate(requests):
         request.number = number
     return requests
 
 
-def _draw_times(random: Random, rate: float, start: float, end: float) -> list[float]:
+def _draw_arrivals(random: Random, rate: float, start: float, end: float) -> list[float]:
     times = []
     time = start
     while rate > 0:
@@ -344,8 +344,8 @@
     return times
 
 
-def _make_request(
-    random: Random, site: Site, kind: Kind, classes: dict[str, ServiceClass], time: float
+def _build_request(
+    random: Random, site: Site, kind: RequestKind, classes: dict[str, ServiceClass], time: float
 ) -> Request:
     organisation = min(9, int(random.paretovariate(0.8)) - 1)
     prefix = ""
