--- a/bench/costs.py
+++ b/bench/costs.py
@@ -8,9 +8,9 @@
 
 from guavamast.allotments import AllotmentAsk, AllotmentDispatcher
 from guavamast.members import MembershipView
-from guavamast.placement import EndpointChooser, Wanted
+from guavamast.placement import EndpointChooser, EndpointRequirements
 from guavamast.slots import Probe
-from guavamast.world import (
+from guavamast.fleet_objects import (
     Configuration,
     Contract,
     Endpoint,
@@ -78,7 +78,7 @@
 
     def choose(number: int) -> None:
         now = number / 20
-        wanted = Wanted(tier=1, model="m", prefix_key=f"p{number}", prompt_tokens=500)
+        wanted = EndpointRequirements(tier=1, model="m", prefix_key=f"p{number}", prompt_tokens=500)
         name = chooser.choose(wanted, now=now)[0]
         probe = Probe(
             endpoint=name, in_flight=1, queued=0, estimated_wait_s=0.0, lowest_tier=1, slots=8
--- a/bench/limit_error.py
+++ b/bench/limit_error.py
@@ -19,7 +19,7 @@
     KeeperBatch,
     KeeperMessage,
 )
-from guavamast.world import Contract, Organisation
+from guavamast.fleet_objects import Contract, Organisation
 
 DURATION_S: Final = 60.0
 WARM_UP_S: Final = 20.0
--- a/bench/membership_rounds.py
+++ b/bench/membership_rounds.py
@@ -41,7 +41,7 @@
         ]
     )
     for node in loop.nodes.values():
-        node.spread.hear_platform(0, now=0.0)
+        node.spread.record_head(0, now=0.0)
     while not loop.agrees():
         loop.run_round()
     for _ in range(3):
@@ -175,13 +175,13 @@
             length = STALL_SCALE_S * random.paretovariate(STALL_SHAPE)
             stalled_until = max(stalled_until, second + length)
         if second >= stalled_until:
-            observed = observer.find("b")
+            observed = observer.get("b")
             refuted = observed is not None and observed.state != MemberState.LIVE
             incarnation = observed.incarnation + 1 if refuted else latest.incarnation
             latest = _raise_heartbeat(latest, incarnation)
             observer.merge([latest], now=float(second))
         observer.tick(now=float(second))
-        observed = observer.find("b")
+        observed = observer.get("b")
         suspected += observed.state == MemberState.SUSPECT and state == MemberState.LIVE
         gone += observed.state == MemberState.GONE and state != MemberState.GONE
         state = observed.state
@@ -216,7 +216,7 @@
         now=0.0,
     )
     second = 0
-    while observer.find("b").state != MemberState.GONE:
+    while observer.get("b").state != MemberState.GONE:
         second += 1
         observer.tick(now=float(second))
     return second - 1
--- a/bench/operation_cost.py
+++ b/bench/operation_cost.py
@@ -22,13 +22,13 @@
 from guavamast.group_commit import GroupCommit
 from guavamast.operation_store import OperationStore
 from guavamast.platform_http import HttpPlatformClient
-from guavamast.send_gates import BEAT_INTERVAL_S, PauseWatch, SendGate
+from guavamast.send_gates import TICK_INTERVAL_S, PauseDetector, SendGate
 from guavamast.service_calls import RetryPolicy, ServiceCall, ServiceCalls, SlotGrant, SlotSource
-from guavamast.single_fetch import fetch_once
+from guavamast.at_most_once_fetch import fetch_once
 from guavamast.standins.faults import Fault
 from guavamast.standins.platform import PlatformStandin
 from guavamast.standins.service import ServiceStandin
-from guavamast.world import CallRule, Endpoint, EndpointKind
+from guavamast.fleet_objects import CallRule, Endpoint, EndpointKind
 
 if TYPE_CHECKING:
     from guavamast.platform_client import PlatformClient
@@ -106,7 +106,7 @@
         return None
 
 
-def build_calls(addresses: StandinAddresses, mode: Mode, pauses: PauseWatch) -> ServiceCalls:
+def build_calls(addresses: StandinAddresses, mode: Mode, pauses: PauseDetector) -> ServiceCalls:
     """Return the component that makes the calls of one entry."""
     clock = SystemClock()
     url = addresses.platform
@@ -152,7 +152,7 @@
 
 async def measure(addresses: StandinAddresses, mode: Mode, rate: float, run: int) -> str:
     """Make calls at a rate and return a row of the table."""
-    pauses = PauseWatch(now=time.monotonic())
+    pauses = PauseDetector(now=time.monotonic())
     heartbeats = asyncio.ensure_future(record_heartbeats(pauses))
     calls = build_calls(addresses, mode, pauses)
     before, cpu_before = await read_counts(addresses), time.process_time()
@@ -174,11 +174,11 @@
     )
 
 
-async def record_heartbeats(pauses: PauseWatch) -> None:
+async def record_heartbeats(pauses: PauseDetector) -> None:
     """Record heartbeats of the event loop until cancelled, so that sends stay allowed."""
     while True:
-        pauses.beat(now=time.monotonic())
-        await asyncio.sleep(BEAT_INTERVAL_S)
+        pauses.tick(now=time.monotonic())
+        await asyncio.sleep(TICK_INTERVAL_S)
 
 
 async def measure_all(addresses: StandinAddresses) -> None:
--- a/bench/policies.py
+++ b/bench/policies.py
@@ -9,8 +9,8 @@
 from bench.baselines import Policy
 from bench.engine import CACHED_SHARE
 from guavamast.keepers import EndpointKeeper
-from guavamast.placement import EndpointChooser, Wanted
-from guavamast.races import RaceRules, SlotRace
+from guavamast.placement import EndpointChooser, EndpointRequirements
+from guavamast.slot_race import RaceRules, SlotRace
 from guavamast.retries import RetryBudget
 from guavamast.slots import Ask, Granted, LoadReport, Paused, Refused, Release
 
@@ -114,7 +114,7 @@
 
     def _ask(self, state: RequestState, count: int = 1) -> None:
         request = state.request
-        wanted = Wanted(
+        wanted = EndpointRequirements(
             tier=request.service_class.tier,
             model="" if request.kind.service else "model",
             service=request.kind.service,
@@ -155,7 +155,7 @@
     def _send_events(self, name: str, events: list[KeeperEvent]) -> None:
         if not events:
             return
-        probe = self._keepers[name].make_probe(now=self.events.now)
+        probe = self._keepers[name].build_probe(now=self.events.now)
         for event in events:
             self.events.call_later(
                 self.draw_link_s(), lambda event=event: self._receive_event(event, probe)
@@ -294,7 +294,7 @@
     def _record_inversion(self, request: Request) -> None:
         tier = request.service_class.tier
         for engine in self.pools[request.kind.service]:
-            probe = self._keepers[engine.name].make_probe(now=self.events.now)
+            probe = self._keepers[engine.name].build_probe(now=self.events.now)
             if not engine.crashed and probe.lowest_tier > tier:
                 request.inverted = True
 
--- a/bench/runs.py
+++ b/bench/runs.py
@@ -26,7 +26,7 @@
     build_requests,
     compute_capacity,
 )
-from guavamast.races import RaceRules
+from guavamast.slot_race import RaceRules
 
 if TYPE_CHECKING:
     from collections.abc import Callable
@@ -39,7 +39,7 @@
 
 POLICIES: Final[dict[str, Callable[..., Policy]]] = {
     "guavamast": RouterPolicy,
-    "one keeper": lambda **arguments: RouterPolicy(rules=RaceRules(racers=1), **arguments),
+    "one keeper": lambda **arguments: RouterPolicy(rules=RaceRules(max_open_asks=1), **arguments),
     "two at once": lambda **arguments: RouterPolicy(keepers_asked=2, **arguments),
     "probes 1 s old": lambda **arguments: RouterPolicy(probe_delay_s=1.0, **arguments),
     "probes 5 s old": lambda **arguments: RouterPolicy(probe_delay_s=5.0, **arguments),
--- a/bench/tier_shares.py
+++ b/bench/tier_shares.py
@@ -14,10 +14,10 @@
 from typing import TYPE_CHECKING, Final
 from unittest.mock import patch
 
-from guavamast.forecasts import PAUSE_S
+from guavamast.forecasts import PAUSE_DELAY_S
 from guavamast.keepers import EndpointKeeper
 from guavamast.slots import Ask, Granted, Paused, Refused, Release
-from guavamast.world import Configuration, Endpoint, EndpointKind, ServiceClass
+from guavamast.fleet_objects import Configuration, Endpoint, EndpointKind, ServiceClass
 
 if TYPE_CHECKING:
     from guavamast.slots import KeeperEvent
@@ -192,7 +192,7 @@
                 self._push(self._now + 1.0, "progress", name)
             elif isinstance(event, Paused):
                 job.pauses += 1
-                self._push(self._now + PAUSE_S, "paused", name)
+                self._push(self._now + PAUSE_DELAY_S, "paused", name)
             elif isinstance(event, Refused):
                 self._finished.append(job)
 
--- a/bench/workload.py
+++ b/bench/workload.py
@@ -8,7 +8,7 @@
 from typing import Final
 
 from guavamast.members import Member, MembershipView, MemberState
-from guavamast.world import (
+from guavamast.fleet_objects import (
     Configuration,
     Endpoint,
     EndpointKind,
