--- a/bench/costs.py
+++ b/bench/costs.py
@@ -7,9 +7,6 @@
 from typing import TYPE_CHECKING, Final
 
 from guavamast.allotments import AllotmentAsk, AllotmentDispatcher
-from guavamast.members import MembershipView
-from guavamast.placement import EndpointChooser, EndpointRequirements
-from guavamast.slots import Probe
 from guavamast.fleet_objects import (
     Configuration,
     Contract,
--- a/bench/keeper_change.py
+++ b/bench/keeper_change.py
@@ -16,7 +16,6 @@
 from guavamast.fleet_objects import Configuration, Endpoint, EndpointKind, ServiceClass
 from guavamast.keepers import EndpointKeeper
 from guavamast.slots import Ask, Granted, LoadReport, Refused, Release
-from guavamast.fleet_objects import Configuration, Endpoint, EndpointKind, ServiceClass
 
 SLOTS: Final = 16
 ENTRIES: Final = 14
--- a/bench/limit_error.py
+++ b/bench/limit_error.py
@@ -20,7 +20,6 @@
     KeeperBatch,
     KeeperMessage,
 )
-from guavamast.fleet_objects import Contract, Organisation
 
 DURATION_S: Final = 60.0
 WARM_UP_S: Final = 20.0
--- a/bench/operation_cost.py
+++ b/bench/operation_cost.py
@@ -26,11 +26,9 @@
 from guavamast.platform_http import HttpPlatformClient
 from guavamast.send_gates import TICK_INTERVAL_S, PauseDetector, SendGate
 from guavamast.service_calls import RetryPolicy, ServiceCall, ServiceCalls, SlotGrant, SlotSource
-from guavamast.at_most_once_fetch import fetch_once
 from guavamast.standins.faults import Fault
 from guavamast.standins.platform import PlatformStandin
 from guavamast.standins.service import ServiceStandin
-from guavamast.fleet_objects import CallRule, Endpoint, EndpointKind
 
 if TYPE_CHECKING:
     from guavamast.platform_client import PlatformClient
--- a/bench/policies.py
+++ b/bench/policies.py
@@ -10,7 +10,6 @@
 from bench.engine import CACHED_SHARE
 from guavamast.keepers import EndpointKeeper
 from guavamast.placement import EndpointChooser, EndpointRequirements
-from guavamast.slot_race import RaceRules, SlotRace
 from guavamast.retries import RetryBudget
 from guavamast.slot_race import RaceRules, SlotRace
 from guavamast.slots import Ask, Granted, LoadReport, Paused, Refused, Release
--- a/bench/tier_shares.py
+++ b/bench/tier_shares.py
@@ -14,10 +14,10 @@
 from typing import TYPE_CHECKING, Final
 from unittest.mock import patch
 
+from guavamast.fleet_objects import Configuration, Endpoint, EndpointKind, ServiceClass
 from guavamast.forecasts import PAUSE_DELAY_S
 from guavamast.keepers import EndpointKeeper
 from guavamast.slots import Ask, Granted, Paused, Refused, Release
-from guavamast.fleet_objects import Configuration, Endpoint, EndpointKind, ServiceClass
 
 if TYPE_CHECKING:
     from guavamast.slots import KeeperEvent
--- a/bench/workload.py
+++ b/bench/workload.py
@@ -7,7 +7,6 @@
 from random import Random
 from typing import Final
 
-from guavamast.members import Member, MembershipView, MemberState
 from guavamast.fleet_objects import (
     Configuration,
     Endpoint,
