--- a/bench/address_shares.py
+++ b/bench/address_shares.py
@@ -1,7 +1,8 @@
-"""Evenness of the instances' loads while callers hold old answers, by the decision alone.
+"""Load balance over instances while callers cache addresses, simulated without sockets.
 
-Run with ``python -m bench.address_shares``. Prints for several ways of choosing the largest load
-over the mean, and the spread over instances, both averaged over the second half of the run.
+Run with ``python -m bench.address_shares``. Prints for several address policies the largest load
+over the mean, and the standard deviation over the mean, both averaged over the second half of the
+run.
 """
 
 from __future__ import annotations
@@ -23,38 +24,39 @@
 DURATION_S: Final = 240
 VALIDITY_S: Final = 10.0
 REQUEST_S: Final = 8.0
-"""Mean time that a request is in flight."""
+"""Mean duration of a request."""
 REQUESTS_PER_SECOND: Final = 250.0
 SLOW_FACTOR: Final = 3.0
-"""How much longer requests stay at the first instance in the runs with a slow one."""
+"""Factor on the duration of requests at the first instance in runs with a slow instance."""
 
 
 @dataclass(slots=True, kw_only=True)
 class Caller:
-    """A client process that keeps the first address of an answer."""
+    """A client process that caches the first address of a response until it expires."""
 
     rate: float
-    home: int
-    """The instance that it asks."""
+    """Requests per second."""
+    instance_index: int
+    """Index of the instance that it requests addresses from."""
     target: str = ""
     valid_until: float = 0.0
 
 
 def choose_by_decision(view: MembershipView, seed: int, random: Random) -> str:
-    """Choose by the code that runs."""
+    """Choose by the production code."""
     del random
     answer = choose_addresses(view, caller_hint="sierra", seed=seed, validity_s=VALIDITY_S)
     return answer.members[0].instance.name
 
 
 def choose_at_random(view: MembershipView, seed: int, random: Random) -> str:
-    """Choose any live instance."""
+    """Choose a random instance."""
     del seed
     return random.choice(view.members).instance.name
 
 
 def choose_least_loaded(view: MembershipView, seed: int, random: Random) -> str:
-    """Choose the instance of the lowest reported load."""
+    """Choose the instance with the lowest reported load."""
     del seed, random
     return min(view.members, key=lambda member: member.load).instance.name
 
@@ -69,32 +71,35 @@
 def simulate(
     choose: Callable[[MembershipView, int, Random], str], *, callers: int, lag_s: int, slow: bool
 ) -> tuple[float, float]:
-    """Return the mean of largest load over mean load, and of the spread over the mean.
+    """Return the time averages of largest load and standard deviation, each over the mean.
 
     Args:
-        choose: The way of choosing.
+        choose: The policy; returns the name of the chosen instance.
         callers: Client processes; their rates follow Zipf's law.
-        lag_s: Age of the loads that answers are made from.
-        slow: Whether requests stay longer at one instance.
+        lag_s: Age of the loads by which addresses are chosen, in seconds.
+        slow: Whether requests take longer at the first instance.
     """
     random = Random(1)
     names = [f"i{number:02}" for number in range(INSTANCES)]
     total = sum(1.0 / (rank + 1) for rank in range(callers))
     clients = [
-        Caller(rate=REQUESTS_PER_SECOND / (rank + 1) / total, home=random.randrange(INSTANCES))
+        Caller(
+            rate=REQUESTS_PER_SECOND / (rank + 1) / total,
+            instance_index=random.randrange(INSTANCES),
+        )
         for rank in range(callers)
     ]
-    sequences = [random.randrange(2**31) for _ in names]
+    answer_seeds = [random.randrange(2**31) for _ in names]
     loads = dict.fromkeys(names, 0.0)
     history: list[dict[str, float]] = []
     ratios, spreads = [], []
     for second in range(DURATION_S):
         history.append(dict(loads))
-        view = _make_view(history[max(0, second - lag_s)])
+        view = _build_view(history[max(0, second - lag_s)])
         for client in clients:
             if second >= client.valid_until:
-                sequences[client.home] += 1
-                client.target = choose(view, sequences[client.home], random)
+                answer_seeds[client.instance_index] += 1
+                client.target = choose(view, answer_seeds[client.instance_index], random)
                 client.valid_until = second + VALIDITY_S * random.uniform(0.7, 1.0)
             loads[client.target] += client.rate
         for name in names:
@@ -107,12 +112,12 @@
     return fmean(ratios), fmean(spreads)
 
 
-def _make_view(loads: dict[str, float]) -> MembershipView:
-    members = tuple(replace(_make_member(name), load=load) for name, load in loads.items())
+def _build_view(loads: dict[str, float]) -> MembershipView:
+    members = tuple(replace(_build_member(name), load=load) for name, load in loads.items())
     return MembershipView(members=members)
 
 
-def _make_member(name: str) -> Member:
+def _build_member(name: str) -> Member:
     return Member(
         instance=make_instance(name),
         incarnation=1,
@@ -123,17 +128,17 @@
 
 
 def main() -> None:
-    """Print one line a way and setting."""
-    ways = (choose_at_random, choose_least_loaded, choose_of_two, choose_by_decision)
+    """Print one line per policy and setting."""
+    policies = (choose_at_random, choose_least_loaded, choose_of_two, choose_by_decision)
     for slow in (False, True):
         for callers in (30, 300):
             for lag_s in (2, 15, 60):
-                for way in ways:
-                    exponents = (0.0, 0.5, 1.0, 2.0) if way is choose_by_decision else (0.0,)
+                for policy in policies:
+                    exponents = (0.0, 0.5, 1.0, 2.0) if policy is choose_by_decision else (0.0,)
                     for exponent in exponents:
                         addresses.LOAD_EXPONENT = exponent
-                        ratio, spread = simulate(way, callers=callers, lag_s=lag_s, slow=slow)
-                        label = f"{slow=} {callers=} {lag_s=} {way.__name__} {exponent=}"
+                        ratio, spread = simulate(policy, callers=callers, lag_s=lag_s, slow=slow)
+                        label = f"{slow=} {callers=} {lag_s=} {policy.__name__} {exponent=}"
                         print(f"{label} max/mean={ratio:.2f} spread={spread:.2f}", flush=True)
 
 
--- a/bench/decision_cost.py
+++ b/bench/decision_cost.py
@@ -1,4 +1,4 @@
-"""Processor time of a keeper's decisions against the length of its queue."""
+"""Processor time of a keeper's decisions by the length of its queue."""
 
 from __future__ import annotations
 
@@ -19,7 +19,7 @@
 
 QUEUE_LENGTHS: Final = (10, 100, 1_000, 10_000)
 ROUNDS: Final = 2_000
-"""Asks, and as many releases, measured at each length."""
+"""Asks measured at each queue length, and as many releases."""
 ORGANISATIONS: Final = 500
 SLOTS: Final = 16
 SEED: Final = 7
@@ -38,7 +38,7 @@
 
 
 def make_configuration() -> Configuration:
-    """Return three classes whose queues don't fill up."""
+    """Return a configuration of three classes whose queue limits are never reached."""
     return Configuration(
         version=1,
         classes={
@@ -57,20 +57,20 @@
 
 
 class DecisionCost:
-    """One keeper with a queue of a steady length.
+    """Measures the decisions of one keeper whose queue keeps its length.
 
     Args:
-        queue_length: Asks that wait throughout.
-        seed: Seed of the mix of organisations, classes and lengths.
+        queue_length: Asks that wait during the measurement.
+        seed: Seed of the choice of organisations, classes and output lengths.
     """
 
-    __slots__ = ("_keeper", "_now", "_number", "_random", "_running", "queue_length")
+    __slots__ = ("_keeper", "_now", "_ask_count", "_random", "_running", "queue_length")
 
     def __init__(self, *, queue_length: int, seed: int) -> None:
         self.queue_length = queue_length
         self._random = random.Random(seed)
         self._now = 0.0
-        self._number = 0
+        self._ask_count = 0
         self._running: list[str] = []
         self._keeper = EndpointKeeper(
             endpoint=Endpoint(
@@ -81,15 +81,15 @@
         )
 
     def measure(self, rounds: int) -> list[Cost]:
-        """Return the cost of asks, releases and wake-ups."""
+        """Return the cost of asks, releases, wake-up times and ticks."""
         while self._keeper.make_probe(now=self._now).queued < self.queue_length:
-            self._follow(self._keeper.ask(self._make_ask(), now=self._now))
+            self._apply_events(self._keeper.ask(self._build_ask(), now=self._now))
         samples: dict[str, list[float]] = {"ask": [], "release": [], "next_wakeup": [], "tick": []}
         for _ in range(rounds):
             self._now += 0.01
-            ask = self._make_ask()
+            ask = self._build_ask()
             samples["ask"].append(self._time(lambda ask=ask: self._keeper.ask(ask, now=self._now)))
-            release = self._make_release()
+            release = self._build_release()
             samples["release"].append(
                 self._time(lambda release=release: self._keeper.release(release, now=self._now))
             )
@@ -102,10 +102,10 @@
         result = decide()
         ended = time.process_time_ns()
         if isinstance(result, list):
-            self._follow(result)
+            self._apply_events(result)
         return (ended - begun) / 1000.0
 
-    def _follow(self, events: list[KeeperEvent]) -> None:
+    def _apply_events(self, events: list[KeeperEvent]) -> None:
         for event in events:
             if isinstance(event, Granted):
                 self._running.append(event.ask.ask_id)
@@ -113,11 +113,11 @@
                 self._running.remove(event.ask.ask_id)
                 self._running.insert(0, event.ask.ask_id)
 
-    def _make_ask(self) -> Ask:
-        self._number += 1
+    def _build_ask(self) -> Ask:
+        self._ask_count += 1
         name, tier, _ = self._random.choice(CLASSES)
         return Ask(
-            ask_id=f"r{self._number}",
+            ask_id=f"r{self._ask_count}",
             entry="a",
             endpoint="e",
             organisation=f"o{self._random.randrange(ORGANISATIONS)}",
@@ -130,7 +130,7 @@
             deadline=self._now + 1e6,
         )
 
-    def _make_release(self) -> Release:
+    def _build_release(self) -> Release:
         tokens = int(self._random.lognormvariate(4.5, 1.0))
         return Release(
             ask_id=self._running.pop(0),
@@ -143,7 +143,7 @@
 
 
 def summarize(queue_length: int, decision: str, samples: list[float]) -> Cost:
-    """Return median and 99th percentile of samples in microseconds."""
+    """Return the median and 99th percentile of samples in microseconds."""
     return Cost(
         queue_length=queue_length,
         decision=decision,
@@ -153,7 +153,7 @@
 
 
 def main() -> None:
-    """Print the table."""
+    """Print a table with a row per queue length and decision."""
     print(f"{SLOTS} slots, {ORGANISATIONS} organisations, {ROUNDS} rounds, seed {SEED}")
     print("queue length  decision     median us    p99 us")
     for queue_length in QUEUE_LENGTHS:
--- a/bench/exchange_loop.py
+++ b/bench/exchange_loop.py
@@ -1,6 +1,6 @@
-"""A plain loop that hands heartbeat messages between decision objects, without sockets or time.
+"""Simulated exchange of heartbeats between instances, without sockets or a real clock.
 
-One step carries each waiting message over one stream; one round is one heartbeat period.
+One step delivers each sent message over its stream; one round is one heartbeat period.
 """
 
 from __future__ import annotations
@@ -21,11 +21,11 @@
     from guavamast.peer_pb2 import HeartbeatMessage
 
 CONTACT_ROUNDS = 5
-"""Rounds between two attempts of one instance at a seed or a gone instance."""
+"""Rounds between two attempts of one instance to connect to a seed or a gone instance."""
 
 
 def make_instance(name: str, *, region: str = "sierra", domain: str = "a") -> Instance:
-    """Return an instance whose addresses are its name."""
+    """Return an instance whose addresses are derived from its name."""
     return Instance(
         name=name,
         failure_domain=FailureDomain(name=f"{region}-{domain}", region=region),
@@ -46,7 +46,7 @@
 
 @dataclass(slots=True, kw_only=True)
 class Stream:
-    """One stream: the state and the waiting messages of each end."""
+    """One stream: for each end its exchange state and the messages that it has yet to receive."""
 
     states: dict[str, ExchangeState]
     waiting: dict[str, list[HeartbeatMessage]] = field(default_factory=dict)
@@ -57,12 +57,12 @@
 
 
 class ExchangeLoop:
-    """Some instances and the streams between them.
+    """Simulated instances and the streams between them.
 
     Args:
-        instances: The instances; the first is everybody's seed.
-        seed: Seed of the choice of contacts.
-        timing: Times of the failure detector.
+        instances: The instances; the first two are the seeds of all.
+        seed: Seed of the random choice of contacts.
+        timing: Intervals and timeouts of the failure detector.
     """
 
     def __init__(
@@ -86,7 +86,7 @@
             self.start(name)
 
     def start(self, name: str, *, incarnation: int | None = None) -> Node:
-        """Start an instance, again if it ran before."""
+        """Start or restart an instance."""
         self.kill(name)
         membership = Membership(
             me=self._instances[name],
@@ -101,7 +101,7 @@
         return self.nodes[name]
 
     def kill(self, name: str) -> None:
-        """End an instance without a word; its streams break."""
+        """Stop an instance without a leave message; its streams close."""
         self.nodes.pop(name, None)
         for pair in [pair for pair in self.streams if name in pair]:
             self._close(pair)
@@ -111,13 +111,13 @@
         return [name for name, node in self.nodes.items() if node.running]
 
     def run_round(self, *, steps: int = 10) -> int:
-        """Let one period pass.
+        """Run one heartbeat period.
 
         Args:
-            steps: Greatest number of steps that news may take in this round.
+            steps: Maximum number of steps in this round.
 
         Returns:
-            The number of steps until nothing urgent was left.
+            The number of steps until no update was left to send.
         """
         self.now += self._timing.period_s
         for name in self.list_running():
@@ -130,7 +130,7 @@
         return steps
 
     def run_step(self, *, urgent: bool) -> bool:
-        """Send on each stream, only where there is news if ``urgent``; return whether any did."""
+        """Send on each stream, or if ``urgent`` only updates; return whether any was sent."""
         sent = False
         for stream in self.streams.values():
             for name, state in stream.states.items():
@@ -149,7 +149,7 @@
         return sent
 
     def agrees(self) -> bool:
-        """Return whether all running instances hold just the running ones to be there."""
+        """Return whether all running instances list exactly the running instances."""
         running = self.list_running()
         expected = [(n, self.nodes[n].membership.me.incarnation) for n in sorted(running)]
         for name in running:
@@ -173,29 +173,29 @@
             messages.clear()
 
     def _update_streams(self) -> None:
-        wanted = set()
+        target_pairs = set()
         for name in self.list_running():
-            for other in self._list_wanted(name):
+            for other in self._list_targets(name):
                 pair = frozenset((name, other))
                 if other not in self.nodes:
                     self.nodes[name].membership.report_lost(other, now=self.now)
                 elif other != name and not self.is_cut(name, other):
-                    wanted.add(pair)
+                    target_pairs.add(pair)
         for pair in list(self.streams):
             stopped = [name for name in pair if not self.nodes[name].running]
-            if self.is_cut(*pair) or (pair not in wanted and not stopped):
+            if self.is_cut(*pair) or (pair not in target_pairs and not stopped):
                 self._close(pair)
-        for pair in wanted - set(self.streams):
+        for pair in target_pairs - set(self.streams):
             if all(self.nodes[name].running for name in pair):
                 self.streams[pair] = Stream(states={name: ExchangeState() for name in sorted(pair)})
 
-    def _list_wanted(self, name: str) -> list[str]:
+    def _list_targets(self, name: str) -> list[str]:
         membership = self.nodes[name].membership
-        wanted = [member.instance.name for member in membership.list_neighbours()]
-        if not wanted or int(self.now) % CONTACT_ROUNDS == 0:
+        targets = [member.instance.name for member in membership.list_neighbours()]
+        if not targets or int(self.now) % CONTACT_ROUNDS == 0:
             contacts = membership.list_contacts()
-            wanted.extend(self._random.sample(contacts, min(1, len(contacts))))
-        return wanted
+            targets.extend(self._random.sample(contacts, min(1, len(contacts))))
+        return targets
 
     def _close(self, pair: frozenset[str]) -> None:
         stream = self.streams.pop(pair)
--- a/bench/message_sizes.py
+++ b/bench/message_sizes.py
@@ -1,4 +1,4 @@
-"""Bytes of the slot messages of one request, encoded as they travel.
+"""Encoded sizes of the slot messages of one request, in bytes.
 
 Run with ``python -m bench.message_sizes``.
 """
@@ -13,13 +13,13 @@
 from guavamast.slots import Ask, Granted, Probe, Release
 
 FRAMING: Final = 5 + 9 + 52
-"""Bytes around a message that travels alone: gRPC prefix, HTTP/2 frame, TCP/IP headers."""
+"""Overhead of a message that is sent alone: gRPC prefix, HTTP/2 frame, TCP/IP headers."""
 ACKNOWLEDGEMENT: Final = 52
-"""Bytes of the TCP segment that acknowledges it, at worst one each."""
+"""Size of the TCP segment that acknowledges it; at worst, there is one per message."""
 
 
-def make_ask() -> Ask:
-    """Return an ask with names of usual length."""
+def build_ask() -> Ask:
+    """Return an ask with names of typical length."""
     return Ask(
         ask_id=uuid.uuid4().hex,
         entry="instance-123",
@@ -36,8 +36,8 @@
 
 
 def run() -> None:
-    """Print the sizes."""
-    ask = make_ask()
+    """Print the size of each message and their sum."""
+    ask = build_ask()
     probe = Probe(
         endpoint=ask.endpoint, in_flight=7, queued=3, estimated_wait_s=0.2, lowest_tier=3, slots=8
     )
@@ -49,11 +49,11 @@
         first_token_s=0.2,
         duration_s=9.0,
     )
-    asked = peer_pb2.EntryMessage(ask=encode_ask(ask, now=100.0))
-    answers = [encode_event(Granted(ask=ask)), encode_probe(probe)]
+    ask_message = peer_pb2.EntryMessage(ask=encode_ask(ask, now=100.0))
+    events = [encode_event(Granted(ask=ask)), encode_probe(probe)]
     batches = {
-        "ask": peer_pb2.EntryBatch(messages=[asked]),
-        "grant with probe": peer_pb2.KeeperBatch(messages=answers),
+        "ask": peer_pb2.EntryBatch(messages=[ask_message]),
+        "grant with probe": peer_pb2.KeeperBatch(messages=events),
         "release": peer_pb2.EntryBatch(messages=[encode_release(release)]),
     }
     total = 0
