--- a/bench/node_cost.py
+++ b/bench/node_cost.py
@@ -1,7 +1,7 @@
-"""What one instance of the relay costs its machine, by the size of the fleet.
+"""Processor time and memory of one instance of the relay by the size of the fleet.
 
-One real process runs against the stand-ins of the platform. The rest of the fleet is pretended: its
-relays send what they would send. Run by ``python -m bench.node_cost``.
+One real process runs against the stand-ins of the platform. The rest of the fleet is simulated: the
+process receives the datagrams that a real fleet sends. Run by ``python -m bench.node_cost``.
 """
 
 from __future__ import annotations
@@ -15,7 +15,7 @@
 from dataclasses import dataclass
 from typing import TYPE_CHECKING, Final
 
-from bench.pretended_fleet import PretendedFleet
+from bench.pretended_fleet import SimulatedFleet
 from bench.tables import print_head, print_row
 from guavamast.platform.demo import ask, wait_ready
 from guavamast.platform.settings import decode_settings
@@ -28,11 +28,11 @@
 
 SIZES: Final = (14, 32, 112, 195, 350)
 ENGINES: Final = 59
-"""Model engines of the site, all of them served by this process."""
+"""Engines of the site, all of them served by this process."""
 SETTLE_S: Final = 3.0
-"""Seconds after the start until an instance has heard the whole fleet."""
+"""Time in which an instance receives the state of the whole fleet."""
 IDLE_S: Final = 8.0
-"""Seconds over which an idle second is measured."""
+"""Time over which the cost of an idle second is averaged."""
 REQUESTS: Final = 200
 FEW_EVENTS: Final = 4
 MANY_EVENTS: Final = 44
@@ -45,16 +45,16 @@
     """Processor time of one instance, in milliseconds, and its memory."""
 
     start_ms: float
-    """From the start of the process until it is ready."""
+    """Total from the start of the process until it is ready."""
     idle_second_ms: float
     lookup_ms: float
-    """One plain request on a connection of its own."""
+    """Cost of one lookup on a connection of its own."""
     stream_ms: float
-    """One stream without its events."""
+    """Cost of one stream without its events."""
     event_ms: float
-    """One event of a stream."""
+    """Cost of one event of a stream."""
     memory_mb: float
-    """Resident at the end, shared pages of libraries included."""
+    """Resident memory at the end, including shared pages of libraries."""
 
 
 def read_processor_ms(pid: int) -> float:
@@ -64,24 +64,24 @@
 
 
 def read_memory_mb(pid: int) -> float:
-    """Return the resident memory of a process."""
+    """Return the resident memory of a process, in megabytes."""
     with open(f"/proc/{pid}/statm", encoding="ascii") as file:
         return int(file.read().split()[1]) * os.sysconf("SC_PAGE_SIZE") / 1e6
 
 
 async def measure(instances: int, *, command: list[str]) -> NodeCost:
-    """Run one instance in a fleet of so many and return what it costs.
+    """Run one instance in a simulated fleet and return its cost.
 
     Args:
-        instances: The fleet, this instance included.
-        command: Runs the instance's process.
+        instances: Size of the fleet, including this instance.
+        command: Command that runs the instance's process.
     """
     site = Site()
     await site.start(pool=ENGINES, portal=6)
     fields = site.make_settings("measured")
     fields["limits"] = {"link_mbps": 20}
     settings = decode_settings(fields, file="measured")
-    fleet = PretendedFleet(site=site, instances=instances, measured=settings)
+    fleet = SimulatedFleet(site=site, instances=instances, measured=settings)
     fleet.register()
     with tempfile.TemporaryDirectory() as directory:
         process = await _start(command, write_settings(fields, directory))
@@ -89,10 +89,10 @@
             assert settings.readiness is not None
             await wait_ready(settings.readiness)
             start_ms = read_processor_ms(process.pid)
-            talking = asyncio.create_task(fleet.run())
+            fleet_task = asyncio.create_task(fleet.run())
             await asyncio.sleep(SETTLE_S)
             cost = await _measure_running(process.pid, site, settings, start_ms=start_ms)
-            talking.cancel()
+            fleet_task.cancel()
         finally:
             process.terminate()
             await process.wait()
@@ -111,16 +111,16 @@
 async def _measure_running(
     pid: int, site: Site, settings: NodeSettings, *, start_ms: float
 ) -> NodeCost:
-    idle = await _count(pid, lambda: asyncio.sleep(IDLE_S))
+    idle = await _measure_processor_ms(pid, lambda: asyncio.sleep(IDLE_S))
     idle_second_ms = idle / IDLE_S
 
-    async def measure_part(make: Callable[[], Awaitable[None]]) -> float:
+    async def measure_above_idle(run: Callable[[], Awaitable[None]]) -> float:
         began = time.monotonic()
-        used = await _count(pid, make)
+        used = await _measure_processor_ms(pid, run)
         return used - idle_second_ms * (time.monotonic() - began)
 
-    lookups = await measure_part(lambda: _ask_all(settings.callers, LOOKUPS, REQUESTS))
-    few, many = [await measure_part(_make_streams(site, settings, n)) for n in (4, 44)]
+    lookups = await measure_above_idle(lambda: _send_requests(settings.callers, LOOKUPS, REQUESTS))
+    few, many = [await measure_above_idle(_build_stream_run(site, settings, n)) for n in (4, 44)]
     event_ms = (many - few) / STREAMS / (MANY_EVENTS - FEW_EVENTS)
     return NodeCost(
         start_ms=start_ms,
@@ -132,37 +132,39 @@
     )
 
 
-def _make_streams(site: Site, settings: NodeSettings, events: int) -> Callable[[], Awaitable[None]]:
+def _build_stream_run(
+    site: Site, settings: NodeSettings, events: int
+) -> Callable[[], Awaitable[None]]:
     async def run() -> None:
         for engine in site.engines.values():
             engine.events = events
-        await _ask_all(settings.callers, RESUMABLE, STREAMS)
+        await _send_requests(settings.callers, RESUMABLE, STREAMS)
 
     return run
 
 
-async def _count(pid: int, make: Callable[[], Awaitable[None]]) -> float:
+async def _measure_processor_ms(pid: int, run: Callable[[], Awaitable[None]]) -> float:
     before = read_processor_ms(pid)
-    await make()
+    await run()
     return read_processor_ms(pid) - before
 
 
-async def _ask_all(address: SocketAddress, prefix: str, number: int) -> None:
-    """Make requests one after the other, each on a connection of its own."""
-    for place in range(number):
-        answer = await ask(address, f"{prefix}{place}", request_id=f"{prefix}{place}")
-        assert answer.startswith("200"), answer
+async def _send_requests(address: SocketAddress, prefix: str, number: int) -> None:
+    """Send requests one after the other, each on a connection of its own."""
+    for index in range(number):
+        response = await ask(address, f"{prefix}{index}", request_id=f"{prefix}{index}")
+        assert response.startswith("200"), response
 
 
-def make_command(*, profile: str | None) -> list[str]:
-    """Return what runs an instance; with a path, it leaves a profile of its functions there."""
+def build_command(*, profile: str | None) -> list[str]:
+    """Return the command that runs an instance, which writes a profile to a given path."""
     if profile is None:
         return [sys.executable, "-m", "guavamast.platform"]
     return [sys.executable, "-m", "cProfile", "-o", profile, "-m", "guavamast.platform"]
 
 
 def main() -> None:
-    """Print a row for each size of the fleet."""
+    """Print a row per fleet size."""
     parser = argparse.ArgumentParser(prog="bench.node_cost", description=__doc__)
     parser.add_argument("--instances", type=int, nargs="*", default=list(SIZES))
     parser.add_argument("--profile", help="where a profile of the last size is written")
@@ -171,7 +173,7 @@
     print("Processor time of one instance, ms\n")
     print_head(head)
     for instances in arguments.instances:
-        cost = asyncio.run(measure(instances, command=make_command(profile=arguments.profile)))
+        cost = asyncio.run(measure(instances, command=build_command(profile=arguments.profile)))
         figures = [cost.start_ms, cost.idle_second_ms, cost.lookup_ms, cost.stream_ms]
         figures += [cost.event_ms, cost.memory_mb]
         print_row([str(instances), *(f"{figure:.3g}" for figure in figures)])
--- a/bench/pretended_fleet.py
+++ b/bench/pretended_fleet.py
@@ -1,4 +1,4 @@
-"""The other instances of a fleet as one of them hears them, without running them."""
+"""Simulated heartbeats of a whole fleet, sent to one real instance."""
 
 from __future__ import annotations
 
@@ -28,20 +28,20 @@
     from guavamast.relay.node_settings import NodeSettings
 
 DOMAINS: Final = 6
-LOADS_EACH: Final = 3
-"""Engines at which an instance has work."""
-SENDS_EACH: Final = 3
-"""Prompts that an instance has sent lately."""
-PROOF_INTERVAL_S: Final = 0.6
-"""Seconds between two reads of the store by its reader."""
-WIDE_MBPS: Final = 200.0
-"""Link of the relays, wider than that of the measured instance."""
+LOADS_PER_INSTANCE: Final = 3
+"""Engines at which each instance has work."""
+SENDS_PER_INSTANCE: Final = 3
+"""Recent prompt sends in each heartbeat."""
+STAMP_INTERVAL_S: Final = 0.6
+"""Interval between two reads of the store by its reader."""
+AGGREGATOR_LINK_MBPS: Final = 200.0
+"""Link of the aggregators, faster than that of the measured instance."""
 
 
-class _Relay:
-    """A relay of the measured instance's domain: the production class, sending to that alone."""
+class _Aggregator:
+    """Production exchange of an aggregator in the measured instance's domain; sends only to it."""
 
-    def __init__(self, *, record: InstanceRecord, fleet: PretendedFleet) -> None:
+    def __init__(self, *, record: InstanceRecord, fleet: SimulatedFleet) -> None:
         self.record = record
         self.peers = Peers(own_name=record.name)
         self.exchange = HeartbeatExchange(
@@ -50,10 +50,10 @@
             topology=HeartbeatTopology(record=record, peers=self.peers),
             aggregates=HeartbeatAggregation(
                 record=record,
-                knowledge=fleet.knowledge,
+                knowledge=fleet.state,
                 read_profiles=lambda: {domain: {"pool": _ESTIMATES} for domain in "abcdef"},
             ),
-            build_heartbeat=lambda: fleet.make_beat(record),
+            build_heartbeat=lambda: fleet.build_heartbeat(record),
             on_heartbeat=lambda _: None,
             on_aggregate=lambda _: None,
             send=fleet.send,
@@ -61,13 +61,13 @@
         )
 
 
-class PretendedFleet:
-    """Tells one instance what a whole fleet would tell it.
+class SimulatedFleet:
+    """Sends one instance the datagrams of a whole fleet.
 
     Args:
-        site: Its store gets the records and is read in the fleet's name.
-        instances: The fleet, the measured instance included.
-        measured: The instance that is told.
+        site: Site whose store holds the fleet's records and provides the versions it publishes.
+        instances: Size of the fleet, including the measured instance.
+        measured: Settings of the instance that receives the datagrams.
     """
 
     def __init__(self, *, site: Site, instances: int, measured: NodeSettings) -> None:
@@ -78,13 +78,11 @@
         self._socket.setblocking(False)
         self._random = Random(instances)
         self._sequence = 0
-        self.knowledge = FleetState(
-            failure_domain="a", peers=Peers(own_name="-"), clock=StoreClock()
-        )
-        """What the relays have heard of the store's tables."""
-        self._records = [self._make_record(number) for number in range(instances - 1)]
-        self._relays = [
-            _Relay(record=one, fleet=self) for one in self._records[:AGGREGATORS_PER_DOMAIN]
+        self.state = FleetState(failure_domain="a", peers=Peers(own_name="-"), clock=StoreClock())
+        """Versions of the store's tables that the aggregators know."""
+        self._records = [self._build_record(number) for number in range(instances - 1)]
+        self._aggregators = [
+            _Aggregator(record=one, fleet=self) for one in self._records[:AGGREGATORS_PER_DOMAIN]
         ]
 
     def register(self) -> None:
@@ -101,26 +99,26 @@
             self._site.store.put("instances", record.name, value)
 
     async def run(self) -> None:
-        """Tell the measured instance of the fleet until cancelled."""
+        """Send the fleet's heartbeats to the measured instance until cancelled."""
         async with asyncio.TaskGroup() as tasks:
-            tasks.create_task(self._tell_proofs())
+            tasks.create_task(self._send_stamps())
             if len(self._records) < FULL_MESH_INSTANCES:
-                tasks.create_task(self._tell_directly())
+                tasks.create_task(self._send_directly())
                 return
-            tasks.create_task(self._feed_relays())
-            for relay in self._relays:
-                tasks.create_task(relay.exchange.run())
+            tasks.create_task(self._update_aggregators())
+            for aggregator in self._aggregators:
+                tasks.create_task(aggregator.exchange.run())
 
     def send(self, data: bytes, target: InstanceRecord) -> None:
         """Send a datagram if it is for the measured instance."""
         if target.name == self._measured.name:
             self._socket.sendto(data, (self._measured.peers.ip, self._measured.peers.port))
 
-    def make_beat(self, record: InstanceRecord) -> Heartbeat:
-        """Return an instance's next beat."""
+    def build_heartbeat(self, record: InstanceRecord) -> Heartbeat:
+        """Return an instance's next heartbeat."""
         self._sequence += 1
-        reading = time.clock_gettime(time.CLOCK_BOOTTIME) - 0.05
-        engines = self._random.sample(sorted(self._site.engines), LOADS_EACH)
+        store_time = time.clock_gettime(time.CLOCK_BOOTTIME) - 0.05
+        engines = self._random.sample(sorted(self._site.engines), LOADS_PER_INSTANCE)
         return Heartbeat(
             record=record,
             incarnation=1,
@@ -128,9 +126,9 @@
             state=InstanceState.SERVING,
             store_reachable=True,
             catalog=FreshnessStamp(
-                version=str(self._site.store.find_version("op", "config")), store_time=reading
+                version=str(self._site.store.find_version("op", "config")), store_time=store_time
             ),
-            endpoints=FreshnessStamp(version=self._compute_digest(), store_time=reading),
+            endpoints=FreshnessStamp(version=self._compute_digest(), store_time=store_time),
             loads={
                 name: Load(requests=2, prefill_tokens=9_500, kv_tokens=14_000) for name in engines
             },
@@ -138,16 +136,16 @@
             profiles={"pool": _ESTIMATES},
             sends=[
                 PromptSend(
-                    number=self._sequence * SENDS_EACH + place,
+                    number=self._sequence * SENDS_PER_INSTANCE + index,
                     endpoint_id=name,
                     part_id=f"{self._random.getrandbits(32):08x}",
                     tokens=6_600,
                 )
-                for place, name in enumerate(engines[:SENDS_EACH])
+                for index, name in enumerate(engines[:SENDS_PER_INSTANCE])
             ],
         )
 
-    def _make_record(self, number: int) -> InstanceRecord:
+    def _build_record(self, number: int) -> InstanceRecord:
         name = f"front-{number:03}"
         return InstanceRecord(
             name=name,
@@ -156,25 +154,25 @@
             region="r",
             callers_address=f"127.0.0.1:{9000 + number}",
             peer_port=int(self._socket.getsockname()[1]),
-            link_mbps=WIDE_MBPS if number < AGGREGATORS_PER_DOMAIN else 20.0,
+            link_mbps=AGGREGATOR_LINK_MBPS if number < AGGREGATORS_PER_DOMAIN else 20.0,
         )
 
     def _compute_digest(self) -> str:
         return compute_digest(self._site.store.list_versions("servers"))
 
-    async def _feed_relays(self) -> None:
-        """Have the relays hear all instances as often as they would."""
+    async def _update_aggregators(self) -> None:
+        """Pass the heartbeats of all instances to the aggregators at the fleet's interval."""
         while True:
             now = read_boot_time()
-            for relay in self._relays:
-                relay.peers.receive(self._make_measured_beat(), now=now)
-                beat = self.make_beat(relay.record)
-                self.knowledge.apply_stamps(catalog=beat.catalog, endpoints=beat.endpoints)
+            for aggregator in self._aggregators:
+                aggregator.peers.receive(self._build_measured_heartbeat(), now=now)
+                heartbeat = self.build_heartbeat(aggregator.record)
+                self.state.apply_stamps(catalog=heartbeat.catalog, endpoints=heartbeat.endpoints)
                 for record in self._records:
-                    relay.peers.receive(self.make_beat(record), now=now)
+                    aggregator.peers.receive(self.build_heartbeat(record), now=now)
             await asyncio.sleep(compute_heartbeat_interval(len(self._records)))
 
-    def _make_measured_beat(self) -> Heartbeat:
+    def _build_measured_heartbeat(self) -> Heartbeat:
         settings = self._measured
         record = InstanceRecord(
             name=settings.name,
@@ -185,23 +183,23 @@
             peer_port=settings.peers.port,
             link_mbps=settings.link_mbps,
         )
-        return self.make_beat(record)
+        return self.build_heartbeat(record)
 
-    async def _tell_directly(self) -> None:
+    async def _send_directly(self) -> None:
         while True:
             for record in self._records:
                 self._socket.sendto(
-                    encode_heartbeat(self.make_beat(record)),
+                    encode_heartbeat(self.build_heartbeat(record)),
                     (self._measured.peers.ip, self._measured.peers.port),
                 )
             await asyncio.sleep(compute_heartbeat_interval(len(self._records)))
 
-    async def _tell_proofs(self) -> None:
-        """Have a relay hear of each read of the two tables and pass it on."""
+    async def _send_stamps(self) -> None:
+        """Pass freshness stamps of the two tables to the aggregators, which forward them."""
         while True:
-            await asyncio.sleep(PROOF_INTERVAL_S / 2)
-            for relay in self._relays:
-                relay.exchange.receive(self.make_beat(self._records[-1]))
+            await asyncio.sleep(STAMP_INTERVAL_S / 2)
+            for aggregator in self._aggregators:
+                aggregator.exchange.receive(self.build_heartbeat(self._records[-1]))
 
 
 _ESTIMATE: Final = Estimate(value=52.5, samples=20)
