--- a/bench/fleet_choice.py
+++ b/bench/fleet_choice.py
@@ -1,8 +1,8 @@
-"""Who should know the work of an engine: ways to place requests, by the size of the fleet.
+"""Comparison of placement policies by the size of the fleet.
 
-Each way decides with the production classes on stand-in engines; what differs is who knows what and
-how late. Hops, lost datagrams and the delay of beats are counted in. Run by
-``python -m bench.fleet_choice``.
+Each policy decides with the production classes on simulated engines. The policies differ in which
+process knows the work of an engine, and with what delay. The simulation includes network hops, lost
+datagrams and the delay of heartbeats. Run by ``python -m bench.fleet_choice``.
 """
 
 from __future__ import annotations
@@ -14,13 +14,13 @@
 from random import Random
 from typing import Final
 
-from bench.fleet_ways import WAYS, Way
+from bench.fleet_ways import POLICIES, FleetPolicy
 from bench.fleet_world import (
     FLEETS,
     SCENARIOS,
     Fleet,
     FleetScenario,
-    FleetWorld,
+    FleetSimulation,
     draw_fleet_requests,
 )
 from bench.relay_choice import is_in_time
@@ -31,48 +31,51 @@
 
 @dataclass(frozen=True, slots=True, kw_only=True)
 class FleetOutcome:
-    """What became of the requests of one run."""
+    """Results of one run."""
 
     in_time: dict[str, float]
-    """Share of each kind."""
-    refused: int
-    """Requests that were refused at last."""
-    refused_wrongly: int
-    """Refusals while an engine could have begun in time."""
-    read_again: int
-    """Tokens of shared parts that some engine had."""
+    """Share of requests in time by kind."""
+    rejected: int
+    """Requests that were rejected again after their retry."""
+    wrongly_rejected: int
+    """Final rejections while an engine could have begun the prefill in time."""
+    repeated_prefill_tokens: int
+    """Prefilled tokens of shared parts that some engine had prefilled before."""
     overruns: int
-    datagrams_a_request: float
-    bytes_a_second: float
-    """Of the datagrams about loads and places, over the fleet."""
-
-
-def play(fleet: Fleet, scenario: FleetScenario, way_name: str, seed: int) -> FleetOutcome:
-    """Play one run."""
-    world = FleetWorld(fleet=fleet, scenario=scenario, seed=seed)
-    way = WAYS[way_name](world)
-    world.requests = draw_fleet_requests(fleet, scenario, Random(seed))
-    for request in world.requests:
-        world.call_at(request.asked, lambda one=request: way.ask(one))
-    world.run()
-    return _sum_up(world, way)
-
-
-def _sum_up(world: FleetWorld, way: Way) -> FleetOutcome:
-    counted = [one for one in world.requests if one.asked >= world.scenario.measured_from_s]
+    """Requests that exceeded the KV cache of their engine."""
+    datagrams_per_request: float
+    bytes_per_second: float
+    """Bytes of load updates, heartbeats and placement queries over the fleet."""
+
+
+def run_once(fleet: Fleet, scenario: FleetScenario, policy_name: str, seed: int) -> FleetOutcome:
+    """Simulate one run."""
+    simulation = FleetSimulation(fleet=fleet, scenario=scenario, seed=seed)
+    policy = POLICIES[policy_name](simulation)
+    simulation.requests = draw_fleet_requests(fleet, scenario, Random(seed))
+    for request in simulation.requests:
+        simulation.call_at(request.arrives_at, lambda one=request: policy.place(one))
+    simulation.run()
+    return _summarize(simulation, policy)
+
+
+def _summarize(simulation: FleetSimulation, policy: FleetPolicy) -> FleetOutcome:
+    counted = [
+        one for one in simulation.requests if one.arrives_at >= simulation.scenario.measured_from_s
+    ]
     in_time = {}
-    for kind in world.fleet.kinds:
-        those = [one for one in counted if one.kind.name == kind.name]
-        in_time[kind.name] = sum(map(is_in_time, those)) / max(1, len(those))
-    engines = world.engines.values()
+    for kind in simulation.fleet.kinds:
+        requests = [one for one in counted if one.kind.name == kind.name]
+        in_time[kind.name] = sum(map(is_in_time, requests)) / max(1, len(requests))
+    engines = simulation.engines.values()
     return FleetOutcome(
         in_time=in_time,
-        refused=sum(one.engine is None for one in counted),
-        refused_wrongly=way.refused_wrongly,
-        read_again=sum(engine.read_again_tokens for engine in engines),
+        rejected=sum(one.engine is None for one in counted),
+        wrongly_rejected=policy.wrongly_rejected,
+        repeated_prefill_tokens=sum(engine.repeated_prefill_tokens for engine in engines),
         overruns=sum(engine.overruns for engine in engines),
-        datagrams_a_request=way.datagrams / max(1, len(world.requests)),
-        bytes_a_second=way.bytes_sent / world.now,
+        datagrams_per_request=policy.datagrams / max(1, len(simulation.requests)),
+        bytes_per_second=policy.bytes_sent / simulation.now,
     )
 
 
@@ -81,7 +84,7 @@
     parser = argparse.ArgumentParser(prog="bench.fleet_choice", description=__doc__)
     parser.add_argument("--fleets", nargs="*", default=[fleet.name for fleet in FLEETS])
     parser.add_argument("--scenarios", nargs="*", default=[one.name for one in SCENARIOS])
-    parser.add_argument("--ways", nargs="*", default=list(WAYS))
+    parser.add_argument("--ways", nargs="*", default=list(POLICIES))
     parser.add_argument("--seeds", type=int, default=2)
     arguments = parser.parse_args()
     scenarios = [one for one in SCENARIOS if one.name in arguments.scenarios]
@@ -93,14 +96,18 @@
 
 
 def _print_fleet(
-    fleet: Fleet, scenarios: list[FleetScenario], ways: list[str], seeds: range
+    fleet: Fleet, scenarios: list[FleetScenario], policies: list[str], seeds: range
 ) -> None:
-    print_head(["scenario", *ways])
+    print_head(["scenario", *policies])
     with ProcessPoolExecutor(PROCESSES) as executor:
-        jobs = {key: executor.submit(play, fleet, *key) for key in product(scenarios, ways, seeds)}
+        jobs = {
+            key: executor.submit(run_once, fleet, *key)
+            for key in product(scenarios, policies, seeds)
+        }
         for scenario in scenarios:
             cells = [
-                _format([jobs[scenario, way, seed].result() for seed in seeds]) for way in ways
+                _format([jobs[scenario, policy, seed].result() for seed in seeds])
+                for policy in policies
             ]
             print_row([scenario.name, *cells])
 
@@ -111,12 +118,14 @@
     shown = "/".join(
         f"{100 * sum(one.in_time[kind] for one in outcomes) / number:.0f}" for kind in kinds
     )
-    refused = sum(one.refused for one in outcomes) / number
-    wrongly = sum(one.refused_wrongly for one in outcomes) / number
-    again = sum(one.read_again for one in outcomes) / number / 1000
+    rejected = sum(one.rejected for one in outcomes) / number
+    wrongly = sum(one.wrongly_rejected for one in outcomes) / number
+    repeated = sum(one.repeated_prefill_tokens for one in outcomes) / number / 1000
     overruns = sum(one.overruns for one in outcomes) / number
-    datagrams = sum(one.datagrams_a_request for one in outcomes) / number
-    return f"{shown}; {refused:.0f}, {wrongly:.0f}; {again:.0f}; {overruns:.0f} ({datagrams:.0f})"
+    datagrams = sum(one.datagrams_per_request for one in outcomes) / number
+    return (
+        f"{shown}; {rejected:.0f}, {wrongly:.0f}; {repeated:.0f}; {overruns:.0f} ({datagrams:.0f})"
+    )
 
 
 if __name__ == "__main__":
--- a/bench/relay_choice.py
+++ b/bench/relay_choice.py
@@ -1,7 +1,7 @@
-"""The relay's choice of an engine against baselines and an oracle, on stand-in engines.
+"""Comparison of the relay's choice of an engine with baselines and an oracle.
 
-The production classes decide, with the clock handed in: choice, cache, lanes, profiles, admission.
-Instances learn of each other's work 25 ms late, as notices tell it. Run by
+The production classes run on simulated engines and a simulated clock: choice, cache, length
+buckets, profiles and admission. Instances receive each other's load updates after 25 ms. Run by
 ``python -m bench.relay_choice``.
 """
 
@@ -10,88 +10,94 @@
 from random import Random
 from typing import TYPE_CHECKING, Final
 
-from bench.relay_engines import ReadingEngine
+from bench.relay_engines import SimulatedEngine
 from bench.relay_policies import POLICIES
-from bench.relay_world import INSTANCES, SCENARIOS, SHAPES, World, draw_requests
+from bench.relay_world import DEPLOYMENTS, INSTANCES, SCENARIOS, Simulation, draw_requests
 
 if TYPE_CHECKING:
     from bench.relay_engines import Request
     from bench.relay_policies import Policy
-    from bench.relay_world import Scenario, Shape
+    from bench.relay_world import Deployment, Scenario
 
 SEEDS: Final = 3
-"""Runs of which each figure is the mean."""
+"""Number of runs per figure; each figure is their mean."""
 
 
-def run_once(shape: Shape, scenario: Scenario, policy_type: type[Policy], seed: int) -> World:
-    """Play one run; the world returned holds engines and requests."""
-    world = World(shape=shape, scenario=scenario, seed=seed)
-    policy = policy_type(world)
-    world.requests = draw_requests(shape, scenario, Random(seed))
-    for request in world.requests:
-        world.call_at(request.asked, lambda one=request: _ask(world, policy, one))
-    world.run()
-    return world
+def run_once(
+    deployment: Deployment, scenario: Scenario, policy_type: type[Policy], seed: int
+) -> Simulation:
+    """Simulate one run; the result holds its engines and requests."""
+    simulation = Simulation(deployment=deployment, scenario=scenario, seed=seed)
+    policy = policy_type(simulation)
+    simulation.requests = draw_requests(deployment, scenario, Random(seed))
+    for request in simulation.requests:
+        simulation.call_at(request.arrives_at, lambda one=request: _place(simulation, policy, one))
+    simulation.run()
+    return simulation
 
 
-def count_in_time(world: World) -> dict[str, float]:
-    """Return the share of requests in time by kind, of those that count in the scenario."""
+def compute_in_time_shares(simulation: Simulation) -> dict[str, float]:
+    """Return the share of requests in time by kind, from the scenario's first measured second."""
     shares = {}
-    for kind in world.shape.kinds:
+    for kind in simulation.deployment.kinds:
         counted = [
             one
-            for one in world.requests
-            if one.kind.name == kind.name and one.asked >= world.scenario.measured_from_s
+            for one in simulation.requests
+            if one.kind.name == kind.name and one.arrives_at >= simulation.scenario.measured_from_s
         ]
         shares[kind.name] = sum(map(is_in_time, counted)) / max(1, len(counted))
     return shares
 
 
 def is_in_time(request: Request) -> bool:
-    """Return whether a request's stream began in time and never paused too long."""
+    """Return whether a request's stream met its objective and its longest allowed pause."""
     engine = request.engine
     if engine is None or request.first_event is None or request.end > engine.lost_at:
         return False
-    if request.first_event - request.asked > request.kind.objective_s:
+    if request.first_event - request.arrives_at > request.kind.objective_s:
         return False
-    return engine.measure_pause(request) <= request.kind.longest_pause_s
+    return engine.compute_longest_pause(request) <= request.kind.longest_pause_s
 
 
-def _ask(world: World, policy: Policy, request: Request) -> None:
+def _place(simulation: Simulation, policy: Policy, request: Request) -> None:
     chosen = policy.choose(request)
-    if isinstance(chosen, ReadingEngine):
-        chosen.serve(request, world.now, world.read_anywhere)
-        policy.note_sent(request, chosen)
-    elif not request.returned:
-        request.returned = True
-        request.instance = world.random.randrange(INSTANCES)
-        world.call_at(world.now + chosen, lambda: _ask(world, policy, request))
+    if isinstance(chosen, SimulatedEngine):
+        chosen.serve(request, simulation.now, simulation.prefilled_parts)
+        policy.record_send(request, chosen)
+    elif not request.retried:
+        request.retried = True
+        request.instance = simulation.random.randrange(INSTANCES)
+        simulation.call_at(simulation.now + chosen, lambda: _place(simulation, policy, request))
 
 
 def report_relay() -> None:
-    """Print the share of requests in time, in percent, for each shape, scenario and policy."""
-    for shape in SHAPES:
-        names = [kind.name for kind in shape.kinds]
-        print(f"### {shape.name}: {' / '.join(names)} in time, %; tokens read again, thousands\n")
+    """Print the share of requests in time, in percent, for each deployment, scenario and policy."""
+    for deployment in DEPLOYMENTS:
+        names = [kind.name for kind in deployment.kinds]
+        print(
+            f"### {deployment.name}: {' / '.join(names)} in time, %; tokens read again, thousands\n"
+        )
         print("| scenario | " + " | ".join(POLICIES) + " |")
         print("|---" * (len(POLICIES) + 1) + "|")
         for scenario in SCENARIOS:
-            cells = [_measure_cell(shape, scenario, one) for one in POLICIES.values()]
+            cells = [_measure_cell(deployment, scenario, one) for one in POLICIES.values()]
             print(f"| {scenario.name} | " + " | ".join(cells) + " |")
         print()
 
 
-def _measure_cell(shape: Shape, scenario: Scenario, policy_type: type[Policy]) -> str:
-    sums = {kind.name: 0.0 for kind in shape.kinds}
-    again = 0
+def _measure_cell(deployment: Deployment, scenario: Scenario, policy_type: type[Policy]) -> str:
+    sums = {kind.name: 0.0 for kind in deployment.kinds}
+    repeated_tokens = 0
     for seed in range(SEEDS):
-        world = run_once(shape, scenario, policy_type, seed)
-        shares = count_in_time(world)
+        simulation = run_once(deployment, scenario, policy_type, seed)
+        shares = compute_in_time_shares(simulation)
         for name, share in shares.items():
             sums[name] += share / SEEDS
-        again += sum(engine.read_again_tokens for engine in world.engines.values())
+        repeated_tokens += sum(
+            engine.repeated_prefill_tokens for engine in simulation.engines.values()
+        )
     shown = "/".join(f"{share * 100:.0f}" for share in sums.values())
-    return f"{shown}; {again / SEEDS / 1000:.0f}"
+    return f"{shown}; {repeated_tokens / SEEDS / 1000:.0f}"
 
 
 if __name__ == "__main__":
--- a/bench/relay_engines.py
+++ b/bench/relay_engines.py
@@ -1,7 +1,7 @@
-"""Stand-in engines for the relay's choice: they answer by arithmetic, without a network.
+"""Simulated engines, which compute the times of their responses without a network.
 
-An engine reads prompts one after the other. While it reads, each event of its running streams takes
-as many pieces of reading as it has tokens.
+An engine prefills one prompt at a time. During a prefill, each event of its running streams is
+delayed by one prefill chunk per token of the event.
 """
 
 from __future__ import annotations
@@ -14,10 +14,10 @@
 if TYPE_CHECKING:
     from guavamast.relay.messages import PromptPart
 
-PIECE_TOKENS: Final = 1_024
-"""Prompt tokens that an engine reads between two tokens of the running requests."""
-JOINED_S: Final = 0.005
-"""Readings that follow one another within this time disturb as one."""
+CHUNK_TOKENS: Final = 1_024
+"""Prompt tokens that an engine prefills between two tokens of the running requests."""
+MERGE_GAP_S: Final = 0.005
+"""Prefills that follow one another within this time delay running streams as one."""
 
 
 @dataclass(frozen=True, slots=True, kw_only=True)
@@ -26,130 +26,131 @@
 
     name: str
     per_s: float
+    """Requests per second."""
     shared_tokens: int
-    """Length of a part that several requests share."""
+    """Length of a prompt part that several requests share."""
     shared_parts: int
-    """How many such parts there are."""
-    own_tokens: float
-    """Mean length of the part that is a request's own."""
+    """Number of different shared parts."""
+    unique_tokens: float
+    """Mean length of the part that is unique to a request."""
     output_tokens: float
-    """Mean length of the answer."""
+    """Mean length of the response."""
     objective_s: float
-    """To the first event."""
+    """Longest allowed time to the first event."""
     longest_pause_s: float
 
 
 @dataclass(slots=True, kw_only=True)
 class Request:
-    """One request and what became of it."""
+    """One request and its result."""
 
     kind: Kind
     parts: tuple[PromptPart, ...]
     prompt_tokens: int
     output_tokens: int
-    asked: float
+    arrives_at: float
     instance: int
-    returned: bool = False
-    sent: float = 0.0
+    retried: bool = False
+    sent_at: float = 0.0
     first_event: float | None = None
     end: float = 0.0
-    engine: ReadingEngine | None = None
+    engine: SimulatedEngine | None = None
 
 
 @dataclass(slots=True, kw_only=True)
-class ReadingEngine:
-    """One engine.
+class SimulatedEngine:
+    """One simulated engine.
 
     Args:
-        name: Its id.
-        slots: Requests that run at the same time.
-        read_tokens_per_ms: Reading speed.
-        token_ms: Time of a token.
-        start_ms: To the first event beside reading.
-        event_tokens: Tokens of an event.
-        memory_tokens: Tokens that its memory holds.
+        name: Endpoint id.
+        slots: Maximum number of running requests.
+        prefill_tokens_per_ms: Prefill speed.
+        token_ms: Time per output token.
+        start_ms: Time to the first event in addition to the prefill.
+        event_tokens: Tokens per event.
+        kv_capacity_tokens: Capacity of the KV cache.
     """
 
     name: str
     slots: int
-    read_tokens_per_ms: float
+    prefill_tokens_per_ms: float
     token_ms: float
     start_ms: float
     event_tokens: int
-    memory_tokens: int
+    kv_capacity_tokens: int
     lost_at: float = float("inf")
-    read_until: float = 0.0
+    prefill_until: float = 0.0
     ends: list[float] = field(default_factory=list)
     """Ends of the running requests, a heap."""
     running: list[tuple[float, int]] = field(default_factory=list)
-    """Ends of the running requests with the tokens that each takes in memory, a heap."""
+    """End and KV cache tokens of each running request, a heap."""
     overruns: int = 0
-    """Requests for which there was no memory when they came."""
-    readings: list[tuple[float, float]] = field(default_factory=list)
-    """Times in which it reads, joined."""
+    """Requests that exceeded the KV cache on arrival."""
+    prefills: list[tuple[float, float]] = field(default_factory=list)
+    """Begin and end of each prefill, merged across short gaps."""
     parts: OrderedDict[str, int] = field(default_factory=OrderedDict)
-    """Shared parts in its memory, the least recently used first."""
-    read_again_tokens: int = 0
+    """Shared parts in the KV cache, the least recently used first."""
+    repeated_prefill_tokens: int = 0
     seen: set[str] = field(default_factory=set)
 
-    def count_unread(self, request: Request) -> int:
-        """Return the prompt tokens that it would have to read."""
+    def count_uncached(self, request: Request) -> int:
+        """Return the prompt tokens of a request that would have to be prefilled."""
         cached = sum(part.tokens for part in request.parts[:-1] if part.part_id in self.parts)
         return request.prompt_tokens - cached
 
-    def find_begin(self, now: float) -> float:
-        """Return when it would begin to read a prompt that comes now."""
+    def compute_prefill_start(self, now: float) -> float:
+        """Return when the prefill of a prompt that arrives now would start."""
         while self.ends and self.ends[0] <= now:
             heapq.heappop(self.ends)
-        begin = max(now, self.read_until)
+        begin = max(now, self.prefill_until)
         over = len(self.ends) - self.slots
         return begin if over < 0 else max(begin, sorted(self.ends)[over])
 
-    def serve(self, request: Request, now: float, read_anywhere: set[str]) -> None:
-        """Take a request; its times stand in it afterwards."""
-        unread = self.count_unread(request)
-        request.sent = now
-        begin = self.find_begin(now)
-        read_end = begin + unread / self.read_tokens_per_ms / 1000.0
-        self._note_reading(begin, read_end)
-        self.read_until = read_end
-        request.first_event = read_end + self.start_ms / 1000.0
+    def serve(self, request: Request, now: float, prefilled_parts: set[str]) -> None:
+        """Serve a request and record its times in it."""
+        uncached = self.count_uncached(request)
+        request.sent_at = now
+        begin = self.compute_prefill_start(now)
+        prefill_end = begin + uncached / self.prefill_tokens_per_ms / 1000.0
+        self._record_prefill(begin, prefill_end)
+        self.prefill_until = prefill_end
+        request.first_event = prefill_end + self.start_ms / 1000.0
         request.end = request.first_event + request.output_tokens * self.token_ms / 1000.0
         request.engine = self
         heapq.heappush(self.ends, request.end)
-        self._take_memory(request, now)
-        self._keep_parts(request, read_anywhere)
+        self._allocate_kv_cache(request, now)
+        self._cache_parts(request, prefilled_parts)
 
-    def _take_memory(self, request: Request, now: float) -> None:
+    def _allocate_kv_cache(self, request: Request, now: float) -> None:
         while self.running and self.running[0][0] <= now:
             heapq.heappop(self.running)
         heapq.heappush(self.running, (request.end, request.prompt_tokens + request.output_tokens))
-        taken = sum(tokens for _, tokens in self.running)
-        self.overruns += taken > self.memory_tokens
+        used = sum(tokens for _, tokens in self.running)
+        self.overruns += used > self.kv_capacity_tokens
 
-    def measure_pause(self, request: Request) -> float:
-        """Return the longest pause of a request that it has served, in seconds."""
-        calm_s = self.event_tokens * self.token_ms / 1000.0
-        piece_s = PIECE_TOKENS / self.read_tokens_per_ms / 1000.0
+    def compute_longest_pause(self, request: Request) -> float:
+        """Return the longest pause of a served request, in seconds."""
+        undisturbed_s = self.event_tokens * self.token_ms / 1000.0
+        chunk_s = CHUNK_TOKENS / self.prefill_tokens_per_ms / 1000.0
         longest_s = 0.0
         assert request.first_event is not None
-        for begin, end in self.readings:
-            together_s = min(end, request.end) - max(begin, request.first_event)
-            longest_s = max(longest_s, together_s)
-        return calm_s + min(longest_s, self.event_tokens * piece_s)
-
-    def _note_reading(self, begin: float, end: float) -> None:
-        if self.readings and begin - self.readings[-1][1] < JOINED_S:
-            self.readings[-1] = (self.readings[-1][0], end)
+        for begin, end in self.prefills:
+            overlap_s = min(end, request.end) - max(begin, request.first_event)
+            longest_s = max(longest_s, overlap_s)
+        return undisturbed_s + min(longest_s, self.event_tokens * chunk_s)
+
+    def _record_prefill(self, begin: float, end: float) -> None:
+        if self.prefills and begin - self.prefills[-1][1] < MERGE_GAP_S:
+            self.prefills[-1] = (self.prefills[-1][0], end)
         else:
-            self.readings.append((begin, end))
+            self.prefills.append((begin, end))
 
-    def _keep_parts(self, request: Request, read_anywhere: set[str]) -> None:
+    def _cache_parts(self, request: Request, prefilled_parts: set[str]) -> None:
         for part in request.parts[:-1]:
-            if part.part_id not in self.parts and part.part_id in read_anywhere:
-                self.read_again_tokens += part.tokens
-            read_anywhere.add(part.part_id)
+            if part.part_id not in self.parts and part.part_id in prefilled_parts:
+                self.repeated_prefill_tokens += part.tokens
+            prefilled_parts.add(part.part_id)
             self.parts[part.part_id] = part.tokens
             self.parts.move_to_end(part.part_id)
-        while sum(self.parts.values()) > self.memory_tokens // 2:
+        while sum(self.parts.values()) > self.kv_capacity_tokens // 2:
             self.parts.popitem(last=False)
--- a/bench/relay_policies.py
+++ b/bench/relay_policies.py
@@ -1,4 +1,4 @@
-"""Policies that the bench compares: baselines, the relay's own classes, and an oracle."""
+"""Placement policies to compare: baselines, the relay's production classes and an oracle."""
 
 from __future__ import annotations
 
@@ -6,7 +6,7 @@
 from dataclasses import replace
 from typing import TYPE_CHECKING, Final
 
-from bench.relay_world import INSTANCES, LENGTH_S
+from bench.relay_world import DURATION_S, INSTANCES
 from guavamast.relay.admission import WaitParameters, admit
 from guavamast.relay.catalog import Route, RouteKind, WeightedService
 from guavamast.relay.endpoint_choice import EndpointChooser
@@ -20,262 +20,285 @@
 from guavamast.rendezvous import compute_weight
 
 if TYPE_CHECKING:
-    from bench.relay_engines import Kind, ReadingEngine, Request
-    from bench.relay_world import World
+    from bench.relay_engines import Kind, Request, SimulatedEngine
+    from bench.relay_world import Simulation
     from guavamast.relay.endpoint_load import Work
 
 SERVICE: Final = "pool"
-TOLD_S: Final = 0.025
-"""After which other instances know of new and of ended work."""
-SHARED_S: Final = 0.5
-"""Between two exchanges of what instances have learnt."""
+UPDATE_DELAY_S: Final = 0.025
+"""Delay until other instances receive an update of started or ended work."""
+EXCHANGE_INTERVAL_S: Final = 0.5
+"""Interval between two exchanges of profiles and demand."""
 
 
 class Policy(ABC):
-    """Decides where requests go."""
+    """Chooses an engine for each request."""
 
-    def __init__(self, world: World) -> None:
-        self.world = world
+    def __init__(self, simulation: Simulation) -> None:
+        self.simulation = simulation
 
     @abstractmethod
-    def choose(self, request: Request) -> ReadingEngine | float:
-        """Return the engine, or the seconds after which to come back."""
+    def choose(self, request: Request) -> SimulatedEngine | float:
+        """Return the engine, or the seconds after which to retry."""
 
-    def note_sent(self, request: Request, engine: ReadingEngine) -> None:
-        """Learn that a request was sent; most policies have nothing to remember."""
+    def record_send(self, request: Request, engine: SimulatedEngine) -> None:
+        """Record that a request was sent; by default, do nothing."""
         del request, engine
 
 
 class RandomChoice(Policy):
-    """Any engine."""
+    """Chooses any engine."""
 
-    def choose(self, request: Request) -> ReadingEngine | float:
+    def choose(self, request: Request) -> SimulatedEngine | float:
         """Return an engine at random."""
         del request
-        return self.world.random.choice(self.world.list_alive())
+        return self.simulation.random.choice(self.simulation.list_alive())
 
 
 class LeastLoaded(Policy):
-    """The engine with the fewest running requests, all of them known at once."""
+    """Chooses the engine with the fewest running requests, which are known without delay."""
 
-    def choose(self, request: Request) -> ReadingEngine | float:
-        """Return the engine that runs the fewest."""
+    def choose(self, request: Request) -> SimulatedEngine | float:
+        """Return the engine with the fewest running requests."""
         del request
-        return min(self.world.list_alive(), key=self._count)
+        return min(self.simulation.list_alive(), key=self._count_running)
 
-    def _count(self, engine: ReadingEngine) -> float:
-        engine.find_begin(self.world.now)
-        return len(engine.ends) + self.world.random.random()
+    def _count_running(self, engine: SimulatedEngine) -> float:
+        engine.compute_prefill_start(self.simulation.now)
+        return len(engine.ends) + self.simulation.random.random()
 
 
 class TwoChoices(LeastLoaded):
-    """The less loaded of two at random."""
+    """Chooses the less loaded of two random engines."""
 
-    def choose(self, request: Request) -> ReadingEngine | float:
-        """Return the one of two that runs fewer."""
+    def choose(self, request: Request) -> SimulatedEngine | float:
+        """Return the one of two engines that runs fewer requests."""
         del request
-        alive = self.world.list_alive()
-        return min(self.world.random.sample(alive, min(2, len(alive))), key=self._count)
+        alive = self.simulation.list_alive()
+        return min(
+            self.simulation.random.sample(alive, min(2, len(alive))), key=self._count_running
+        )
 
 
-class CacheOnly(Policy):
-    """The engine that all would choose for the longest shared part."""
+class CacheAffinity(Policy):
+    """Chooses the affinity endpoint of the longest shared part, whatever its load."""
 
-    def choose(self, request: Request) -> ReadingEngine | float:
-        """Return the part's home."""
+    def choose(self, request: Request) -> SimulatedEngine | float:
+        """Return the shared part's affinity endpoint."""
         key = request.parts[-2].part_id
-        return max(self.world.list_alive(), key=lambda one: compute_weight(key, one.name))
+        return max(self.simulation.list_alive(), key=lambda one: compute_weight(key, one.name))
 
 
 class Oracle(Policy):
-    """The engine where the fewest requests become late, knowing queues, caches and lengths."""
-
-    def choose(self, request: Request) -> ReadingEngine | float:
-        """Return the engine with the least loss."""
-        return min(self.world.list_alive(), key=lambda engine: self._weigh(request, engine))
-
-    def _weigh(self, request: Request, engine: ReadingEngine) -> float:
-        now = self.world.now
-        unread_s = engine.count_unread(request) / engine.read_tokens_per_ms / 1000.0
-        first_s = engine.find_begin(now) - now + unread_s + engine.start_ms / 1000.0
-        late = float(first_s > request.kind.objective_s)
-        delicate = request.kind.longest_pause_s < 0.15
-        if delicate and engine.read_until > now + 0.09:
+    """Minimizes late requests, knowing all queues, caches and lengths."""
+
+    def choose(self, request: Request) -> SimulatedEngine | float:
+        """Return the engine with the lowest cost."""
+        return min(
+            self.simulation.list_alive(), key=lambda engine: self._compute_cost(request, engine)
+        )
+
+    def _compute_cost(self, request: Request, engine: SimulatedEngine) -> float:
+        now = self.simulation.now
+        prefill_s = engine.count_uncached(request) / engine.prefill_tokens_per_ms / 1000.0
+        first_event_s = (
+            engine.compute_prefill_start(now) - now + prefill_s + engine.start_ms / 1000.0
+        )
+        late = float(first_event_s > request.kind.objective_s)
+        pause_sensitive = request.kind.longest_pause_s < 0.15
+        if pause_sensitive and engine.prefill_until > now + 0.09:
             late = 1.0
-        broken = 0.0
-        if not delicate and unread_s > 0.09:
-            broken = 0.5 * len(engine.ends) * self._has_questions()
-        return late + broken + 0.3 * unread_s + 0.1 * first_s
+        delayed = 0.0
+        if not pause_sensitive and prefill_s > 0.09:
+            delayed = 0.5 * len(engine.ends) * self._has_pause_sensitive_kinds()
+        return late + delayed + 0.3 * prefill_s + 0.1 * first_event_s
 
-    def _has_questions(self) -> bool:
-        return any(kind.longest_pause_s < 0.15 for kind in self.world.shape.kinds)
+    def _has_pause_sensitive_kinds(self) -> bool:
+        return any(kind.longest_pause_s < 0.15 for kind in self.simulation.deployment.kinds)
 
 
 class _Instance:
     """The decision objects of one instance."""
 
-    def __init__(self, *, number: int, world: World) -> None:
+    def __init__(self, *, number: int, simulation: Simulation) -> None:
         self.name = f"i{number}"
-        self.cut_off = number < world.scenario.cut_off_share * INSTANCES
+        self.isolated = number < simulation.scenario.isolated_share * INSTANCES
         self.loads = EndpointLoads()
         self.cache = PromptCache()
         self.demand = PromptDemand()
         self.profiles = EngineProfiles()
-        self.chooser = EndpointChooser(loads=self.loads, cache=self.cache, random=world.random)
+        self.chooser = EndpointChooser(loads=self.loads, cache=self.cache, random=simulation.random)
 
 
 class Relay(Policy):
-    """The production classes."""
-
-    learns = True
-
-    def __init__(self, world: World) -> None:
-        super().__init__(world)
-        self._start()
-        if world.scenario.restarted_at_s < LENGTH_S:
-            world.call_at(world.scenario.restarted_at_s, self._start)
-        for step in range(1, int(LENGTH_S / SHARED_S)):
-            world.call_at(step * SHARED_S, self._share)
-
-    def _start(self) -> None:
-        self._instances = [_Instance(number=one, world=self.world) for one in range(INSTANCES)]
-
-    def choose(self, request: Request) -> ReadingEngine | float:
-        """Return what the request's instance decides by what it knows."""
-        now = self.world.now
-        one = self._instances[request.instance]
-        profile = one.profiles.find(SERVICE, now=now) if self.learns else PRIOR
-        placement = self._describe(request, one, profile)
-        alive = {engine.name: engine for engine in self.world.list_alive()}
-        records = [make_record(engine) for engine in alive.values()]
-        choice = one.chooser.choose(placement, records, exclude=frozenset(), now=now)
+    """Chooses by the production classes."""
+
+    uses_learnt_profiles = True
+
+    def __init__(self, simulation: Simulation) -> None:
+        super().__init__(simulation)
+        self._restart()
+        if simulation.scenario.restarted_at_s < DURATION_S:
+            simulation.call_at(simulation.scenario.restarted_at_s, self._restart)
+        for step in range(1, int(DURATION_S / EXCHANGE_INTERVAL_S)):
+            simulation.call_at(step * EXCHANGE_INTERVAL_S, self._exchange_estimates)
+
+    def _restart(self) -> None:
+        self._instances = [
+            _Instance(number=one, simulation=self.simulation) for one in range(INSTANCES)
+        ]
+
+    def choose(self, request: Request) -> SimulatedEngine | float:
+        """Return the decision of the request's instance by its own state."""
+        now = self.simulation.now
+        instance = self._instances[request.instance]
+        profile = instance.profiles.find(SERVICE, now=now) if self.uses_learnt_profiles else PRIOR
+        placement = self._build_placement(request, instance, profile)
+        alive = {engine.name: engine for engine in self.simulation.list_alive()}
+        records = [build_record(engine) for engine in alive.values()]
+        choice = instance.chooser.choose(placement, records, exclude=frozenset(), now=now)
         assert choice is not None and choice.forecast is not None
-        terms = WaitParameters(
-            objective_s=request.kind.objective_s, latency_tolerant=self._is_patient(request)
+        parameters = WaitParameters(
+            objective_s=request.kind.objective_s,
+            latency_tolerant=self._is_latency_tolerant(request),
         )
-        refusal = admit(choice.forecast, terms, random=self.world.random)
-        if refusal is not None:
-            return refusal.retry_after_s
+        rejection = admit(choice.forecast, parameters, random=self.simulation.random)
+        if rejection is not None:
+            return rejection.retry_after_s
         return alive[choice.record.endpoint_id]
 
-    def note_sent(self, request: Request, engine: ReadingEngine) -> None:
-        """Count the request at its instance, and have it learn as the events come."""
-        one = self._instances[request.instance]
-        now = self.world.now
-        unread = request.prompt_tokens - one.cache.count_cached(
-            engine.name, request.parts[:-1], kv_capacity_tokens=engine.memory_tokens
+    def record_send(self, request: Request, engine: SimulatedEngine) -> None:
+        """Record the request at its instance, and schedule the records of its events."""
+        instance = self._instances[request.instance]
+        now = self.simulation.now
+        uncached_tokens = request.prompt_tokens - instance.cache.count_cached(
+            engine.name, request.parts[:-1], kv_capacity_tokens=engine.kv_capacity_tokens
         )
-        one.cache.record(engine.name, request.parts[-2].part_id, unread, now=now)
-        work = one.loads.begin(
+        instance.cache.record(engine.name, request.parts[-2].part_id, uncached_tokens, now=now)
+        work = instance.loads.begin(
             engine.name,
-            prefill_tokens=unread,
+            prefill_tokens=uncached_tokens,
             kv_tokens=request.prompt_tokens + request.output_tokens,
-            pause_sensitive=is_delicate_kind(request.kind, one.profiles.find(SERVICE, now=now)),
+            pause_sensitive=is_pause_sensitive_kind(
+                request.kind, instance.profiles.find(SERVICE, now=now)
+            ),
         )
-        known = one.loads.sum_up(engine.name).prefill_tokens
-        self._tell(one, engine)
+        prefill_tokens = instance.loads.sum_up(engine.name).prefill_tokens
+        self._publish_load(instance, engine)
         assert request.first_event is not None
         took_ms = (request.first_event - now) * 1000.0
-        self.world.call_at(
+        self.simulation.call_at(
             request.first_event,
-            lambda: self._begin_stream(one, engine, work, known=known, took_ms=took_ms),
+            lambda: self._record_first_event(
+                instance, engine, work, prefill_tokens=prefill_tokens, took_ms=took_ms
+            ),
+        )
+        self.simulation.call_at(
+            request.end, lambda: self._record_end(instance, engine, work, request)
         )
-        self.world.call_at(request.end, lambda: self._end_stream(one, engine, work, request))
 
-    def _begin_stream(
-        self, one: _Instance, engine: ReadingEngine, work: Work, *, known: int, took_ms: float
+    def _record_first_event(
+        self,
+        instance: _Instance,
+        engine: SimulatedEngine,
+        work: Work,
+        *,
+        prefill_tokens: int,
+        took_ms: float,
     ) -> None:
         work.finish_prefill()
-        one.profiles.record_first_event(
-            SERVICE, uncached_tokens=known, took_ms=took_ms, now=self.world.now
+        instance.profiles.record_first_event(
+            SERVICE, uncached_tokens=prefill_tokens, took_ms=took_ms, now=self.simulation.now
         )
-        self._tell(one, engine)
+        self._publish_load(instance, engine)
 
-    def _end_stream(
-        self, one: _Instance, engine: ReadingEngine, work: Work, request: Request
+    def _record_end(
+        self, instance: _Instance, engine: SimulatedEngine, work: Work, request: Request
     ) -> None:
         work.end()
         assert request.first_event is not None
         run_ms = (request.end - request.first_event) * 1000.0
-        one.profiles.record_run(
-            SERVICE, output_tokens=request.output_tokens, run_ms=run_ms, now=self.world.now
+        instance.profiles.record_run(
+            SERVICE, output_tokens=request.output_tokens, run_ms=run_ms, now=self.simulation.now
         )
-        one.profiles.record_pause(
+        instance.profiles.record_pause(
             SERVICE,
-            uncached_tokens=one.loads.sum_up(engine.name).prefill_tokens,
-            pause_ms=engine.measure_pause(request) * 1000.0,
-            now=self.world.now,
+            uncached_tokens=instance.loads.sum_up(engine.name).prefill_tokens,
+            pause_ms=engine.compute_longest_pause(request) * 1000.0,
+            now=self.simulation.now,
         )
-        self._tell(one, engine)
-
-    def _describe(self, request: Request, one: _Instance, profile: EngineProfile) -> Placement:
-        kinds = self.world.shape.kinds
-        delicate = is_delicate_kind(request.kind, profile)
-        lane = find_bucket(
+        self._publish_load(instance, engine)
+
+    def _build_placement(
+        self, request: Request, instance: _Instance, profile: EngineProfile
+    ) -> Placement:
+        kinds = self.simulation.deployment.kinds
+        pause_sensitive = is_pause_sensitive_kind(request.kind, profile)
+        bucket = find_bucket(
             request.prompt_tokens,
             objective_s=request.kind.objective_s,
             shortest_s=min(kind.objective_s for kind in kinds),
             profile=profile,
         )
-        lane = 0 if delicate else lane
-        one.demand.record(
-            lane,
+        bucket = 0 if pause_sensitive else bucket
+        instance.demand.record(
+            bucket,
             prompt_tokens=request.prompt_tokens,
             output_tokens=request.output_tokens,
             profile=profile,
-            now=self.world.now,
+            now=self.simulation.now,
         )
         return Placement(
             prompt_parts=request.parts,
             prompt_tokens=request.prompt_tokens,
             failure_domain="a",
-            bucket=lane,
-            bucket_shares=one.demand.compute_shares(),
+            bucket=bucket,
+            bucket_shares=instance.demand.compute_shares(),
             output_tokens=request.output_tokens,
-            kv_capacity_tokens=next(iter(self.world.engines.values())).memory_tokens,
+            kv_capacity_tokens=next(iter(self.simulation.engines.values())).kv_capacity_tokens,
             profile=profile,
             objective_s=request.kind.objective_s,
-            pause_sensitive=delicate,
+            pause_sensitive=pause_sensitive,
             shortest_pause_s=min(kind.longest_pause_s for kind in kinds),
         )
 
-    def _is_patient(self, request: Request) -> bool:
-        shortest_s = min(kind.objective_s for kind in self.world.shape.kinds)
+    def _is_latency_tolerant(self, request: Request) -> bool:
+        shortest_s = min(kind.objective_s for kind in self.simulation.deployment.kinds)
         return is_latency_tolerant(request.kind.objective_s, shortest_s=shortest_s)
 
-    def _tell(self, one: _Instance, engine: ReadingEngine) -> None:
-        load = one.loads.list_own().get(engine.name, Load())
-        told = {engine.name: replace(load)}
-        sends = one.cache.list_recent(now=self.world.now, interval_s=TOLD_S)
+    def _publish_load(self, instance: _Instance, engine: SimulatedEngine) -> None:
+        load = instance.loads.list_own().get(engine.name, Load())
+        update = {engine.name: replace(load)}
+        sends = instance.cache.list_recent(now=self.simulation.now, interval_s=UPDATE_DELAY_S)
 
-        def hear() -> None:
-            for other in self._list_heard_by(one):
-                other.loads.update_peer(one.name, told)
-                other.cache.apply_peer_sends(one.name, 1, sends)
+        def apply_update() -> None:
+            for other in self._list_receivers(instance):
+                other.loads.update_peer(instance.name, update)
+                other.cache.apply_peer_sends(instance.name, 1, sends)
 
-        self.world.call_at(self.world.now + TOLD_S, hear)
+        self.simulation.call_at(self.simulation.now + UPDATE_DELAY_S, apply_update)
 
-    def _share(self) -> None:
-        now = self.world.now
-        for one in self._instances:
-            for other in self._list_heard_by(one):
-                other.profiles.replace_peer(one.name, one.profiles.list_own(now=now))
-                other.demand.replace_peer(one.name, one.demand.read_own(now=now))
+    def _exchange_estimates(self) -> None:
+        now = self.simulation.now
+        for instance in self._instances:
+            for other in self._list_receivers(instance):
+                other.profiles.replace_peer(instance.name, instance.profiles.list_own(now=now))
+                other.demand.replace_peer(instance.name, instance.demand.read_own(now=now))
 
-    def _list_heard_by(self, one: _Instance) -> list[_Instance]:
-        if one.cut_off:
+    def _list_receivers(self, instance: _Instance) -> list[_Instance]:
+        if instance.isolated:
             return []
-        return [other for other in self._instances if other is not one and not other.cut_off]
+        return [other for other in self._instances if other is not instance and not other.isolated]
 
 
 class PriorRelay(Relay):
-    """The production classes with the prior in place of what is learnt."""
+    """Chooses by the production classes, with the prior instead of the learnt profile."""
 
-    learns = False
+    uses_learnt_profiles = False
 
 
-def make_record(engine: ReadingEngine) -> EndpointRecord:
-    """Return an engine as the store lists it."""
+def build_record(engine: SimulatedEngine) -> EndpointRecord:
+    """Return the endpoint record of an engine."""
     return EndpointRecord(
         endpoint_id=engine.name,
         row_version=1,
@@ -289,8 +312,8 @@
     )
 
 
-def is_delicate_kind(kind: Kind, profile: EngineProfile) -> bool:
-    """Return whether streams of a kind are late if long prompts are read beside them."""
+def is_pause_sensitive_kind(kind: Kind, profile: EngineProfile) -> bool:
+    """Return whether concurrent prefills of long prompts make streams of a kind late."""
     route = Route(
         name=kind.name,
         host="-",
@@ -312,7 +335,7 @@
     "random": RandomChoice,
     "least loaded": LeastLoaded,
     "two choices": TwoChoices,
-    "cache only": CacheOnly,
+    "cache only": CacheAffinity,
     "relay, prior": PriorRelay,
     "relay": Relay,
     "oracle": Oracle,
