--- a/bench/decision_cost.py
+++ b/bench/decision_cost.py
@@ -10,7 +10,7 @@
 
 from guavamast.keepers import EndpointKeeper
 from guavamast.slots import Ask, Granted, Paused, Release
-from guavamast.world import Configuration, Endpoint, EndpointKind, ServiceClass
+from guavamast.fleet_objects import Configuration, Endpoint, EndpointKind, ServiceClass
 
 if TYPE_CHECKING:
     from collections.abc import Callable
@@ -82,7 +82,7 @@
 
     def measure(self, rounds: int) -> list[Cost]:
         """Return the cost of asks, releases, wake-up times and ticks."""
-        while self._keeper.make_probe(now=self._now).queued < self.queue_length:
+        while self._keeper.build_probe(now=self._now).queued < self.queue_length:
             self._apply_events(self._keeper.ask(self._build_ask(), now=self._now))
         samples: dict[str, list[float]] = {"ask": [], "release": [], "next_wakeup": [], "tick": []}
         for _ in range(rounds):
--- a/bench/exchange_loop.py
+++ b/bench/exchange_loop.py
@@ -13,7 +13,7 @@
 from guavamast.heartbeat_exchange import ExchangeState, HeartbeatExchange
 from guavamast.members import MemberState
 from guavamast.membership import Membership, MembershipTiming
-from guavamast.world import FailureDomain, Instance
+from guavamast.fleet_objects import FailureDomain, Instance
 
 if TYPE_CHECKING:
     from collections.abc import Callable, Iterable
@@ -137,9 +137,9 @@
                 node = self.nodes[name]
                 if not node.running:
                     continue
-                if urgent and not node.exchange.has_news(state, now=self.now):
+                if urgent and not node.exchange.has_updates(state, now=self.now):
                     continue
-                message = node.exchange.make_message(state, now=self.now)
+                message = node.exchange.build_message(state, now=self.now)
                 self.bytes_sent += message.ByteSize()
                 self.messages_sent += 1
                 stream.waiting.setdefault(stream.get_other(name), []).append(message)
@@ -153,7 +153,7 @@
         running = self.list_running()
         expected = [(n, self.nodes[n].membership.me.incarnation) for n in sorted(running)]
         for name in running:
-            view = self.nodes[name].membership.make_view(now=self.now)
+            view = self.nodes[name].membership.create_view(now=self.now)
             seen = [
                 (member.instance.name, member.incarnation)
                 for member in view.members
@@ -169,7 +169,7 @@
             if not node.running:
                 continue
             for message in messages:
-                node.exchange.take_message(message, stream.states[name], now=self.now)
+                node.exchange.apply_message(message, stream.states[name], now=self.now)
             messages.clear()
 
     def _update_streams(self) -> None:
@@ -178,7 +178,7 @@
             for other in self._list_targets(name):
                 pair = frozenset((name, other))
                 if other not in self.nodes:
-                    self.nodes[name].membership.report_lost(other, now=self.now)
+                    self.nodes[name].membership.report_connection_refused(other, now=self.now)
                 elif other != name and not self.is_cut(name, other):
                     target_pairs.add(pair)
         for pair in list(self.streams):
@@ -193,7 +193,7 @@
         membership = self.nodes[name].membership
         targets = [member.instance.name for member in membership.list_neighbours()]
         if not targets or int(self.now) % CONTACT_ROUNDS == 0:
-            contacts = membership.list_contacts()
+            contacts = membership.list_reconnect_addresses()
             targets.extend(self._random.sample(contacts, min(1, len(contacts))))
         return targets
 
--- a/bench/node_cost.py
+++ b/bench/node_cost.py
@@ -17,9 +17,9 @@
 
 from bench.pretended_fleet import SimulatedFleet
 from bench.tables import print_head, print_row
-from guavamast.platform.demo import ask, wait_ready
+from guavamast.platform.demo import send_request, wait_ready
 from guavamast.platform.settings import decode_settings
-from guavamast.platform.standins.site import LOOKUPS, RESUMABLE, Site, write_settings
+from guavamast.platform.standins.site import LOOKUP_PREFIX, RESUMABLE_PREFIX, Site, write_settings
 
 if TYPE_CHECKING:
     from collections.abc import Awaitable, Callable
@@ -78,7 +78,7 @@
     """
     site = Site()
     await site.start(pool=ENGINES, portal=6)
-    fields = site.make_settings("measured")
+    fields = site.build_settings("measured")
     fields["limits"] = {"link_mbps": 20}
     settings = decode_settings(fields, file="measured")
     fleet = SimulatedFleet(site=site, instances=instances, measured=settings)
@@ -119,7 +119,9 @@
         used = await _measure_processor_ms(pid, run)
         return used - idle_second_ms * (time.monotonic() - began)
 
-    lookups = await measure_above_idle(lambda: _send_requests(settings.callers, LOOKUPS, REQUESTS))
+    lookups = await measure_above_idle(
+        lambda: _send_requests(settings.callers, LOOKUP_PREFIX, REQUESTS)
+    )
     few, many = [await measure_above_idle(_build_stream_run(site, settings, n)) for n in (4, 44)]
     event_ms = (many - few) / STREAMS / (MANY_EVENTS - FEW_EVENTS)
     return NodeCost(
@@ -138,7 +140,7 @@
     async def run() -> None:
         for engine in site.engines.values():
             engine.events = events
-        await _send_requests(settings.callers, RESUMABLE, STREAMS)
+        await _send_requests(settings.callers, RESUMABLE_PREFIX, STREAMS)
 
     return run
 
@@ -152,7 +154,7 @@
 async def _send_requests(address: SocketAddress, prefix: str, number: int) -> None:
     """Send requests one after the other, each on a connection of its own."""
     for index in range(number):
-        response = await ask(address, f"{prefix}{index}", request_id=f"{prefix}{index}")
+        response = await send_request(address, f"{prefix}{index}", request_id=f"{prefix}{index}")
         assert response.startswith("200"), response
 
 
