--- a/bench/decision_cost.py
+++ b/bench/decision_cost.py
@@ -11,7 +11,6 @@
 from guavamast.fleet_objects import Configuration, Endpoint, EndpointKind, ServiceClass
 from guavamast.keepers import EndpointKeeper
 from guavamast.slots import Ask, Granted, Paused, Release
-from guavamast.fleet_objects import Configuration, Endpoint, EndpointKind, ServiceClass
 
 if TYPE_CHECKING:
     from collections.abc import Callable
--- a/bench/exchange_loop.py
+++ b/bench/exchange_loop.py
@@ -14,7 +14,6 @@
 from guavamast.heartbeat_exchange import ExchangeState, HeartbeatExchange
 from guavamast.members import MemberState
 from guavamast.membership import Membership, MembershipTiming
-from guavamast.fleet_objects import FailureDomain, Instance
 
 if TYPE_CHECKING:
     from collections.abc import Callable, Iterable
