--- a/bench/address_shares.py
+++ b/bench/address_shares.py
@@ -12,7 +12,7 @@
 from statistics import fmean, pstdev
 from typing import TYPE_CHECKING, Final
 
-from bench.exchange_loop import make_instance
+from bench.exchange_loop import build_instance
 from guavamast import addresses
 from guavamast.addresses import choose_addresses
 from guavamast.members import Member, MembershipView, MemberState
@@ -119,7 +119,7 @@
 
 def _build_member(name: str) -> Member:
     return Member(
-        instance=make_instance(name),
+        instance=build_instance(name),
         incarnation=1,
         state=MemberState.LIVE,
         heartbeat=1,
--- a/bench/baselines.py
+++ b/bench/baselines.py
@@ -100,7 +100,7 @@
             ended = True
             delivered = skip
             if not whole:
-                done = engine.compute_done(run) if run.started_at else 0.0
+                done = engine.count_computed(run) if run.started_at else 0.0
                 delivered = skip + max(0, int(done - run.prefill))
                 self.wasted["failed"] += min(done, run.prefill)
             self.events.call_later(self.draw_link_s(), lambda: on_end(whole, delivered))
@@ -118,7 +118,7 @@
             on_first=record_first_token,
             on_end=end,
             skip_tokens=skip,
-            imports=imports,
+            imports_kv_cache=imports,
         )
         self.events.call_later(self.draw_link_s(), lambda: engine.start(run))
         self.events.call_at(request.deadline, expire)
--- a/bench/engine.py
+++ b/bench/engine.py
@@ -54,7 +54,7 @@
     """Called with whether the response is complete."""
     skip_tokens: int = 0
     """Tokens that an earlier attempt has already delivered."""
-    imports: bool = False
+    imports_kv_cache: bool = False
     """Whether the KV cache of a paused attempt is imported instead of a prefill."""
     started_at: float = 0.0
     start_progress: float = 0.0
@@ -121,14 +121,14 @@
         if run not in self.running:
             return 0.0
         self._advance()
-        computed = self.compute_done(run)
+        computed = self.count_computed(run)
         del self.running[run]
         run.ended = True
         self._start_waiting()
         self._schedule_next()
         return computed
 
-    def compute_done(self, run: Run) -> float:
+    def count_computed(self, run: Run) -> float:
         """Return the tokens computed for a running request so far."""
         self._advance()
         return max(0.0, self._progress - run.start_progress)
@@ -150,7 +150,7 @@
         """Accept requests again after a crash."""
         self.crashed = False
 
-    def straggle(self, factor: float) -> None:
+    def set_slowdown(self, factor: float) -> None:
         """Set the factor on the time per token; 1 is full speed."""
         self._advance()
         self.factor = factor
@@ -173,7 +173,7 @@
 
     def _begin(self, run: Run) -> None:
         self._advance()
-        run.prefill, tokens = self._estimate_work(run.request, imports=run.imports)
+        run.prefill, tokens = self._estimate_work(run.request, imports=run.imports_kv_cache)
         run.started_at = self._events.now
         run.start_progress = self._progress
         if run.request.prefix_key:
--- a/bench/exchange_loop.py
+++ b/bench/exchange_loop.py
@@ -24,7 +24,7 @@
 """Rounds between two attempts of one instance to connect to a seed or a gone instance."""
 
 
-def make_instance(name: str, *, region: str = "sierra", domain: str = "a") -> Instance:
+def build_instance(name: str, *, region: str = "sierra", domain: str = "a") -> Instance:
     """Return an instance whose addresses are derived from its name."""
     return Instance(
         name=name,
@@ -77,7 +77,7 @@
         self.messages_sent = 0
         self.nodes: dict[str, Node] = {}
         self.streams: dict[frozenset[str], Stream] = {}
-        self.is_cut: Callable[[str, str], bool] = lambda _first, _second: False
+        self.is_partitioned: Callable[[str, str], bool] = lambda _first, _second: False
         self._random = Random(seed)
         self._timing = timing or MembershipTiming()
         self._instances = {instance.name: instance for instance in instances}
@@ -148,7 +148,7 @@
             self._deliver(stream)
         return sent
 
-    def agrees(self) -> bool:
+    def has_converged(self) -> bool:
         """Return whether all running instances list exactly the running instances."""
         running = self.list_running()
         expected = [(n, self.nodes[n].membership.me.incarnation) for n in sorted(running)]
@@ -179,11 +179,11 @@
                 pair = frozenset((name, other))
                 if other not in self.nodes:
                     self.nodes[name].membership.report_connection_refused(other, now=self.now)
-                elif other != name and not self.is_cut(name, other):
+                elif other != name and not self.is_partitioned(name, other):
                     target_pairs.add(pair)
         for pair in list(self.streams):
             stopped = [name for name in pair if not self.nodes[name].running]
-            if self.is_cut(*pair) or (pair not in target_pairs and not stopped):
+            if self.is_partitioned(*pair) or (pair not in target_pairs and not stopped):
                 self._close(pair)
         for pair in target_pairs - set(self.streams):
             if all(self.nodes[name].running for name in pair):
--- a/bench/fleet_choice.py
+++ b/bench/fleet_choice.py
@@ -14,8 +14,8 @@
 from random import Random
 from typing import Final
 
-from bench.fleet_ways import POLICIES, FleetPolicy
-from bench.fleet_world import (
+from bench.fleet_policies import POLICIES, FleetPolicy
+from bench.fleet_simulation import (
     FLEETS,
     SCENARIOS,
     Fleet,
--- a/bench/fleet_ways.py
+++ b/bench/fleet_policies.py
@@ -9,7 +9,7 @@
 from dataclasses import dataclass, replace
 from typing import TYPE_CHECKING, Final
 
-from bench.fleet_world import DURATION_S
+from bench.fleet_simulation import DURATION_S
 from bench.relay_policies import SERVICE, build_record, is_pause_sensitive_kind
 from guavamast.relay.admission import WaitParameters
 from guavamast.relay.admission_control import AdmissionControl
@@ -23,7 +23,7 @@
 from guavamast.rendezvous import compute_weight
 
 if TYPE_CHECKING:
-    from bench.fleet_world import FleetSimulation
+    from bench.fleet_simulation import FleetSimulation
     from bench.relay_engines import Request, SimulatedEngine
     from guavamast.relay.admission import Rejection
     from guavamast.relay.endpoint_choice import Choice
--- a/bench/membership_rounds.py
+++ b/bench/membership_rounds.py
@@ -13,7 +13,7 @@
 from statistics import fmean
 from typing import TYPE_CHECKING, Final
 
-from bench.exchange_loop import ExchangeLoop, make_instance
+from bench.exchange_loop import ExchangeLoop, build_instance
 from guavamast.configuration_spread import Source
 from guavamast.members import Member, MemberState
 from guavamast.membership import Membership, MembershipTiming
@@ -36,13 +36,13 @@
     """Return instances in three regions and seven failure domains that agree on their members."""
     loop = ExchangeLoop(
         instances=[
-            make_instance(f"i{n:03}", region=f"region{n % 7 % 3}", domain=f"d{n % 7}")
+            build_instance(f"i{n:03}", region=f"region{n % 7 % 3}", domain=f"d{n % 7}")
             for n in range(count)
         ]
     )
     for node in loop.nodes.values():
         node.spread.record_head(0, now=0.0)
-    while not loop.agrees():
+    while not loop.has_converged():
         loop.run_round()
     for _ in range(3):
         loop.run_round()
@@ -105,17 +105,17 @@
     for name in paused:
         loop.nodes[name].running = True
     _print_convergence("and running again", loop, lambda: None)
-    loop.is_cut = lambda a, b: (int(a[1:]) % 7 % 3 == 0) != (int(b[1:]) % 7 % 3 == 0)
+    loop.is_partitioned = lambda a, b: (int(a[1:]) % 7 % 3 == 0) != (int(b[1:]) % 7 % 3 == 0)
     for _ in range(30):
         loop.run_round()
-    loop.is_cut = lambda _a, _b: False
+    loop.is_partitioned = lambda _a, _b: False
     _print_convergence("a region cut off for 30 rounds and back", loop, lambda: None)
 
 
 def _print_convergence(label: str, loop: ExchangeLoop, inject_fault: object) -> None:
     inject_fault()
     sent, rounds, peak = loop.bytes_sent, 0, 0
-    while not loop.agrees() and rounds < 200:
+    while not loop.has_converged() and rounds < 200:
         before = loop.bytes_sent
         loop.run_round()
         peak = max(peak, loop.bytes_sent - before)
@@ -159,9 +159,9 @@
     """Print the false suspicions of an instance that stalls, and the time to detect a failure."""
     random = Random(1)
     timing = MembershipTiming(suspect_after_s=suspect_after_s)
-    observer = Membership(me=make_instance("a"), incarnation=1, now=0.0, timing=timing)
+    observer = Membership(me=build_instance("a"), incarnation=1, now=0.0, timing=timing)
     latest = Member(
-        instance=make_instance("b"),
+        instance=build_instance("b"),
         incarnation=1,
         state=MemberState.LIVE,
         heartbeat=0,
@@ -202,11 +202,11 @@
 
 
 def _detection_s(timing: MembershipTiming) -> int:
-    observer = Membership(me=make_instance("a"), incarnation=1, now=0.0, timing=timing)
+    observer = Membership(me=build_instance("a"), incarnation=1, now=0.0, timing=timing)
     observer.merge(
         [
             Member(
-                instance=make_instance("b"),
+                instance=build_instance("b"),
                 incarnation=1,
                 state=MemberState.LIVE,
                 heartbeat=1,
--- a/bench/node_cost.py
+++ b/bench/node_cost.py
@@ -15,7 +15,7 @@
 from dataclasses import dataclass
 from typing import TYPE_CHECKING, Final
 
-from bench.pretended_fleet import SimulatedFleet
+from bench.simulated_fleet import SimulatedFleet
 from bench.tables import print_head, print_row
 from guavamast.platform.demo import send_request, wait_ready
 from guavamast.platform.settings import decode_settings
--- a/bench/policies.py
+++ b/bench/policies.py
@@ -106,7 +106,7 @@
             for run in list(engine.running):
                 state = self._states.get(str(run.request.number))
                 if state is not None and state.held_ask_id and state.run is run:
-                    done = max(0, int(engine.compute_done(run) - run.prefill)) + run.skip_tokens
+                    done = max(0, int(engine.count_computed(run) - run.prefill)) + run.skip_tokens
                     self._keepers[engine.name].record_progress(
                         state.held_ask_id, done, now=self.events.now
                     )
--- a/bench/relay_choice.py
+++ b/bench/relay_choice.py
@@ -12,12 +12,12 @@
 
 from bench.relay_engines import SimulatedEngine
 from bench.relay_policies import POLICIES
-from bench.relay_world import DEPLOYMENTS, INSTANCES, SCENARIOS, Simulation, draw_requests
+from bench.relay_simulation import DEPLOYMENTS, INSTANCES, SCENARIOS, Simulation, draw_requests
 
 if TYPE_CHECKING:
     from bench.relay_engines import Request
     from bench.relay_policies import Policy
-    from bench.relay_world import Deployment, Scenario
+    from bench.relay_simulation import Deployment, Scenario
 
 SEEDS: Final = 3
 """Number of runs per figure; each figure is their mean."""
--- a/bench/relay_policies.py
+++ b/bench/relay_policies.py
@@ -6,7 +6,7 @@
 from dataclasses import replace
 from typing import TYPE_CHECKING, Final
 
-from bench.relay_world import DURATION_S, INSTANCES
+from bench.relay_simulation import DURATION_S, INSTANCES
 from guavamast.relay.admission import WaitParameters, admit
 from guavamast.relay.catalog import Route, RouteKind, WeightedService
 from guavamast.relay.endpoint_choice import EndpointChooser
@@ -21,7 +21,7 @@
 
 if TYPE_CHECKING:
     from bench.relay_engines import Kind, Request, SimulatedEngine
-    from bench.relay_world import Simulation
+    from bench.relay_simulation import Simulation
     from guavamast.relay.endpoint_load import Work
 
 SERVICE: Final = "pool"
--- a/bench/runs.py
+++ b/bench/runs.py
@@ -97,9 +97,9 @@
     engines = policy.pools[""]
     for engine in engines[: scenario.stragglers]:
         events.call_at(
-            BURST_START_S, lambda engine=engine: engine.straggle(scenario.straggle_factor)
+            BURST_START_S, lambda engine=engine: engine.set_slowdown(scenario.straggle_factor)
         )
-        events.call_at(BURST_END_S, lambda engine=engine: engine.straggle(1.0))
+        events.call_at(BURST_END_S, lambda engine=engine: engine.set_slowdown(1.0))
     crashed = engines[: round(len(engines) * scenario.crash_share)]
     for engine in crashed:
         events.call_at(BURST_START_S, engine.crash)
--- a/tests/test_addresses_properties.py
+++ b/tests/test_addresses_properties.py
@@ -6,7 +6,7 @@
 from collections import Counter
 from dataclasses import replace
 
-from bench.exchange_loop import make_instance
+from bench.exchange_loop import build_instance
 from hypothesis import given
 from hypothesis import strategies as st
 
@@ -19,7 +19,7 @@
 def make_member(number: int, state: MemberState, load: float, region: str) -> Member:
     """Return a member of a region."""
     return Member(
-        instance=make_instance(f"i{number:02}", region=region, domain="ab"[number % 2]),
+        instance=build_instance(f"i{number:02}", region=region, domain="ab"[number % 2]),
         incarnation=1,
         state=state,
         heartbeat=1,
--- a/tests/test_heartbeat_exchange_properties.py
+++ b/tests/test_heartbeat_exchange_properties.py
@@ -6,7 +6,7 @@
 from dataclasses import dataclass
 from typing import Final
 
-from bench.exchange_loop import ExchangeLoop, make_instance
+from bench.exchange_loop import ExchangeLoop, build_instance
 from hypothesis import given
 from hypothesis import strategies as st
 
@@ -44,7 +44,7 @@
     def __init__(self, case: unittest.TestCase) -> None:
         self.case = case
         instances = [
-            make_instance(name, region=REGIONS[number % 2]) for number, name in enumerate(NAMES)
+            build_instance(name, region=REGIONS[number % 2]) for number, name in enumerate(NAMES)
         ]
         self.loop = ExchangeLoop(instances=instances)
         self.accepted = 0
@@ -80,7 +80,7 @@
         for _ in range(MAX_CONVERGENCE_ROUNDS):
             self.run_round()
             nodes = self.loop.nodes.values()
-            if self.loop.agrees() and len({n.exchange.compute_digest() for n in nodes}) == 1:
+            if self.loop.has_converged() and len({n.exchange.compute_digest() for n in nodes}) == 1:
                 return
 
     def _kill(self, name: str) -> None:
@@ -104,11 +104,11 @@
 
     def _split(self, name: str) -> None:
         del name
-        self.loop.is_cut = lambda first, second: int(first[1:]) % 2 != int(second[1:]) % 2
+        self.loop.is_partitioned = lambda first, second: int(first[1:]) % 2 != int(second[1:]) % 2
 
     def _heal(self, name: str) -> None:
         del name
-        self.loop.is_cut = lambda _first, _second: False
+        self.loop.is_partitioned = lambda _first, _second: False
 
     def _leave(self, name: str) -> None:
         if name in self.loop.nodes:
@@ -139,7 +139,7 @@
         history.end_faults()
         highest = max(node.spread.version for node in history.loop.nodes.values())
         history.converge()
-        self.assertTrue(history.loop.agrees())
+        self.assertTrue(history.loop.has_converged())
         nodes = history.loop.nodes.values()
         self.assertEqual(len({node.exchange.compute_digest() for node in nodes}), 1)
         for node in nodes:
--- a/tests/test_member_codec.py
+++ b/tests/test_member_codec.py
@@ -4,13 +4,13 @@
 
 import unittest
 
-from bench.exchange_loop import make_instance
+from bench.exchange_loop import build_instance
 
 from guavamast.member_codec import decode_member, encode_changing_fields, encode_member
 from guavamast.members import Member, MemberState
 
 MEMBER = Member(
-    instance=make_instance("a"),
+    instance=build_instance("a"),
     incarnation=1_764_000_000_000,
     state=MemberState.LEAVING,
     heartbeat=7,
--- a/tests/test_membership.py
+++ b/tests/test_membership.py
@@ -6,7 +6,7 @@
 from dataclasses import replace
 from itertools import pairwise
 
-from bench.exchange_loop import make_instance
+from bench.exchange_loop import build_instance
 
 from guavamast.members import Member, MemberState
 from guavamast.membership import Membership
@@ -15,7 +15,7 @@
 def create_member(name: str, **changes: int) -> Member:
     """Return a live member's record."""
     member = Member(
-        instance=make_instance(name),
+        instance=build_instance(name),
         incarnation=1,
         state=MemberState.LIVE,
         heartbeat=1,
@@ -26,7 +26,7 @@
 
 def create_membership() -> Membership:
     """Return the membership of ``a`` that knows ``b``."""
-    membership = Membership(me=make_instance("a"), incarnation=1, now=0.0)
+    membership = Membership(me=build_instance("a"), incarnation=1, now=0.0)
     membership.merge([create_member("b")], now=0.0)
     return membership
 
