--- a/tests/test_pages.py
+++ b/tests/test_pages.py
@@ -2,6 +2,7 @@
 
 from __future__ import annotations
 
+import ast
 import importlib
 import re
 import unittest
@@ -13,7 +14,33 @@
 from guavamast.findings import FindingCode
 from guavamast.plans import WarningCode
 
-DOCS = Path(__file__).resolve().parent.parent / "docs"
+ROOT = Path(__file__).resolve().parent.parent
+DOCS = ROOT / "docs"
+CODE_FOLDERS = ("src", "tests", "soak", "bench", "tools")
+NAME = re.compile(r"\b(?:[A-Z][a-z0-9]+[A-Z]\w*|[A-Z][A-Z0-9]*_[A-Z0-9_]+)\b")
+"""Names of classes of two words or more, and of constants."""
+
+
+def list_code_names() -> set[str]:
+    """Return all identifiers of the code, and all words in its string literals."""
+    names: set[str] = set()
+    for folder in CODE_FOLDERS:
+        for path in (ROOT / folder).rglob("*.py"):
+            for node in ast.walk(ast.parse(path.read_text(encoding="utf-8"))):
+                names.update(
+                    value
+                    for key in ("id", "attr", "name", "arg")
+                    if isinstance(value := getattr(node, key, None), str)
+                )
+                if isinstance(node, ast.Constant) and isinstance(node.value, str):
+                    names.update(re.findall(r"\w+", node.value))
+    return names
+
+
+def list_pages() -> list[Path]:
+    """Return the pages of today's code; those of incidents are records of their time."""
+    pages = [*ROOT.glob("*.md"), *DOCS.rglob("*.md")]
+    return [page for page in pages if "incidents" not in page.parts]
 
 
 class PagesTest(unittest.TestCase):
@@ -40,3 +67,15 @@
             for part in path:
                 found = getattr(found, part, None)
             self.assertIsNotNone(found, name)
+
+    def test_every_class_and_constant_named_on_a_page_exists(self) -> None:
+        names = list_code_names()
+        for page in list_pages():
+            marked = " ".join(re.findall(r"`([^`\n]+)`", page.read_text(encoding="utf-8")))
+            self.assertEqual(set(NAME.findall(marked)) - names, set(), page.name)
+
+    def test_every_module_named_on_a_page_exists(self) -> None:
+        modules = {path.name for folder in CODE_FOLDERS for path in (ROOT / folder).rglob("*.py")}
+        for page in list_pages():
+            named = set(re.findall(r"\b\w+\.py\b", page.read_text(encoding="utf-8")))
+            self.assertEqual(named - modules, set(), page.name)
