--- a/bench/simulated_fleet.py
+++ b/bench/simulated_fleet.py
@@ -50,7 +50,7 @@
             topology=HeartbeatTopology(record=record, peers=self.peers),
             aggregates=HeartbeatAggregation(
                 record=record,
-                knowledge=fleet.state,
+                fleet_state=fleet.state,
                 read_profiles=lambda: {domain: {"pool": _ESTIMATES} for domain in "abcdef"},
             ),
             build_heartbeat=lambda: fleet.build_heartbeat(record),
--- a/src/guavamast/at_most_once_fetch.py
+++ b/src/guavamast/at_most_once_fetch.py
@@ -135,7 +135,7 @@
 async def fetch_once(
     request: HTTPRequest, *, before_write: Callable[[], None] = do_nothing
 ) -> HTTPResponse:
-    """Send a request at most once and return its whole response; see `SingleFetch`.
+    """Send a request at most once and return its whole response; see `AtMostOnceFetch`.
 
     Raises:
         NotSent: No byte was sent.
--- a/src/guavamast/chats.py
+++ b/src/guavamast/chats.py
@@ -154,15 +154,15 @@
         """
         latch = SendLatch()
         progress = _Progress()
-        wish = self._build_wish(chat)
+        requirements = self._build_wish(chat)
         while True:
-            hold = await self._find_slot(wish, latch, progress)
+            hold = await self._find_slot(requirements, latch, progress)
             result = await self._send(chat, hold, latch, progress, sink)
             if result is SendResult.WHOLE:
                 self._budget.record_success(chat.service_class.name)
                 return
             if result is SendResult.FAILED:
-                wish.excluded.add(hold.ask.endpoint)
+                requirements.excluded.add(hold.ask.endpoint)
                 await self._prepare_retry(chat, progress, latch)
             elif result is SendResult.FORBIDDEN:
                 if self._clock() >= chat.deadline:
@@ -183,10 +183,10 @@
         )
 
     async def _find_slot(
-        self, wish: SlotRequirements, latch: SendLatch, progress: _Progress
+        self, requirements: SlotRequirements, latch: SendLatch, progress: _Progress
     ) -> SlotHold:
         try:
-            return await self._finder.find(wish, latch)
+            return await self._finder.find(requirements, latch)
         except Refusal as refusal:
             if latch.sent:
                 raise _reject_failed(
--- a/src/guavamast/class_queues.py
+++ b/src/guavamast/class_queues.py
@@ -77,7 +77,7 @@
         self.reserved = 0
         """Places that other classes can't fill, in addition to the limit of the whole queue."""
         self.credit = 0.0
-        """Starts owed to the class, at most `DEBT_CEILING`; below 0 after a long run."""
+        """Starts owed to the class, at most `MAX_CREDIT`; below 0 after a long run."""
         self.shares_running = 0
         """Slots that are held by starts by share."""
         self.last_start = last_start
--- a/src/guavamast/dispatcher.py
+++ b/src/guavamast/dispatcher.py
@@ -165,21 +165,21 @@
         return None if allotment is None else encode_allotment(allotment)
 
     def _create_order_loop(self) -> OrderLoop:
-        clock, terms = SystemClock(), LeaseParameters()
+        clock, parameters = SystemClock(), LeaseParameters()
         name = self._settings.instance.name
         leases = LeaseHolder(
             platform=self._platform,
             clock=clock,
             holder=name,
             generate_nonce=lambda: uuid.uuid4().hex,
-            parameters=terms,
+            parameters=parameters,
         )
-        giver = OrderIssuer(
+        issuer = OrderIssuer(
             platform=self._platform,
             leases=leases,
             sender=HttpOrderSender(),
             clock=clock,
-            parameters=terms,
+            parameters=parameters,
         )
         hosted = HostedEndpoints(
             instance=name,
@@ -187,7 +187,7 @@
             get_configuration=lambda: self.configuration,
             get_view=lambda: self.membership.create_view(now=self.clock()),
         )
-        return OrderLoop(issuer=giver, kept=hosted, clock=clock)
+        return OrderLoop(issuer=issuer, kept=hosted, clock=clock)
 
     def _create_service(self) -> PeerService:
         return PeerService(
--- a/src/guavamast/heartbeat_exchange.py
+++ b/src/guavamast/heartbeat_exchange.py
@@ -118,7 +118,7 @@
 
         Args:
             message: The message.
-            state: The stream's state; afterwards `has_news` returns whether a reply is due.
+            state: The stream's state; afterwards `has_updates` returns whether a reply is due.
             now: Current time.
 
         Returns:
--- a/src/guavamast/heartbeat_links.py
+++ b/src/guavamast/heartbeat_links.py
@@ -56,7 +56,7 @@
     """Maintains the streams to this instance's neighbours and runs its failure detector.
 
     The dispatcher awaits `run` in a task, passes each ``Gossip`` stream to `serve`, calls
-    `tell_soon` after it changed the membership or the configuration itself, and awaits `close` at
+    `schedule_flush` after it changed the membership or the configuration itself, and awaits `close` at
     the end.
 
     Args:
--- a/src/guavamast/keeper_host.py
+++ b/src/guavamast/keeper_host.py
@@ -24,7 +24,7 @@
 CAUTION_S: Final = 1.0
 """Seconds of the cautious start: a new keeper lets entries present the slots that they hold."""
 PROBE_INTERVAL_S: Final = 0.5
-"""Seconds between probes to entries with asks in flight; see ``ANSWER_TIMEOUT_S``."""
+"""Seconds between probes to entries with asks in flight; see ``KEEPER_TIMEOUT_S``."""
 UNKNOWN_ENDPOINT_RETRY_S: Final = 1.0
 MIN_TICK_INTERVAL_S: Final = 0.001
 """Minimum seconds between two ticks, so that a keeper that is always due can't block the loop."""
--- a/src/guavamast/operation_store.py
+++ b/src/guavamast/operation_store.py
@@ -201,7 +201,7 @@
         """Delete the expired rows of one prefix.
 
         Args:
-            prefix: Prefix of their keys, from `operations.find_due_prefix`.
+            prefix: Prefix of their keys, from `operations.select_sweep_prefix`.
             retention_s: Age at which a finished row expires.
 
         Returns:
--- a/src/guavamast/order_loop.py
+++ b/src/guavamast/order_loop.py
@@ -51,10 +51,10 @@
         clock: Waits between rounds.
     """
 
-    __slots__ = ("_clock", "_giver", "_kept", "_previous")
+    __slots__ = ("_clock", "_issuer", "_kept", "_previous")
 
     def __init__(self, *, issuer: OrderIssuer, kept: KeptEndpoints, clock: Clock) -> None:
-        self._giver = issuer
+        self._issuer = issuer
         self._kept = kept
         self._clock = clock
         self._previous: set[str] = set()
@@ -80,22 +80,22 @@
         self._release(self._previous - {engine.name for engine in engines})
         self._previous.update(engine.name for engine in engines)
         await asyncio.gather(*(self._take_step(engine, configuration) for engine in engines))
-        return any(self._giver.is_out_of_use(engine.name) for engine in engines)
+        return any(self._issuer.is_out_of_use(engine.name) for engine in engines)
 
     async def _take_step(self, engine: Endpoint, configuration: Configuration) -> None:
         running = self._kept.count_running(engine.name)
         try:
-            step = await self._giver.take_step(engine, configuration, running=running)
+            step = await self._issuer.take_step(engine, configuration, running=running)
         except GuavamastError as error:
             get_logger().info("orders to %s are delayed: %s", engine.name, error)
         else:
             if step not in (OrderStep.NOTHING, OrderStep.WAIT):
                 get_logger().info("orders to %s: decided on step %s", engine.name, step)
         # Also after an error, so that a loaded endpoint is used again while the platform is down.
-        self._kept.set_out_of_use(engine.name, out=self._giver.is_out_of_use(engine.name))
+        self._kept.set_out_of_use(engine.name, out=self._issuer.is_out_of_use(engine.name))
 
     def _release(self, names: set[str]) -> None:
         for name in names:
-            self._giver.forget(name)
+            self._issuer.forget(name)
             self._kept.set_out_of_use(name, out=False)
             self._previous.discard(name)
--- a/src/guavamast/platform/request_headers.py
+++ b/src/guavamast/platform/request_headers.py
@@ -89,19 +89,19 @@
             received_at=arrived,
         )
 
-    def encode_request(self, request: CallerRequest, terms: SendParameters) -> list[Header]:
+    def encode_request(self, request: CallerRequest, parameters: SendParameters) -> list[Header]:
         """Return the headers of a request to an endpoint."""
         headers = list(request.headers)
-        if terms.resume_after is not None:
+        if parameters.resume_after is not None:
             headers = [header for header in headers if header[0].lower() != "last-event-id"]
-            headers.append(("Last-Event-Id", terms.resume_after))
-        headers.append(("X-Expect-Instance", terms.endpoint_id))
-        if terms.organisation is not None:
-            headers.append(("X-Tenant", terms.organisation))
-        if terms.remaining_s is not None:
-            headers.append((TIMEOUT, str(max(1, int(terms.remaining_s * 1000)))))
-        if terms.urgency is not None:
-            headers.append(("X-Request-Urgency", str(terms.urgency)))
+            headers.append(("Last-Event-Id", parameters.resume_after))
+        headers.append(("X-Expect-Instance", parameters.endpoint_id))
+        if parameters.organisation is not None:
+            headers.append(("X-Tenant", parameters.organisation))
+        if parameters.remaining_s is not None:
+            headers.append((TIMEOUT, str(max(1, int(parameters.remaining_s * 1000)))))
+        if parameters.urgency is not None:
+            headers.append(("X-Request-Urgency", str(parameters.urgency)))
         return headers
 
     def decode_response(self, status: int, headers: list[Header]) -> EndpointResponseHead:
--- a/src/guavamast/relay/admission.py
+++ b/src/guavamast/relay/admission.py
@@ -59,7 +59,7 @@
     """Whether the request is known not to be a retry."""
 
 
-def compute_allowed_wait(forecast: Forecast, terms: WaitParameters) -> float:
+def compute_allowed_wait(forecast: Forecast, parameters: WaitParameters) -> float:
     """Return the milliseconds that a request may wait.
 
     Failure: under overload the queue grows up to the allowed wait, and half of the requests
@@ -68,22 +68,24 @@
 
     Args:
         forecast: Its forecast at the engine.
-        terms: Its objective and what the forecast is based on.
+        parameters: Its objective and what the forecast is based on.
     """
-    objective_ms = terms.objective_s * 1000.0
-    share = LATENCY_TOLERANT_WAITING_SHARE if terms.latency_tolerant else URGENT_WAITING_SHARE
-    if terms.loads_stale:
+    objective_ms = parameters.objective_s * 1000.0
+    share = LATENCY_TOLERANT_WAITING_SHARE if parameters.latency_tolerant else URGENT_WAITING_SHARE
+    if parameters.loads_stale:
         return (
-            share * objective_ms * (MOST_URGENT_FACTOR if terms.most_urgent else STALE_LOADS_FACTOR)
+            share
+            * objective_ms
+            * (MOST_URGENT_FACTOR if parameters.most_urgent else STALE_LOADS_FACTOR)
         )
     allowed_ms = share * objective_ms
     in_time_ms = IN_TIME_SHARE * objective_ms - forecast.start_ms - forecast.prefill_ms
     if in_time_ms > 0.0:
         allowed_ms = min(allowed_ms, in_time_ms)
-    return allowed_ms * FIRST_ATTEMPT_SHARE if terms.first_attempt else allowed_ms
+    return allowed_ms * FIRST_ATTEMPT_SHARE if parameters.first_attempt else allowed_ms
 
 
-def admit(forecast: Forecast, terms: WaitParameters, *, random: Random) -> Rejection | None:
+def admit(forecast: Forecast, parameters: WaitParameters, *, random: Random) -> Rejection | None:
     """Reject a request that would wait too long even at the best engine.
 
     Failure: under overload every request is queued, and after some seconds every answer is late,
@@ -93,13 +95,13 @@
 
     Args:
         forecast: The request's forecast at the best engine.
-        terms: How long it may wait.
+        parameters: How long it may wait.
         random: Source of the retry jitter.
 
     Returns:
         The rejection, or None if the request is admitted.
     """
-    allowed_ms = compute_allowed_wait(forecast, terms)
+    allowed_ms = compute_allowed_wait(forecast, parameters)
     return admit_within(allowed_ms, forecast, random=random)
 
 
--- a/src/guavamast/relay/admission_control.py
+++ b/src/guavamast/relay/admission_control.py
@@ -38,13 +38,19 @@
         """Prefill time that requests which yield may still use, by service and urgency."""
 
     def admit(
-        self, forecast: Forecast, terms: WaitParameters, *, service: str, urgency: int, now: float
+        self,
+        forecast: Forecast,
+        parameters: WaitParameters,
+        *,
+        service: str,
+        urgency: int,
+        now: float,
     ) -> Rejection | None:
         """Reject a request that would wait too long or take capacity that more urgent ones need.
 
         Args:
             forecast: The request's forecast at the best engine.
-            terms: How long it may wait, regardless of other requests.
+            parameters: How long it may wait, regardless of other requests.
             service: Its service.
             urgency: Its urgency; 0 is the most urgent.
             now: The present time.
@@ -52,7 +58,7 @@
         Returns:
             The rejection, or None if the request is admitted.
         """
-        own_ms = compute_allowed_wait(forecast, terms)
+        own_ms = compute_allowed_wait(forecast, parameters)
         pressures = self._history.list_pressures(service, urgency, now=now)
         allowed_ms = reduce_wait_for_urgent(own_ms, forecast, pressures)
         yields = allowed_ms < forecast.waiting_ms <= own_ms
@@ -62,14 +68,14 @@
         if rejection is None:
             self._add_credit(service, urgency, forecast.prefill_ms)
         # Less urgent requests don't yield to one that would be late even at an idle engine.
-        if _may_be_in_time(forecast, terms):
+        if _may_be_in_time(forecast, parameters):
             self._history.record(
                 service, urgency, rejected=rejection is not None, wait_ms=own_ms, now=now
             )
         return rejection
 
     def create_room_filter(
-        self, terms: WaitParameters, *, service: str, urgency: int, now: float
+        self, parameters: WaitParameters, *, service: str, urgency: int, now: float
     ) -> Callable[[Forecast], bool] | None:
         """Return a predicate for engines that would admit a request; None if any engine may do.
 
@@ -78,14 +84,16 @@
         most urgent requests use it, and only while too many of them are rejected.
 
         Args:
-            terms: How long the request may wait.
+            parameters: How long the request may wait.
             service: Its service.
             urgency: Its urgency; 0 is the most urgent.
             now: The present time.
         """
-        if not terms.most_urgent or not self._history.exceeds_tolerance(service, urgency, now=now):
+        if not parameters.most_urgent or not self._history.exceeds_tolerance(
+            service, urgency, now=now
+        ):
             return None
-        return lambda forecast: forecast.waiting_ms <= compute_allowed_wait(forecast, terms)
+        return lambda forecast: forecast.waiting_ms <= compute_allowed_wait(forecast, parameters)
 
     def _spend_credit(self, service: str, urgency: int, prefill_ms: float) -> bool:
         """Return whether a request that yields is admitted on credit, and spend the credit."""
@@ -104,9 +112,9 @@
                 self._credits_ms[key] = min(MAX_CREDIT_MS, raised_ms)
 
 
-def _may_be_in_time(forecast: Forecast, terms: WaitParameters) -> bool:
+def _may_be_in_time(forecast: Forecast, parameters: WaitParameters) -> bool:
     """Return whether a request would be in time at an idle engine."""
-    return forecast.start_ms + forecast.prefill_ms <= terms.objective_s * 1000.0
+    return forecast.start_ms + forecast.prefill_ms <= parameters.objective_s * 1000.0
 
 
 def reduce_wait_for_urgent(
--- a/src/guavamast/relay/attempt.py
+++ b/src/guavamast/relay/attempt.py
@@ -145,14 +145,14 @@
             raise AttemptFailed(FailureKind.NOT_CONNECTED, str(error)) from error
         return True
 
-    async def send(self, terms: SendParameters) -> EndpointResponseHead:
+    async def send(self, parameters: SendParameters) -> EndpointResponseHead:
         """Send the request and return the validated head of its response.
 
         Raises:
             AttemptFailed: There is no response, or it does not belong to this request.
         """
         assert self._connection is not None
-        headers = self._codec.encode_request(self._request, terms)
+        headers = self._codec.encode_request(self._request, parameters)
         if self._request.has_body:
             headers.append(("Content-Length", str(len(self._request.body))))
         try:
--- a/src/guavamast/relay/cleanup_loop.py
+++ b/src/guavamast/relay/cleanup_loop.py
@@ -27,7 +27,7 @@
         work: State of the requests at them.
         pool: Connection pool.
         reader: Tells whether the store answers.
-        notes: Records the engine profiles.
+        recorder: Records the engine profiles.
         scheduling: Scheduling state of this instance.
         unregister: Removes an instance's record from the store.
         read_time: The local clock.
@@ -35,7 +35,7 @@
 
     __slots__ = (
         "_fleet_state",
-        "_notes",
+        "_recorder",
         "_pool",
         "_read_time",
         "_reader",
@@ -51,7 +51,7 @@
         work: WorkState,
         pool: ConnectionPool,
         reader: StoreReader,
-        notes: RequestRecorder,
+        recorder: RequestRecorder,
         scheduling: Scheduling,
         unregister: Callable[[str], Awaitable[None]],
         read_time: Callable[[], float],
@@ -60,7 +60,7 @@
         self._work = work
         self._pool = pool
         self._reader = reader
-        self._notes = notes
+        self._recorder = recorder
         self._scheduling = scheduling
         self._unregister = unregister
         self._read_time = read_time
@@ -101,4 +101,4 @@
         for service in catalog.services.values() if catalog is not None else ():
             if service.kv_capacity_tokens is not None:
                 profile = self._work.profiles.find(service.name, now=now)
-                self._notes.record_profile(service.name, profile)
+                self._recorder.record_profile(service.name, profile)
--- a/src/guavamast/relay/exchange.py
+++ b/src/guavamast/relay/exchange.py
@@ -66,7 +66,7 @@
 
     Args:
         admission: Checks each request as it is sent.
-        knowledge: Services and other instances.
+        fleet_state: Services and other instances.
         loads: Work at endpoints; each send is counted in it.
         cache: Prompts in the endpoints' KV caches; each send is recorded in it.
         budget: Retry budget; states whether another attempt could follow.
@@ -83,7 +83,7 @@
         "_budget",
         "_cache",
         "_codec",
-        "_knowledge",
+        "_fleet_state",
         "_loads",
         "_recorder",
         "_pool",
@@ -96,7 +96,7 @@
         self,
         *,
         admission: CallerAdmission,
-        knowledge: FleetState,
+        fleet_state: FleetState,
         loads: EndpointLoads,
         cache: PromptCache,
         budget: RetryBudget,
@@ -108,7 +108,7 @@
         read_time: Callable[[], float],
     ) -> None:
         self._admission = admission
-        self._knowledge = knowledge
+        self._fleet_state = fleet_state
         self._loads = loads
         self._cache = cache
         self._budget = budget
@@ -196,12 +196,12 @@
                 FailureKind.OUTDATED, "the scheduler's grant expired before the send"
             )
         self._admission.check_send(progress.admitted, attempt.record, now=now)
-        terms = self._build_send_terms(progress, attempt.record, now=now)
+        parameters = self._build_send_terms(progress, attempt.record, now=now)
         timeout_s = self._compute_attempt_timeout(progress, now=now)
         progress.sends += 1
         progress.possible_runs += 1
         load = self._read_load(send)
-        self._record_send(request, progress, attempt.record, terms, send, load=load, now=now)
+        self._record_send(request, progress, attempt.record, parameters, send, load=load, now=now)
         sampler = StreamSampler(
             profiles=self._profiles,
             service=attempt.record.service,
@@ -212,7 +212,7 @@
         )
         try:
             async with asyncio.timeout(timeout_s) as attempt_timeout:
-                head = await attempt.send(terms)
+                head = await attempt.send(parameters)
                 if head.event_stream and head.status < 300:
                     on_event = self._make_event_callback(
                         request, progress, send, sampler, attempt_timeout
@@ -311,7 +311,7 @@
         request: CallerRequest,
         progress: RequestProgress,
         record: EndpointRecord,
-        terms: SendParameters,
+        parameters: SendParameters,
         send: _Send,
         *,
         load: Load,
@@ -320,7 +320,7 @@
         self._recorder.record_send(
             request,
             record,
-            terms,
+            parameters,
             sends=progress.sends,
             load=load,
             scheduled=send.placed.scheduler_reply,
@@ -332,7 +332,7 @@
         self, progress: RequestProgress, record: EndpointRecord, *, now: float
     ) -> SendParameters:
         admitted = progress.admitted
-        engine = self._knowledge.find_kv_capacity_tokens(record.service) > 0
+        engine = self._fleet_state.find_kv_capacity_tokens(record.service) > 0
         return SendParameters(
             endpoint_id=record.endpoint_id,
             organisation=admitted.organisation.name if admitted.organisation else None,
@@ -350,7 +350,7 @@
         route = progress.admitted.route
         if not route.repeatable or progress.sends + 1 >= route.max_endpoints:
             return None
-        instances = self._knowledge.count_instances()
+        instances = self._fleet_state.count_instances()
         if not self._budget.has_room(progress.service, instances=instances, now=now):
             return None
         if route.kind is RouteKind.STREAM:
@@ -358,6 +358,6 @@
         return RESPONSE_TIMEOUT_SHARE * route.objective_s
 
     def _compute_idle_limit(self, record: EndpointRecord) -> int:
-        service = self._knowledge.find_service(record.service)
+        service = self._fleet_state.find_service(record.service)
         max_connections = service.max_connections if service is not None else 1
-        return compute_idle_limit(max_connections, self._knowledge.count_instances())
+        return compute_idle_limit(max_connections, self._fleet_state.count_instances())
--- a/src/guavamast/relay/heartbeat_aggregation.py
+++ b/src/guavamast/relay/heartbeat_aggregation.py
@@ -33,21 +33,21 @@
 
     Args:
         record: This instance.
-        knowledge: What is known of the store's tables, read here or received.
+        fleet_state: What is known of the store's tables, read here or received.
         read_profiles: Returns the estimates of each failure domain for the engines.
     """
 
-    __slots__ = ("_knowledge", "_read_profiles", "_record", "_rotation")
+    __slots__ = ("_fleet_state", "_read_profiles", "_record", "_rotation")
 
     def __init__(
         self,
         *,
         record: InstanceRecord,
-        knowledge: FleetState,
+        fleet_state: FleetState,
         read_profiles: Callable[[], dict[str, dict[str, ProfileEstimates]]],
     ) -> None:
         self._record = record
-        self._knowledge = knowledge
+        self._fleet_state = fleet_state
         self._read_profiles = read_profiles
         self._rotation = 0
 
@@ -96,8 +96,8 @@
                 aggregator=self._record.name,
                 liveness=liveness[first : first + INSTANCES_PER_DATAGRAM],
                 records=records,
-                catalog=self._knowledge.newest_catalog_stamp,
-                endpoints=self._knowledge.newest_endpoint_stamp,
+                catalog=self._fleet_state.newest_catalog_stamp,
+                endpoints=self._fleet_state.newest_endpoint_stamp,
                 profiles=profiles,
             )
             for first in range(0, len(liveness), INSTANCES_PER_DATAGRAM)
--- a/src/guavamast/relay/messages.py
+++ b/src/guavamast/relay/messages.py
@@ -103,7 +103,7 @@
         """Return a caller's request without the headers that only the relay may set."""
 
     @abstractmethod
-    def encode_request(self, request: CallerRequest, terms: SendParameters) -> list[Header]:
+    def encode_request(self, request: CallerRequest, parameters: SendParameters) -> list[Header]:
         """Return all headers of a request to an endpoint, except those that frame the body."""
 
     @abstractmethod
--- a/src/guavamast/relay/node.py
+++ b/src/guavamast/relay/node.py
@@ -128,10 +128,10 @@
         self._exchange = self._build_exchange()
         self._reader = self._build_reader()
         self._watch = self._build_watch()
-        self._notes = RequestRecorder(
+        self._recorder = RequestRecorder(
             log=self.log,
             counters=self.counters,
-            knowledge=self.fleet_state,
+            fleet_state=self.fleet_state,
             loop_delay=self._loop_delay,
         )
         self._cleanup_loop = self._build_cleanup_loop()
@@ -159,7 +159,7 @@
         return Scheduling(
             record=self.record,
             incarnation=self._incarnation,
-            knowledge=self.fleet_state,
+            fleet_state=self.fleet_state,
             profiles=self._work.profiles,
             counters=self.counters,
             send=self._heartbeat_socket.send_to,
@@ -174,7 +174,7 @@
             topology=HeartbeatTopology(record=self.record, peers=self.peers),
             aggregates=HeartbeatAggregation(
                 record=self.record,
-                knowledge=self.fleet_state,
+                fleet_state=self.fleet_state,
                 read_profiles=self._aggregate_profiles,
             ),
             build_heartbeat=self._build_heartbeat,
@@ -222,7 +222,7 @@
             work=self._work,
             pool=self._pool,
             reader=self._reader,
-            notes=self._notes,
+            recorder=self._recorder,
             scheduling=self._scheduling,
             unregister=self._unregister,
             read_time=read_boot_time,
@@ -232,12 +232,12 @@
         return build_relayer(
             settings=self.settings,
             codec=codec,
-            knowledge=self.fleet_state,
+            fleet_state=self.fleet_state,
             work=self._work,
             bounds=self._bounds,
             reader=self._reader,
             pool=self._pool,
-            recorder=self._notes,
+            recorder=self._recorder,
             scheduling=self._scheduling,
             publish_load=self._load_updates.record_change,
             random=self._random,
--- a/src/guavamast/relay/placer.py
+++ b/src/guavamast/relay/placer.py
@@ -63,7 +63,7 @@
     """Places requests by this instance's own state, without a scheduler.
 
     Args:
-        knowledge: Endpoints, services and other instances.
+        fleet_state: Endpoints, services and other instances.
         chooser: Selects endpoints.
         demand: Work requested in each length bucket.
         profiles: Speed of the engines.
@@ -72,12 +72,12 @@
         read_time: Local clock.
     """
 
-    __slots__ = ("_admission", "_chooser", "_demand", "_knowledge", "_profiles", "_read_time")
+    __slots__ = ("_admission", "_chooser", "_demand", "_fleet_state", "_profiles", "_read_time")
 
     def __init__(
         self,
         *,
-        knowledge: FleetState,
+        fleet_state: FleetState,
         chooser: EndpointChooser,
         demand: PromptDemand,
         profiles: EngineProfiles,
@@ -85,7 +85,7 @@
         random: Random,
         read_time: Callable[[], float],
     ) -> None:
-        self._knowledge = knowledge
+        self._fleet_state = fleet_state
         self._chooser = chooser
         self._demand = demand
         self._profiles = profiles
@@ -103,11 +103,11 @@
             objective_s=progress.admitted.route.objective_s,
             latency_tolerant=progress.latency_tolerant,
             most_urgent=progress.most_urgent,
-            loads_stale=self._knowledge.peers.aggregated,
+            loads_stale=self._fleet_state.peers.aggregated,
         )
         choice = self._chooser.choose(
             self._build_placement(request, progress, now=now),
-            self._knowledge.endpoints.list_ready(progress.service),
+            self._fleet_state.endpoints.list_ready(progress.service),
             exclude=progress.tried,
             now=now,
             has_room=self._admission.create_room_filter(
@@ -134,17 +134,17 @@
         return Placement(
             prompt_parts=request.prompt_parts,
             prompt_tokens=request.prompt_tokens,
-            failure_domain=self._knowledge.failure_domain,
+            failure_domain=self._fleet_state.failure_domain,
             bucket=progress.bucket,
             bucket_shares=self._demand.compute_shares(),
             output_tokens=request.output_tokens,
-            kv_capacity_tokens=self._knowledge.find_kv_capacity_tokens(progress.service),
+            kv_capacity_tokens=self._fleet_state.find_kv_capacity_tokens(progress.service),
             profile=self._profiles.find(progress.service, now=now),
             objective_s=progress.admitted.route.objective_s,
             pause_sensitive=progress.pause_sensitive,
-            shortest_pause_s=self._knowledge.find_shortest_pause(progress.service),
-            kv_limit=STALE_LOADS_LIMIT if self._knowledge.peers.aggregated else FRESH_LOADS_LIMIT,
-            loads_stale=self._knowledge.peers.aggregated,
+            shortest_pause_s=self._fleet_state.find_shortest_pause(progress.service),
+            kv_limit=STALE_LOADS_LIMIT if self._fleet_state.peers.aggregated else FRESH_LOADS_LIMIT,
+            loads_stale=self._fleet_state.peers.aggregated,
         )
 
 
@@ -158,12 +158,12 @@
         local_placer: Places requests without a scheduler.
         client: Queries schedulers.
         groups: Endpoints of each group.
-        knowledge: Endpoints and other instances.
+        fleet_state: Endpoints and other instances.
         loads: Failures that this instance has recorded.
         read_time: Local clock.
     """
 
-    __slots__ = ("_client", "_groups", "_knowledge", "_loads", "_local_placer", "_read_time")
+    __slots__ = ("_client", "_groups", "_fleet_state", "_loads", "_local_placer", "_read_time")
 
     def __init__(
         self,
@@ -171,20 +171,20 @@
         local_placer: LocalPlacer,
         client: SchedulingClient,
         groups: EndpointGroups,
-        knowledge: FleetState,
+        fleet_state: FleetState,
         loads: EndpointLoads,
         read_time: Callable[[], float],
     ) -> None:
         self._local_placer = local_placer
         self._client = client
         self._groups = groups
-        self._knowledge = knowledge
+        self._fleet_state = fleet_state
         self._loads = loads
         self._read_time = read_time
 
     async def place(self, request: CallerRequest, progress: RequestProgress) -> PlacementDecision:
         """Return the next endpoint for a request, or its rejection."""
-        if not self._knowledge.peers.aggregated:
+        if not self._fleet_state.peers.aggregated:
             return self._local_placer.decide(request, progress)
         rejected: PlacementDecision | None = None
         key = request.shared_part or request.request_id
@@ -220,7 +220,7 @@
             latency_tolerant=progress.latency_tolerant,
             most_urgent=progress.most_urgent,
             urgency=progress.admitted.urgency,
-            failure_domain=self._knowledge.failure_domain,
+            failure_domain=self._fleet_state.failure_domain,
             excluded=self._list_excluded(progress),
             rejectable=progress.sends == 0,
         )
@@ -234,7 +234,7 @@
     ) -> PlacementDecision | None:
         """Return the decision in a reply; None if it names no usable endpoint."""
         reply = scheduled_reply.reply
-        record = self._knowledge.endpoints.find(reply.endpoint_id)
+        record = self._fleet_state.endpoints.find(reply.endpoint_id)
         if reply.verdict is Verdict.UNKNOWN or record is None or not record.ready:
             if reply.verdict is Verdict.GRANTED:
                 self._client.withdraw(query)
--- a/src/guavamast/relay/read_schedule.py
+++ b/src/guavamast/relay/read_schedule.py
@@ -42,7 +42,7 @@
 
     If every instance polled the store, its load would grow with the number of instances.
     Heartbeats carry the freshness stamps, so one reader is enough; a reader that fails or is
-    partitioned is replaced by the next rank within `STEP_IN_S`.
+    partitioned is replaced by the next rank within `TAKEOVER_DELAY_S`.
 
     An instance that loses all datagrams would wait for the ranks before it while its tables get too
     old. It therefore reads for itself at a share of the bound, whatever its rank.
--- a/src/guavamast/relay/relayer.py
+++ b/src/guavamast/relay/relayer.py
@@ -39,7 +39,7 @@
     """Relays requests to endpoints.
 
     Args:
-        knowledge: Configuration, endpoints and other instances.
+        fleet_state: Configuration, endpoints and other instances.
         admission: Checks routes and API keys against recent configuration.
         loads: Work and failures by endpoint.
         budget: Retry budget.
@@ -58,7 +58,7 @@
         "_codec",
         "_demand",
         "_exchanger",
-        "_knowledge",
+        "_fleet_state",
         "_loads",
         "_recorder",
         "_placer",
@@ -70,7 +70,7 @@
     def __init__(
         self,
         *,
-        knowledge: FleetState,
+        fleet_state: FleetState,
         admission: CallerAdmission,
         loads: EndpointLoads,
         budget: RetryBudget,
@@ -82,7 +82,7 @@
         profiles: EngineProfiles,
         read_time: Callable[[], float],
     ) -> None:
-        self._knowledge = knowledge
+        self._fleet_state = fleet_state
         self._admission = admission
         self._loads = loads
         self._budget = budget
@@ -131,9 +131,9 @@
             request,
             admitted,
             service=service,
-            shortest_objective_s=self._knowledge.find_shortest_objective(service),
+            shortest_objective_s=self._fleet_state.find_shortest_objective(service),
             profile=self._profiles.find(service, now=now),
-            most_urgent=self._knowledge.is_most_urgent(admitted.route, service),
+            most_urgent=self._fleet_state.is_most_urgent(admitted.route, service),
         )
 
     def _record_demand(
@@ -196,7 +196,7 @@
             return progress.connect_failures < MAX_CONNECT_FAILURES
         if not failure.not_run and not route.repeatable:
             return False
-        instances = self._knowledge.count_instances()
+        instances = self._fleet_state.count_instances()
         return self._budget.try_spend(progress.service, instances=instances, now=now)
 
     async def _readmit(
--- a/src/guavamast/relay/relayer_factory.py
+++ b/src/guavamast/relay/relayer_factory.py
@@ -33,7 +33,7 @@
     *,
     settings: NodeSettings,
     codec: HeaderCodec,
-    knowledge: FleetState,
+    fleet_state: FleetState,
     work: WorkState,
     bounds: StalenessBounds,
     reader: StoreReader,
@@ -49,7 +49,7 @@
     Args:
         settings: Limits of the retry budget.
         codec: Encodes and decodes headers.
-        knowledge: Configuration, endpoints and other instances.
+        fleet_state: Configuration, endpoints and other instances.
         work: Known work at endpoints.
         bounds: Maximum ages of configuration and endpoint data.
         reader: Reads the store.
@@ -63,14 +63,14 @@
     admission = CallerAdmission(
         gate=CallerGate(bounds=bounds),
         bounds=bounds,
-        fleet_state=knowledge,
+        fleet_state=fleet_state,
         reader=reader,
         read_time=read_time,
     )
     budget = RetryBudget(settings=_build_budget_terms(settings))
     exchanger = Exchanger(
         admission=admission,
-        knowledge=knowledge,
+        fleet_state=fleet_state,
         loads=work.loads,
         cache=work.cache,
         budget=budget,
@@ -82,14 +82,14 @@
         read_time=read_time,
     )
     return Relayer(
-        knowledge=knowledge,
+        fleet_state=fleet_state,
         admission=admission,
         loads=work.loads,
         budget=budget,
         codec=codec,
         recorder=recorder,
         placer=_build_placer(
-            knowledge=knowledge,
+            fleet_state=fleet_state,
             work=work,
             scheduling=scheduling,
             random=random,
@@ -104,14 +104,14 @@
 
 def _build_placer(
     *,
-    knowledge: FleetState,
+    fleet_state: FleetState,
     work: WorkState,
     scheduling: Scheduling,
     random: Random,
     read_time: Callable[[], float],
 ) -> Placer:
     own_placer = LocalPlacer(
-        knowledge=knowledge,
+        fleet_state=fleet_state,
         chooser=EndpointChooser(loads=work.loads, cache=work.cache, random=random),
         demand=work.demand,
         profiles=work.profiles,
@@ -123,7 +123,7 @@
         local_placer=own_placer,
         client=scheduling.client,
         groups=scheduling.groups,
-        knowledge=knowledge,
+        fleet_state=fleet_state,
         loads=work.loads,
         read_time=read_time,
     )
--- a/src/guavamast/relay/request_progress.py
+++ b/src/guavamast/relay/request_progress.py
@@ -93,8 +93,8 @@
         most_urgent: Whether no stream of that service takes precedence over it.
     """
     objective_s = admitted.route.objective_s
-    delicate = is_pause_sensitive(admitted.route, profile)
-    lane = find_bucket(
+    pause_sensitive = is_pause_sensitive(admitted.route, profile)
+    bucket = find_bucket(
         request.prompt_tokens,
         objective_s=objective_s,
         shortest_s=shortest_objective_s,
@@ -105,9 +105,9 @@
         service=service,
         deadline=compute_deadline(request, timeout_s=admitted.route.timeout_s),
         # Beside long prompts its pauses would be too long, however short its own prefill.
-        bucket=0 if delicate else lane,
+        bucket=0 if pause_sensitive else bucket,
         most_urgent=most_urgent,
-        pause_sensitive=delicate,
+        pause_sensitive=pause_sensitive,
         latency_tolerant=is_latency_tolerant(objective_s, shortest_s=shortest_objective_s),
         timing=StreamTiming(received_at=request.received_at),
     )
--- a/src/guavamast/relay/request_recorder.py
+++ b/src/guavamast/relay/request_recorder.py
@@ -27,23 +27,23 @@
     Args:
         log: Receives the log lines.
         counters: Receives the metrics.
-        knowledge: Versions and ages of the data behind decisions.
+        fleet_state: Versions and ages of the data behind decisions.
         loop_delay: Delay of this process's event loop.
     """
 
-    __slots__ = ("_counters", "_knowledge", "_log", "_loop_delay")
+    __slots__ = ("_counters", "_fleet_state", "_log", "_loop_delay")
 
     def __init__(
         self,
         *,
         log: DecisionLog,
         counters: Counters,
-        knowledge: FleetState,
+        fleet_state: FleetState,
         loop_delay: LoopDelay,
     ) -> None:
         self._log = log
         self._counters = counters
-        self._knowledge = knowledge
+        self._fleet_state = fleet_state
         self._loop_delay = loop_delay
 
     def record_connection(self, *, new: bool) -> None:
@@ -54,7 +54,7 @@
         self,
         request: CallerRequest,
         record: EndpointRecord,
-        terms: SendParameters,
+        parameters: SendParameters,
         *,
         sends: int,
         load: Load,
@@ -63,7 +63,7 @@
         now: float,
     ) -> None:
         """Record that a request is sent to an endpoint."""
-        ages = self._knowledge.round_ages(now=now)
+        ages = self._fleet_state.round_ages(now=now)
         self._counters.add(f'sends_total{{repeat="{str(sends > 1).lower()}"}}')
         if sends == 1:
             self._counters.add(f'first_sends_total{{urgency="{admitted.urgency}"}}')
@@ -85,12 +85,12 @@
             scheduler=scheduled.scheduler if scheduled is not None else None,
             scheduled_s=round(scheduled.took_s, 4) if scheduled is not None else None,
             scheduler_learning=scheduled.reply.learning if scheduled is not None else None,
-            resume_after=terms.resume_after,
-            time_left_s=round(terms.remaining_s or 0.0, 3),
+            resume_after=parameters.resume_after,
+            time_left_s=round(parameters.remaining_s or 0.0, 3),
             waited_s=round(now - request.received_at, 4),
-            config_version=self._knowledge.catalog_version,
+            config_version=self._fleet_state.catalog_version,
             config_age_s=ages.config_s,
-            endpoints_version=self._knowledge.endpoints.digest,
+            endpoints_version=self._fleet_state.endpoints.digest,
             endpoints_age_s=ages.endpoints_s,
             loop_delay_s=round(self._loop_delay.read(now=now), 3),
         )
@@ -142,7 +142,7 @@
 
     def record_rejection(self, request: CallerRequest, denied: Denied, *, now: float) -> None:
         """Record a request that is rejected without an attempt."""
-        ages = self._knowledge.round_ages(now=now)
+        ages = self._fleet_state.round_ages(now=now)
         self._counters.add(f'refusals_total{{status="{denied.status}"}}')
         self._log.write(
             "refused",
@@ -152,7 +152,7 @@
             reason=denied.reason,
             host=request.host,
             path=request.path,
-            config_version=self._knowledge.catalog_version,
+            config_version=self._fleet_state.catalog_version,
             config_age_s=ages.config_s,
             endpoints_age_s=ages.endpoints_s,
             loop_delay_s=round(self._loop_delay.read(now=now), 3),
--- a/src/guavamast/relay/scheduler.py
+++ b/src/guavamast/relay/scheduler.py
@@ -110,14 +110,14 @@
         return _build_reply(query, choice, Verdict.GRANTED, learning=learning)
 
     def _build_placement(
-        self, query: PlacementQuery, facts: ServiceParameters, *, learning: bool, now: float
+        self, query: PlacementQuery, parameters: ServiceParameters, *, learning: bool, now: float
     ) -> Placement:
         if query.prompt_tokens:
             self._demand.record(
                 query.bucket,
                 prompt_tokens=query.prompt_tokens,
                 output_tokens=query.output_tokens,
-                profile=facts.profile,
+                profile=parameters.profile,
                 now=now,
             )
         return Placement(
@@ -127,11 +127,11 @@
             bucket=query.bucket,
             bucket_shares=self._demand.compute_shares(),
             output_tokens=query.output_tokens,
-            kv_capacity_tokens=facts.kv_capacity_tokens,
-            profile=facts.profile,
+            kv_capacity_tokens=parameters.kv_capacity_tokens,
+            profile=parameters.profile,
             objective_s=query.objective_s,
             pause_sensitive=query.pause_sensitive,
-            shortest_pause_s=facts.shortest_pause_s,
+            shortest_pause_s=parameters.shortest_pause_s,
             kv_limit=_select_memory_limit(query, learning=learning),
             loads_stale=learning,
         )
--- a/src/guavamast/relay/scheduler_host.py
+++ b/src/guavamast/relay/scheduler_host.py
@@ -25,25 +25,25 @@
     instances select the same one again.
 
     Args:
-        knowledge: Configuration.
+        fleet_state: Configuration.
         groups: Endpoints of each group.
         profiles: Speed of the engines.
         counters: Metrics.
         random: Breaks ties between endpoints and spreads retry delays.
     """
 
-    __slots__ = ("_counters", "_groups", "_knowledge", "_profiles", "_random", "_schedulers")
+    __slots__ = ("_counters", "_groups", "_fleet_state", "_profiles", "_random", "_schedulers")
 
     def __init__(
         self,
         *,
-        knowledge: FleetState,
+        fleet_state: FleetState,
         groups: EndpointGroups,
         profiles: EngineProfiles,
         counters: Counters,
         random: Random,
     ) -> None:
-        self._knowledge = knowledge
+        self._fleet_state = fleet_state
         self._profiles = profiles
         self._counters = counters
         self._random = random
@@ -55,13 +55,13 @@
         candidates = self._groups.list_members(query.service, query.group)
         if not candidates:
             return PlacementReply(number=query.number, verdict=Verdict.UNKNOWN)
-        facts = ServiceParameters(
+        parameters = ServiceParameters(
             profile=self._profiles.find(query.service, now=now),
-            kv_capacity_tokens=self._knowledge.find_kv_capacity_tokens(query.service),
-            shortest_pause_s=self._knowledge.find_shortest_pause(query.service),
+            kv_capacity_tokens=self._fleet_state.find_kv_capacity_tokens(query.service),
+            shortest_pause_s=self._fleet_state.find_shortest_pause(query.service),
         )
         scheduler = self._get_or_create(query.group, now=now)
-        reply = scheduler.decide(query, candidates, facts, now=now)
+        reply = scheduler.decide(query, candidates, parameters, now=now)
         self._counters.add(f'placements_decided_total{{verdict="{reply.verdict}"}}')
         return reply
 
@@ -71,7 +71,7 @@
         if scheduler is None:
             return
         ended = scheduler.work.apply_update(update, now=now)
-        record = self._knowledge.endpoints.find(ended.endpoint_id) if ended is not None else None
+        record = self._fleet_state.endpoints.find(ended.endpoint_id) if ended is not None else None
         if ended is not None and record is not None:
             self._profiles.record_pause(
                 record.service,
--- a/src/guavamast/relay/scheduling.py
+++ b/src/guavamast/relay/scheduling.py
@@ -34,7 +34,7 @@
     Args:
         record: This instance.
         incarnation: Start time of this process, which identifies it.
-        knowledge: Configuration, endpoints and other instances.
+        fleet_state: Configuration, endpoints and other instances.
         profiles: Speed of the engines.
         counters: Metrics.
         send: Sends a datagram to an address.
@@ -42,27 +42,27 @@
         read_time: Local clock.
     """
 
-    __slots__ = ("_knowledge", "_read_time", "_send", "client", "groups", "host")
+    __slots__ = ("_fleet_state", "_read_time", "_send", "client", "groups", "host")
 
     def __init__(
         self,
         *,
         record: InstanceRecord,
         incarnation: int,
-        knowledge: FleetState,
+        fleet_state: FleetState,
         profiles: EngineProfiles,
         counters: Counters,
         send: Callable[[bytes, tuple[str, int]], None],
         random: Random,
         read_time: Callable[[], float],
     ) -> None:
-        self._knowledge = knowledge
+        self._fleet_state = fleet_state
         self._send = send
         self._read_time = read_time
-        self.groups = EndpointGroups(table=knowledge.endpoints)
+        self.groups = EndpointGroups(table=fleet_state.endpoints)
         """Groups of endpoints that are scheduled together."""
         self.host = SchedulerHost(
-            knowledge=knowledge,
+            fleet_state=fleet_state,
             groups=self.groups,
             profiles=profiles,
             counters=counters,
@@ -72,7 +72,7 @@
         self.client = SchedulingClient(
             requester=Requester(instance=record.name, incarnation=incarnation),
             record=record,
-            directory=SchedulerDirectory(record=record, peers=knowledge.peers),
+            directory=SchedulerDirectory(record=record, peers=fleet_state.peers),
             host=self.host,
             send=self._send_to_instance,
             counters=counters,
--- a/src/guavamast/relay/work_state.py
+++ b/src/guavamast/relay/work_state.py
@@ -30,18 +30,18 @@
         self.profiles = EngineProfiles()
         self.rejections = RejectionHistory()
 
-    def apply_heartbeat(self, beat: Heartbeat, *, now: float) -> None:
+    def apply_heartbeat(self, heartbeat: Heartbeat, *, now: float) -> None:
         """Replace the previous state of an instance by that in its heartbeat."""
-        name = beat.record.name
-        self.loads.replace_peer(name, beat.loads)
-        self.demand.replace_peer(name, beat.demand)
-        self.profiles.replace_peer(name, beat.profiles)
-        self.rejections.replace_peer(name, beat.rejections, now=now)
-        self.cache.apply_peer_sends(name, beat.incarnation, beat.sends)
-
-    def apply_aggregated_heartbeat(self, bundle: AggregatedHeartbeat) -> None:
+        name = heartbeat.record.name
+        self.loads.replace_peer(name, heartbeat.loads)
+        self.demand.replace_peer(name, heartbeat.demand)
+        self.profiles.replace_peer(name, heartbeat.profiles)
+        self.rejections.replace_peer(name, heartbeat.rejections, now=now)
+        self.cache.apply_peer_sends(name, heartbeat.incarnation, heartbeat.sends)
+
+    def apply_aggregated_heartbeat(self, aggregate: AggregatedHeartbeat) -> None:
         """Replace the previous engine profiles of failure domains."""
-        for domain, profiles in bundle.profiles.items():
+        for domain, profiles in aggregate.profiles.items():
             self.profiles.replace_peer(_format_domain_source(domain), profiles)
 
     def aggregate_profiles(
--- a/src/guavamast/send_gates.py
+++ b/src/guavamast/send_gates.py
@@ -46,7 +46,7 @@
         self._settled_at = now
 
     def tick(self, *, now: float) -> None:
-        """Record that the event loop runs; call every ``BEAT_INTERVAL_S``."""
+        """Record that the event loop runs; call every ``TICK_INTERVAL_S``."""
         if now - self._last_tick > PAUSE_THRESHOLD_S:
             self._settled_at = now + SETTLE_S
         self._last_tick = now
--- a/src/guavamast/service_calls.py
+++ b/src/guavamast/service_calls.py
@@ -14,7 +14,7 @@
 ``GET /v1/operations/{key}`` awaits `ServiceCalls.get_operation` in the same way. A handler may be
 cancelled at any time: a non-idempotent call continues on its own until its response is recorded,
 and a daemon that shuts down awaits `ServiceCalls.drain` before it exits. The daemon calls
-``PauseWatch.beat`` every ``BEAT_INTERVAL_S``, as every call is rejected otherwise, and runs
+``PauseDetector.tick`` every ``TICK_INTERVAL_S``, as every call is rejected otherwise, and runs
 `ServiceCalls.delete_expired`, which never returns, in a task of its own.
 """
 
--- a/tests/burst_simulation.py
+++ b/tests/burst_simulation.py
@@ -34,7 +34,9 @@
 SLOTS = 16
 MEMORY_TOKENS = 600_000
 OUTPUT_TOKENS = 100
-FACTS = ServiceParameters(profile=PROFILE, kv_capacity_tokens=MEMORY_TOKENS, shortest_pause_s=0.6)
+PARAMETERS = ServiceParameters(
+    profile=PROFILE, kv_capacity_tokens=MEMORY_TOKENS, shortest_pause_s=0.6
+)
 BEGIN_S = LEARNING_S + 1.0
 INSTANCES = 6
 HEARTBEAT_INTERVAL_S = 0.25
@@ -158,15 +160,19 @@
         )
 
     def decide(self, event: Event) -> Decision:
-        reply = self.scheduler.decide(self.make_query(event), self.records, FACTS, now=event.due)
+        reply = self.scheduler.decide(
+            self.make_query(event), self.records, PARAMETERS, now=event.due
+        )
         if reply.verdict is Verdict.GRANTED:
             return Decision(endpoint_id=reply.endpoint_id)
         return Decision(retry_after_s=reply.retry_after_s)
 
     def report(self, event: Event) -> None:
         assert event.phase is not None
-        asker = self.make_query(event).requester
-        update = WorkUpdate(requester=asker, group=GROUP, number=event.number, phase=event.phase)
+        requester = self.make_query(event).requester
+        update = WorkUpdate(
+            requester=requester, group=GROUP, number=event.number, phase=event.phase
+        )
         self.scheduler.work.apply_update(update, now=event.due)
 
 
@@ -213,11 +219,11 @@
         self.random = Random(seed)
         self.loads = EndpointLoads()
         self.works: dict[int, Work] = {}
-        self.knowledge = FleetState(
+        self.fleet_state = FleetState(
             failure_domain="a", peers=Peers(own_name="i0"), clock=StoreClock()
         )
-        self.knowledge.apply_catalog(CatalogSnapshot(catalog=make_catalog(kinds), store_time=1.0))
-        self.knowledge.apply_endpoints(
+        self.fleet_state.apply_catalog(CatalogSnapshot(catalog=make_catalog(kinds), store_time=1.0))
+        self.fleet_state.apply_endpoints(
             EndpointSnapshot(records=records, digest="d", store_time=1.0)
         )
         self.profiles = build_profiles()
@@ -228,7 +234,7 @@
 
     def build_placer(self, history: RejectionHistory, *, seed: int) -> LocalPlacer:
         return LocalPlacer(
-            knowledge=self.knowledge,
+            fleet_state=self.fleet_state,
             chooser=EndpointChooser(loads=self.loads, cache=PromptCache(), random=Random(seed)),
             demand=self.demand,
             profiles=self.profiles,
@@ -238,8 +244,8 @@
         )
 
     def find_route(self, kind: Kind) -> Route:
-        assert self.knowledge.catalog is not None
-        route = self.knowledge.catalog.find_route("portal.example", f"/{kind.urgency}/")
+        assert self.fleet_state.catalog is not None
+        route = self.fleet_state.catalog.find_route("portal.example", f"/{kind.urgency}/")
         assert route is not None
         return route
 
@@ -247,7 +253,7 @@
         self.now = event.due
         self.exchange_heartbeats()
         kind = event.kind
-        assert self.knowledge.catalog is not None
+        assert self.fleet_state.catalog is not None
         request = build_request(
             request_id=str(event.number),
             prompt_tokens=kind.prompt_tokens,
@@ -258,13 +264,13 @@
         progress = begin_progress(
             request,
             Admitted(
-                catalog=self.knowledge.catalog,
+                catalog=self.fleet_state.catalog,
                 route=route,
                 organisation=None,
                 urgency=kind.urgency,
             ),
             service=POOL,
-            shortest_objective_s=self.knowledge.find_shortest_objective(POOL),
+            shortest_objective_s=self.fleet_state.find_shortest_objective(POOL),
             profile=PROFILE,
             most_urgent=kind.urgency == 0,
         )
--- a/tests/order_simulation.py
+++ b/tests/order_simulation.py
@@ -197,7 +197,7 @@
             generate_nonce=lambda: f"{name}-{next(numbers)}",
             parameters=PARAMETERS,
         )
-        self.giver = OrderIssuer(
+        self.issuer = OrderIssuer(
             platform=simulation.platform,
             leases=self.leases,
             sender=self.sender,
@@ -211,5 +211,5 @@
         """Take steps for every engine, with a pause after each round."""
         for _ in range(steps):
             for endpoint in fleet.endpoints.values():
-                await self.giver.take_step(endpoint, fleet, running=running)
+                await self.issuer.take_step(endpoint, fleet, running=running)
             self.simulation.advance(pause_s)
--- a/tests/scheduling_simulation.py
+++ b/tests/scheduling_simulation.py
@@ -93,14 +93,14 @@
             processor_share=2.0 if number < 20 else 0.5,
         )
         self.peers = Peers(own_name=self.record.name)
-        self.knowledge = FleetState(failure_domain="a", peers=self.peers, clock=StoreClock())
-        self.knowledge.apply_catalog(CatalogSnapshot(catalog=make_pool_catalog(), store_time=1.0))
+        self.fleet_state = FleetState(failure_domain="a", peers=self.peers, clock=StoreClock())
+        self.fleet_state.apply_catalog(CatalogSnapshot(catalog=make_pool_catalog(), store_time=1.0))
         self.profiles = EngineProfiles()
         self.counters = Counters()
         self.scheduling = Scheduling(
             record=self.record,
             incarnation=1,
-            knowledge=self.knowledge,
+            fleet_state=self.fleet_state,
             profiles=self.profiles,
             counters=self.counters,
             send=lambda data, address: simulation.send(self.record, data, address),
@@ -110,7 +110,7 @@
 
     def apply_endpoints(self, records: list[EndpointRecord], *, reading: float) -> None:
         """Apply a table of engines."""
-        self.knowledge.apply_endpoints(
+        self.fleet_state.apply_endpoints(
             EndpointSnapshot(records=records, digest=f"d{reading}", store_time=reading)
         )
 
--- a/tests/test_hosted_endpoints.py
+++ b/tests/test_hosted_endpoints.py
@@ -66,18 +66,22 @@
 
     def build_loop(self) -> OrderLoop:
         """Return the order loop on an in-memory platform."""
-        platform, clock, terms = FakePlatform(), SystemClock(), LeaseParameters()
+        platform, clock, parameters = FakePlatform(), SystemClock(), LeaseParameters()
         leases = LeaseHolder(
-            platform=platform, clock=clock, holder="a", generate_nonce=lambda: "n", parameters=terms
+            platform=platform,
+            clock=clock,
+            holder="a",
+            generate_nonce=lambda: "n",
+            parameters=parameters,
         )
-        giver = OrderIssuer(
+        issuer = OrderIssuer(
             platform=platform,
             leases=leases,
             sender=HttpOrderSender(),
             clock=clock,
-            parameters=terms,
+            parameters=parameters,
         )
-        return OrderLoop(issuer=giver, kept=self.kept, clock=clock)
+        return OrderLoop(issuer=issuer, kept=self.kept, clock=clock)
 
     def ask(self, ask_id: str) -> str:
         """Request a slot and return the kind of the last response."""
--- a/tests/test_order_loop.py
+++ b/tests/test_order_loop.py
@@ -48,7 +48,7 @@
         self.simulation = OrderSimulation(fencing=Fencing.CHECKED)
         self.holder = Holder(self.simulation, "a")
         self.kept = FakeKeptEndpoints(build_fleet(engines=4))
-        self.loop = OrderLoop(issuer=self.holder.giver, kept=self.kept, clock=self.holder.clock)
+        self.loop = OrderLoop(issuer=self.holder.issuer, kept=self.kept, clock=self.holder.clock)
 
     async def run_rounds(self, count: int) -> None:
         """Run rounds with a pause after each."""
--- a/tests/test_orders.py
+++ b/tests/test_orders.py
@@ -24,11 +24,11 @@
         simulation = OrderSimulation(fencing=Fencing.CHECKED)
         holder, fleet = Holder(simulation, "a"), build_fleet()
         await holder.run(fleet)
-        self.assertTrue(holder.giver.is_out_of_use("e0"))
+        self.assertTrue(holder.issuer.is_out_of_use("e0"))
         self.assertEqual(self.list_out(simulation), {"e0"})
         await holder.run(fleet, steps=4)
         self.assertEqual(simulation.reported["e0"], {"m": "2"})
-        self.assertFalse(holder.giver.is_out_of_use("e0"))
+        self.assertFalse(holder.issuer.is_out_of_use("e0"))
         self.assertEqual(self.list_out(simulation), frozenset())
         self.assertEqual(len(holder.sender.sent), 1)
         writes = len(simulation.platform.applied)
@@ -41,7 +41,7 @@
         simulation = OrderSimulation(fencing=Fencing.CHECKED)
         holder, fleet = Holder(simulation, "a"), build_fleet()
         await holder.run(fleet, steps=5, running=3)
-        self.assertEqual((holder.giver.is_out_of_use("e0"), holder.sender.sent), (True, []))
+        self.assertEqual((holder.issuer.is_out_of_use("e0"), holder.sender.sent), (True, []))
         await holder.run(fleet, steps=3)
         self.assertEqual(simulation.reported["e0"], {"m": "2"})
 
@@ -95,7 +95,7 @@
         self.assertEqual(simulation.reported["e0"], {"m": "1"})
         await second.run(fleet, steps=6)
         self.assertEqual(simulation.reported["e0"], {"m": "2"})
-        self.assertFalse(second.giver.is_out_of_use("e0"))
+        self.assertFalse(second.issuer.is_out_of_use("e0"))
 
     async def test_order_with_a_lost_response_is_not_sent_twice(self) -> None:
         # The engine accepts the order and its response is lost. A retry would start a load of many
@@ -105,7 +105,7 @@
         holder.sender.faults.append("lost")
         await holder.run(fleet, steps=10)
         self.assertEqual(len(holder.sender.sent), 1)
-        self.assertFalse(holder.giver.is_out_of_use("e0"))
+        self.assertFalse(holder.issuer.is_out_of_use("e0"))
 
     async def test_one_order_at_a_time(self) -> None:
         # An order's response is lost and it takes effect a minute later. Meanwhile a new plan asks
@@ -148,7 +148,7 @@
         simulation.platform.down_calls = 2
         with self.assertRaises(PlatformUnavailable):
             await holder.run(fleet)
-        self.assertFalse(holder.giver.is_out_of_use("e0"))
+        self.assertFalse(holder.issuer.is_out_of_use("e0"))
         await holder.run(fleet, steps=2)
         self.assertEqual(self.list_out(simulation), frozenset())
 
--- a/tests/test_orders_properties.py
+++ b/tests/test_orders_properties.py
@@ -142,4 +142,4 @@
         self.assertEqual(runner.simulation.reported["e0"], {"m": "9"})
         out = runner.simulation.platform.find_row(ROLLOUT_TABLE, OUT_OF_USE_KEY)
         self.assertEqual(decode_out_of_use(out), frozenset())
-        self.assertFalse(runner.holders["b"].giver.is_out_of_use("e0"))
+        self.assertFalse(runner.holders["b"].issuer.is_out_of_use("e0"))
--- a/tests/test_platform_wire.py
+++ b/tests/test_platform_wire.py
@@ -141,14 +141,16 @@
         request = self.codec.decode_request(
             method="POST", target="/p", headers=list(headers), body=b"x", arrived=0.0
         )
-        terms = SendParameters(
+        parameters = SendParameters(
             endpoint_id="i-1",
             organisation="bakery",
             remaining_s=1.25,
             urgency=2,
             resume_after=None,
         )
-        return {name.lower(): value for name, value in self.codec.encode_request(request, terms)}
+        return {
+            name.lower(): value for name, value in self.codec.encode_request(request, parameters)
+        }
 
     def test_callers_cannot_set_the_relays_headers(self) -> None:
         forged = ("X-Tenant", "X-Hold", "X-Pin-Ms", "X-Kv-Backup", "Kv-From", "Kv-Fetch")
--- a/tests/test_relay_admission.py
+++ b/tests/test_relay_admission.py
@@ -62,10 +62,10 @@
                 kv_capacity_tokens=611_000,
                 kv_limit=STALE_LOADS_LIMIT if loads_late else FRESH_LOADS_LIMIT,
             )
-            terms = WaitParameters(
+            parameters = WaitParameters(
                 objective_s=2.0, latency_tolerant=True, most_urgent=True, loads_stale=loads_late
             )
-            rejection = admit(expected, terms, random=Random(1))
+            rejection = admit(expected, parameters, random=Random(1))
             self.assertEqual(rejection is not None, loads_late)
 
     def test_stale_loads_allow_longer_waits_most_of_all_for_the_most_urgent(self) -> None:
@@ -84,10 +84,10 @@
             (1_500.0, WaitParameters(objective_s=0.3, loads_stale=True, most_urgent=True), False),
             (1_850.0, WaitParameters(objective_s=0.3, loads_stale=True, most_urgent=True), True),
         )
-        for waiting_ms, terms, is_rejected in cases:
+        for waiting_ms, parameters, is_rejected in cases:
             expected = Forecast(start_ms=40.0, waiting_ms=waiting_ms, prefill_ms=10.0)
-            rejection = admit(expected, terms, random=Random(1))
-            self.assertEqual(rejection is not None, is_rejected, (waiting_ms, terms))
+            rejection = admit(expected, parameters, random=Random(1))
+            self.assertEqual(rejection is not None, is_rejected, (waiting_ms, parameters))
 
     def test_the_share_of_late_first_events_grows_with_their_forecast(self) -> None:
         shares = [estimate_late_share(ms, due_ms=600.0) for ms in (300.0, 420.0, 600.0, 900.0)]
--- a/tests/test_relay_admission_control_properties.py
+++ b/tests/test_relay_admission_control_properties.py
@@ -43,8 +43,8 @@
         self, urgency: int, waiting_ms: float, *, prefill_ms: float = 60.0, now: float = 0.0
     ) -> bool:
         forecast = Forecast(start_ms=40.0, waiting_ms=waiting_ms, prefill_ms=prefill_ms)
-        terms = WaitParameters(objective_s=OBJECTIVES_S[urgency], most_urgent=urgency == 0)
-        rejection = self.control.admit(forecast, terms, service=POOL, urgency=urgency, now=now)
+        parameters = WaitParameters(objective_s=OBJECTIVES_S[urgency], most_urgent=urgency == 0)
+        rejection = self.control.admit(forecast, parameters, service=POOL, urgency=urgency, now=now)
         return rejection is None
 
     def reject_requests(
--- a/tests/test_relay_caller_admission.py
+++ b/tests/test_relay_caller_admission.py
@@ -47,11 +47,11 @@
         self.records = [build_endpoint("x"), build_endpoint("y")]
         self._clock = StoreClock()
         peers = Peers(own_name="one")
-        self.knowledge = FleetState(failure_domain="a", peers=peers, clock=self._clock)
+        self.fleet_state = FleetState(failure_domain="a", peers=peers, clock=self._clock)
         counters = Counters()
         self.reader = StoreReader(
             store=self,
-            fleet_state=self.knowledge,
+            fleet_state=self.fleet_state,
             log=DecisionLog(instance="one", descriptor=os.open(os.devnull, os.O_WRONLY)),
             counters=counters,
             read_time=lambda: self.now,
@@ -62,7 +62,7 @@
         self.admission = CallerAdmission(
             gate=CallerGate(bounds=BOUNDS),
             bounds=BOUNDS,
-            fleet_state=self.knowledge,
+            fleet_state=self.fleet_state,
             reader=self.reader,
             read_time=lambda: self.now,
         )
--- a/tests/test_relay_decisions.py
+++ b/tests/test_relay_decisions.py
@@ -200,8 +200,8 @@
     def test_every_window_keeps_the_allowance(
         self, instances: int, requests: list[float], tries: list[float]
     ) -> None:
-        terms = RetryBudgetSettings(ratio=0.2, slack=20.0, window_s=10.0)
-        budget = RetryBudget(settings=terms)
+        parameters = RetryBudgetSettings(ratio=0.2, slack=20.0, window_s=10.0)
+        budget = RetryBudget(settings=parameters)
         events = sorted([(at, False) for at in requests] + [(at, True) for at in tries])
         spent = []
         for at, is_retry in events:
--- a/tests/test_relay_endpoint_update.py
+++ b/tests/test_relay_endpoint_update.py
@@ -54,10 +54,10 @@
         The instance has read the table without the endpoint; a delayed, older update from another
         instance still lists it.
         """
-        knowledge = FleetState(failure_domain="a", peers=Peers(own_name="me"), clock=StoreClock())
-        self.assertTrue(knowledge.apply_endpoints(make_snapshot("e1", store_time=20.0)))
-        self.assertFalse(knowledge.apply_endpoints(make_snapshot("e1", "e2", store_time=19.0)))
-        self.assertIsNone(knowledge.endpoints.find("e2"))
+        fleet_state = FleetState(failure_domain="a", peers=Peers(own_name="me"), clock=StoreClock())
+        self.assertTrue(fleet_state.apply_endpoints(make_snapshot("e1", store_time=20.0)))
+        self.assertFalse(fleet_state.apply_endpoints(make_snapshot("e1", "e2", store_time=19.0)))
+        self.assertIsNone(fleet_state.endpoints.find("e2"))
 
 
 if __name__ == "__main__":
--- a/tests/test_relay_exchange.py
+++ b/tests/test_relay_exchange.py
@@ -41,9 +41,9 @@
 class SlowPool(ConnectionPool):
     """A pool whose connections take long to acquire."""
 
-    def __init__(self, world: AdmissionSimulation) -> None:
+    def __init__(self, simulation: AdmissionSimulation) -> None:
         super().__init__()
-        self._world = world
+        self._world = simulation
         self.delay_s = 0.0
         self.on_acquire: list[Callable[[], None]] = []
         """Called while the first connection is acquired; then only that one is slow."""
@@ -61,41 +61,41 @@
     """A request is sent by the current configuration, however long the send is delayed."""
 
     async def asyncSetUp(self) -> None:
-        self.world = AdmissionSimulation()
+        self.simulation = AdmissionSimulation()
         self.engine = EngineStandIn(engine_id="x")
         port = await self.engine.listen()
         self.addAsyncCleanup(self.engine.stop)
         self.record = build_endpoint("x", port=port)
-        self.world.change_endpoints(self.record)
-        self.pool = SlowPool(self.world)
+        self.simulation.change_endpoints(self.record)
+        self.pool = SlowPool(self.simulation)
         self.exchanger = self.make_exchanger()
 
     def make_exchanger(self) -> Exchanger:
         counters = Counters()
         log = DecisionLog(instance="one", descriptor=os.open(os.devnull, os.O_WRONLY))
-        knowledge = self.world.knowledge
+        fleet_state = self.simulation.fleet_state
         return Exchanger(
-            admission=self.world.admission,
-            knowledge=knowledge,
+            admission=self.simulation.admission,
+            fleet_state=fleet_state,
             loads=EndpointLoads(),
             cache=PromptCache(),
             budget=RetryBudget(settings=RetryBudgetSettings(ratio=0.2, slack=20.0, window_s=10.0)),
             codec=PlatformHeaders(),
             pool=self.pool,
             recorder=RequestRecorder(
-                log=log, counters=counters, knowledge=knowledge, loop_delay=LoopDelay()
+                log=log, counters=counters, fleet_state=fleet_state, loop_delay=LoopDelay()
             ),
             profiles=EngineProfiles(),
             publish_load=mock.Mock(),
-            read_time=lambda: self.world.now,
+            read_time=lambda: self.simulation.now,
         )
 
     async def run_attempt(self) -> RequestProgress:
         """Admit a request and run one attempt."""
-        admitted = await self.world.admit()
+        admitted = await self.simulation.admit()
         assert isinstance(admitted, Admitted)
         headers = (("Host", "portal.example"), ("X-Attempt-Id", "r1"))
-        request = build_request(received_at=self.world.now, headers=headers)
+        request = build_request(received_at=self.simulation.now, headers=headers)
         progress = begin_progress(
             request,
             admitted,
@@ -112,7 +112,7 @@
     def make_placer(self) -> LocalPlacer:
         """Return a placer that uses this instance's own data."""
         return LocalPlacer(
-            knowledge=self.world.knowledge,
+            fleet_state=self.simulation.fleet_state,
             chooser=EndpointChooser(
                 loads=EndpointLoads(),
                 cache=PromptCache(),
@@ -122,14 +122,14 @@
             profiles=EngineProfiles(),
             rejections=RejectionHistory(),
             random=Random(1),
-            read_time=lambda: self.world.now,
+            read_time=lambda: self.simulation.now,
         )
 
     async def relay(self) -> mock.Mock:
         """Relay a request; return the writer that received its response."""
         relayer = Relayer(
-            knowledge=self.world.knowledge,
-            admission=self.world.admission,
+            fleet_state=self.simulation.fleet_state,
+            admission=self.simulation.admission,
             loads=EndpointLoads(),
             budget=mock.Mock(),
             codec=PlatformHeaders(),
@@ -138,11 +138,11 @@
             exchanger=self.exchanger,
             demand=PromptDemand(),
             profiles=EngineProfiles(),
-            read_time=lambda: self.world.now,
+            read_time=lambda: self.simulation.now,
         )
         headers = (("Host", "portal.example"), ("X-Attempt-Id", "r1"))
         writer = mock.create_autospec(ResponseWriter, instance=True, started=False)
-        request = build_request(received_at=self.world.now, headers=headers, timeout_s=60.0)
+        request = build_request(received_at=self.simulation.now, headers=headers, timeout_s=60.0)
         await relayer.relay(request, writer)
         return writer
 
@@ -152,22 +152,22 @@
         While its connection is acquired, the route moves to another service and the staleness bound
         passes. The request is admitted again and runs at the route's new service.
         """
-        self.world.replace_routes(build_route(timeout_s=30.0))
+        self.simulation.replace_routes(build_route(timeout_s=30.0))
         annex = EngineStandIn(engine_id="z")
         port = await annex.listen()
         self.addAsyncCleanup(annex.stop)
         moved = build_endpoint("z", service="annex", port=port)
-        self.pool.on_acquire.append(self.world.move_route)
-        self.pool.on_acquire.append(lambda: self.world.change_endpoints(self.record, moved))
+        self.pool.on_acquire.append(self.simulation.move_route)
+        self.pool.on_acquire.append(lambda: self.simulation.change_endpoints(self.record, moved))
         self.pool.delay_s = 1.7
         writer = await self.relay()
         self.assertEqual(writer.send.call_args.args[0], 200)
         self.assertEqual((len(self.engine.runs), len(annex.runs)), (0, 1))
 
     async def test_a_delayed_request_without_route_is_rejected_as_not_run(self) -> None:
-        self.world.replace_routes(build_route(timeout_s=30.0))
+        self.simulation.replace_routes(build_route(timeout_s=30.0))
         other = build_route(path_prefix="/other/")
-        self.pool.on_acquire.append(lambda: self.world.replace_routes(other))
+        self.pool.on_acquire.append(lambda: self.simulation.replace_routes(other))
         self.pool.delay_s = 1.7
         writer = await self.relay()
         self.assertEqual(writer.send.call_args.args[0], 404)
--- a/tests/test_relay_heartbeat_exchange.py
+++ b/tests/test_relay_heartbeat_exchange.py
@@ -67,7 +67,7 @@
         self.sequence = 0
         self.peers = Peers(own_name=self.record.name)
         self.topology = HeartbeatTopology(record=self.record, peers=self.peers)
-        self.knowledge = FleetState(
+        self.fleet_state = FleetState(
             failure_domain=self.record.failure_domain, peers=self.peers, clock=StoreClock()
         )
         self.exchange = HeartbeatExchange(
@@ -75,7 +75,7 @@
             peers=self.peers,
             topology=self.topology,
             aggregates=HeartbeatAggregation(
-                record=self.record, knowledge=self.knowledge, read_profiles=lambda: {}
+                record=self.record, fleet_state=self.fleet_state, read_profiles=lambda: {}
             ),
             build_heartbeat=self.build_heartbeat,
             on_heartbeat=self.apply_heartbeat,
@@ -108,7 +108,7 @@
         self.apply_stamp(aggregate.catalog)
 
     def apply_stamp(self, catalog: FreshnessStamp | None) -> None:
-        self.knowledge.apply_stamps(catalog=catalog, endpoints=None)
+        self.fleet_state.apply_stamps(catalog=catalog, endpoints=None)
         if catalog is not None:
             self.received_catalog = catalog
 
--- a/tests/test_relay_scheduler.py
+++ b/tests/test_relay_scheduler.py
@@ -22,7 +22,7 @@
 from tests.relay_fixtures import PROFILE, build_endpoint
 from tests.scheduling_simulation import GROUP, KV_CAPACITY_TOKENS, POOL, make_query
 
-FACTS = ServiceParameters(
+PARAMETERS = ServiceParameters(
     profile=PROFILE, kv_capacity_tokens=KV_CAPACITY_TOKENS, shortest_pause_s=0.6
 )
 BEGAN = 50.0
@@ -38,7 +38,7 @@
 
     def decide(self, number: int, *, now: float = NOW, **changes: object) -> PlacementReply:
         query = make_query(number, **changes)
-        return self.scheduler.decide(query, self.engines, FACTS, now=now)
+        return self.scheduler.decide(query, self.engines, PARAMETERS, now=now)
 
     def update(
         self, number: int, phase: WorkPhase, *, requester: str = "i1", **changes: float
@@ -203,7 +203,7 @@
         while verdict is Verdict.GRANTED:
             number += 1
             query = make_query(number, most_urgent=False, **long_prompt)
-            verdict = scheduler.decide(query, [engine], FACTS, now=NOW).verdict
+            verdict = scheduler.decide(query, [engine], PARAMETERS, now=NOW).verdict
             scheduler.work.apply_update(
                 WorkUpdate(
                     requester=query.requester, group=GROUP, number=number, phase=WorkPhase.RUNNING
@@ -211,7 +211,7 @@
                 now=NOW,
             )
         self.assertIs(verdict, Verdict.REFUSED)
-        urgent = scheduler.decide(make_query(999, requester="i2"), [engine], FACTS, now=NOW)
+        urgent = scheduler.decide(make_query(999, requester="i2"), [engine], PARAMETERS, now=NOW)
         self.assertIs(urgent.verdict, Verdict.GRANTED)
         self.assertLessEqual(scheduler.work.loads.sum_up("e").kv_tokens, KV_CAPACITY_TOKENS)
 
--- a/tests/test_relay_scheduler_properties.py
+++ b/tests/test_relay_scheduler_properties.py
@@ -27,7 +27,7 @@
 from tests.scheduling_simulation import GROUP, KV_CAPACITY_TOKENS, POOL, make_query
 
 EXAMPLES = int(os.environ.get("GUAVAMAST_EXAMPLES", "100"))
-FACTS = ServiceParameters(
+PARAMETERS = ServiceParameters(
     profile=PROFILE, kv_capacity_tokens=KV_CAPACITY_TOKENS, shortest_pause_s=0.6
 )
 ENGINES = [build_endpoint(f"e{number}", service=POOL, slots=8) for number in range(2)]
@@ -72,7 +72,7 @@
                     most_urgent=first,
                     objective_s=60.0,
                 )
-                reply = scheduler.decide(query, ENGINES, FACTS, now=now)
+                reply = scheduler.decide(query, ENGINES, PARAMETERS, now=now)
                 if reply.verdict is Verdict.GRANTED:
                     running[number] = (query, reply.endpoint_id)
                     self.check_kv_limit(running, reply.endpoint_id, first=first)
@@ -113,7 +113,7 @@
     ) -> None:
         from guavamast.relay.scheduling_messages import PlacedWork, Requester
 
-        asker = Requester(instance=f"i{instance_number}", incarnation=1)
+        requester = Requester(instance=f"i{instance_number}", incarnation=1)
         works = tuple(
             PlacedWork(
                 number=number,
@@ -125,9 +125,9 @@
                 pause_sensitive=False,
             )
             for number, (query, endpoint_id) in running.items()
-            if query.requester == asker
+            if query.requester == requester
         )
-        report = WorkReport(requester=asker, group=GROUP, works=works)
+        report = WorkReport(requester=requester, group=GROUP, works=works)
         decoded = decode_scheduling(encode_scheduling(report))
         self.assertEqual(decoded, report)
         scheduler.work.apply_report(report, now=now)
@@ -145,7 +145,7 @@
         scheduler = GroupScheduler(random=Random(1), now=0.0)
         query = make_query(5, excluded=("e1",), most_urgent=False)
         self.assertEqual(decode_scheduling(encode_scheduling(query)), query)
-        reply = scheduler.decide(query, ENGINES, FACTS, now=9.0)
+        reply = scheduler.decide(query, ENGINES, PARAMETERS, now=9.0)
         decoded = decode_scheduling(encode_scheduling(reply))
         self.assertEqual(
             (decoded.number, decoded.verdict, decoded.endpoint_id),
--- a/tests/test_relay_scheduling.py
+++ b/tests/test_relay_scheduling.py
@@ -41,7 +41,7 @@
     def build_placer(self, instance: SimulatedInstance) -> ScheduledPlacer:
         loads = EndpointLoads()
         own = LocalPlacer(
-            knowledge=instance.knowledge,
+            fleet_state=instance.fleet_state,
             chooser=EndpointChooser(loads=loads, cache=PromptCache(), random=Random(1)),
             demand=PromptDemand(),
             profiles=instance.profiles,
@@ -53,7 +53,7 @@
             local_placer=own,
             client=instance.scheduling.client,
             groups=instance.scheduling.groups,
-            knowledge=instance.knowledge,
+            fleet_state=instance.fleet_state,
             loads=loads,
             read_time=lambda: self.simulation.now,
         )
@@ -61,7 +61,7 @@
     def build_progress(
         self, instance: SimulatedInstance, request: CallerRequest
     ) -> RequestProgress:
-        catalog = instance.knowledge.catalog
+        catalog = instance.fleet_state.catalog
         assert catalog is not None
         route = catalog.find_route("portal.example", "/answers/")
         assert route is not None
--- a/tests/test_relay_table_watch.py
+++ b/tests/test_relay_table_watch.py
@@ -42,7 +42,7 @@
         self.watch = CatalogWatch(
             read=SharedRead(read=self.read),
             schedule=UpdateOnlySchedule(),
-            fleet_state=self.simulation.knowledge,
+            fleet_state=self.simulation.fleet_state,
             counters=Counters(),
             loop_delay=LoopDelay(),
             read_time=lambda: self.simulation.now,
@@ -53,13 +53,13 @@
 
     async def read(self) -> bool:
         self.reads += 1
-        self.simulation.knowledge.newer_catalog_known = False
+        self.simulation.fleet_state.newer_catalog_known = False
         self.was_read.set()
         return True
 
     async def test_update_wakes_the_watch(self) -> None:
         """A changed configuration is read although the next round is far away."""
-        self.simulation.knowledge.newer_catalog_known = True
+        self.simulation.fleet_state.newer_catalog_known = True
         self.watch.wake_for_update()
         await asyncio.wait_for(self.was_read.wait(), EVENT_TIMEOUT_S)
 
