--- a/src/guavamast/configuration_spread.py
+++ b/src/guavamast/configuration_spread.py
@@ -82,8 +82,9 @@
     """The configuration text of one instance and the decisions on how to update it.
 
     The dispatcher reads the head row at `next_poll_at` and calls `record_head` or
-    `record_failed_poll`, reads the snapshot that `choose_snapshot` returns and passes it to `accept`;
-    it also passes what an entry announces to `accept`. `HeartbeatLinks` makes all other calls.
+    `record_failed_poll`, reads the snapshot that `choose_snapshot` returns and passes it to
+    `accept`; it also passes what an entry announces to `accept`. `HeartbeatLinks` makes all other
+    calls.
 
     Args:
         now: Current time of a monotonic clock.
--- a/src/guavamast/heartbeat_links.py
+++ b/src/guavamast/heartbeat_links.py
@@ -56,8 +56,8 @@
     """Maintains the streams to this instance's neighbours and runs its failure detector.
 
     The dispatcher awaits `run` in a task, passes each ``Gossip`` stream to `serve`, calls
-    `schedule_flush` after it changed the membership or the configuration itself, and awaits `close` at
-    the end.
+    `schedule_flush` after it changed the membership or the configuration itself, and awaits `close`
+    at the end.
 
     Args:
         membership: This instance's membership.
--- a/src/guavamast/membership.py
+++ b/src/guavamast/membership.py
@@ -55,10 +55,10 @@
 class Membership:
     """The members of the fleet and the failure detector of one instance.
 
-    `HeartbeatLinks` calls `tick` once per period, `merge` for received records and `report_connection_refused`,
-    and sends changes to `list_neighbours`. The dispatcher calls `add_seeds` at the start,
-    `set_platform_addresses` after each read of the platform's list, `set_load`, `leave`, `end` and
-    `make_view`.
+    `HeartbeatLinks` calls `tick` once per period, `merge` for received records and
+    `report_connection_refused`, and sends changes to `list_neighbours`. The dispatcher calls
+    `add_seeds` at the start, `set_platform_addresses` after each read of the platform's list,
+    `set_load`, `leave`, `end` and `create_view`.
 
     Args:
         me: This instance.
