--- a/src/guavamast/relay/decision_log.py
+++ b/src/guavamast/relay/decision_log.py
@@ -1,4 +1,4 @@
-"""One JSON object a line on standard output for each decision, bounded and never blocking."""
+"""One JSON line on standard output for each decision, rate-limited and never blocking."""
 
 from __future__ import annotations
 
@@ -8,26 +8,26 @@
 from typing import Final
 
 LINES_PER_S: Final = 80.0
-"""Lines a second on average: several times the requests of an instance at its usual load."""
+"""Lines per second on average: several times an instance's usual request rate."""
 BURST_LINES: Final = 400.0
-"""Lines at once, after a quiet time."""
+"""Lines in one burst after an idle period."""
 
 LogValue = str | int | float | bool | None
 
 
 class DecisionLog:
-    """Writes lines until the rate is used up; what is dropped is counted in the next line.
+    """Writes lines up to a rate limit; the next line written states how many were dropped.
 
-    Failure: the reader of the log stops reading, the pipe fills, and the process waits in a write
-    while its callers wait for answers. The descriptor does not block, and a line that finds no room
-    is dropped and counted.
+    Without this, when the reader of the log stops reading, the pipe fills and the process blocks in
+    a write while its callers wait for responses. The descriptor is non-blocking, and a line that
+    does not fit is dropped and counted.
 
     Args:
         instance: Name of this instance, on each line.
-        descriptor: Where lines go.
+        descriptor: File descriptor that lines are written to.
     """
 
-    __slots__ = ("_allowance", "_descriptor", "_dropped", "_instance", "_rest", "_updated")
+    __slots__ = ("_allowance", "_descriptor", "_dropped", "_instance", "_unwritten", "_updated")
 
     def __init__(self, *, instance: str, descriptor: int) -> None:
         self._instance = instance
@@ -35,16 +35,16 @@
         self._allowance = BURST_LINES
         self._updated: float | None = None
         self._dropped = 0
-        self._rest = b""
+        self._unwritten = b""
         os.set_blocking(descriptor, False)
 
     def write(self, event: str, *, now: float, **fields: LogValue) -> None:
         """Write one line.
 
         Args:
-            event: What was decided or seen, in a few words joined by underscores.
-            now: The present time, for the rate.
-            fields: The inputs that decided and the outcome.
+            event: Name of the decision or event, in a few words joined by underscores.
+            now: The current time, for the rate limit.
+            fields: The inputs of the decision and its outcome.
         """
         if self._updated is not None:
             elapsed = max(0.0, now - self._updated)
@@ -62,21 +62,21 @@
         line.update(fields)
         if self._dropped:
             line["dropped"] = self._dropped
-        if self._put(json.dumps(line, separators=(",", ":")).encode() + b"\n"):
+        if self._write_bytes(json.dumps(line, separators=(",", ":")).encode() + b"\n"):
             self._dropped = 0
         else:
             self._dropped += 1
 
-    def _put(self, data: bytes) -> bool:
-        """Write a line after the rest of the one before it; False when there is no room."""
+    def _write_bytes(self, data: bytes) -> bool:
+        """Write a line after the rest of the previous one; return False if the pipe is full."""
         try:
-            if self._rest:
-                written = os.write(self._descriptor, self._rest)
-                self._rest = self._rest[written:]
-                if self._rest:
+            if self._unwritten:
+                written = os.write(self._descriptor, self._unwritten)
+                self._unwritten = self._unwritten[written:]
+                if self._unwritten:
                     return False
             written = os.write(self._descriptor, data)
         except (BlockingIOError, BrokenPipeError):
             return False
-        self._rest = data[written:]
+        self._unwritten = data[written:]
         return True
--- a/src/guavamast/relay/endpoint_groups.py
+++ b/src/guavamast/relay/endpoint_groups.py
@@ -1,4 +1,4 @@
-"""Which endpoints of a service are scheduled together."""
+"""Partition of a service's endpoints into groups that are scheduled together."""
 
 from __future__ import annotations
 
@@ -9,19 +9,19 @@
 if TYPE_CHECKING:
     from guavamast.relay.endpoint_table import EndpointRecord, EndpointTable
 
-MOST_IN_GROUP: Final = 45
-"""Endpoints of a group at most, on average: one scheduler compares all of its group for each
-request, and the larger the group, the better it can choose."""
+MAX_MEAN_GROUP_SIZE: Final = 45
+"""Endpoints of a group at most, on average: a scheduler compares all endpoints of its group for
+each request, and a larger group gives it a better choice."""
 
 
 class EndpointGroups:
-    """The groups of all services, made anew when the table of endpoints has changed.
+    """Groups of all services, rebuilt when the endpoint table changes.
 
-    Each endpoint has its group by rendezvous, so that another one more or less moves no other but
-    where the number of groups changes. Instances with the same table have the same groups.
+    Rendezvous hashing assigns each endpoint to a group, so that adding or removing one moves others
+    only when the number of groups changes. Instances with the same table have the same groups.
 
     Args:
-        table: The endpoints.
+        table: Endpoints of all services.
     """
 
     __slots__ = ("_groups", "_revision", "_table")
@@ -32,27 +32,27 @@
         self._groups: dict[str, dict[str, list[EndpointRecord]]] = {}
 
     def list_members(self, service: str, group: str) -> list[EndpointRecord]:
-        """Return the endpoints of a group that may get requests."""
-        return self._find(service).get(group, [])
+        """Return the endpoints of a group that accept requests."""
+        return self._get_groups(service).get(group, [])
 
     def find_group(self, record: EndpointRecord) -> str:
-        """Return the group in which an endpoint is scheduled."""
-        names = list(self._find(record.service)) or [_name(record.service, 0)]
-        return _find_best(record.endpoint_id, names)
+        """Return the name of the group in which an endpoint is scheduled."""
+        names = list(self._get_groups(record.service)) or [_format_name(record.service, 0)]
+        return _select_group(record.endpoint_id, names)
 
     def rank(self, service: str, key: str) -> list[str]:
-        """Return the groups of a service in the order in which a request asks them.
+        """Return the groups of a service in the order in which a request queries them.
 
         Args:
             service: The service.
             key: Requests with the same key have the same order.
         """
-        names = list(self._find(service))
+        names = list(self._get_groups(service))
         if len(names) > 1:
             names.sort(key=lambda name: compute_weight(key, name), reverse=True)
         return names
 
-    def _find(self, service: str) -> dict[str, list[EndpointRecord]]:
+    def _get_groups(self, service: str) -> dict[str, list[EndpointRecord]]:
         if self._revision != self._table.revision:
             self._revision = self._table.revision
             self._groups.clear()
@@ -64,23 +64,23 @@
 
 
 def count_groups(endpoints: int) -> int:
-    """Return the number of groups for so many endpoints of a service."""
-    return max(1, -(-endpoints // MOST_IN_GROUP))
+    """Return the number of groups for a number of endpoints of a service."""
+    return max(1, -(-endpoints // MAX_MEAN_GROUP_SIZE))
 
 
 def _split(service: str, records: list[EndpointRecord]) -> dict[str, list[EndpointRecord]]:
-    names = [_name(service, number) for number in range(count_groups(len(records)))]
+    names = [_format_name(service, number) for number in range(count_groups(len(records)))]
     groups: dict[str, list[EndpointRecord]] = {name: [] for name in names}
     for record in records:
-        groups[_find_best(record.endpoint_id, names)].append(record)
+        groups[_select_group(record.endpoint_id, names)].append(record)
     return groups
 
 
-def _name(service: str, number: int) -> str:
+def _format_name(service: str, number: int) -> str:
     return f"{service}/{number}"
 
 
-def _find_best(endpoint_id: str, names: list[str]) -> str:
+def _select_group(endpoint_id: str, names: list[str]) -> str:
     if len(names) == 1:
         return names[0]
     return max(names, key=lambda name: compute_weight(endpoint_id, name))
--- a/src/guavamast/relay/endpoint_news.py
+++ b/src/guavamast/relay/endpoint_news.py
@@ -1,4 +1,4 @@
-"""The table of endpoints as one instance has read it, told to the others in a datagram."""
+"""Endpoint update: the table of endpoints as one instance has read it, in a datagram."""
 
 from __future__ import annotations
 
@@ -10,24 +10,24 @@
 from guavamast.relay.packing import pack, unpack
 from guavamast.relay.store import EndpointReading
 
-NEWS_MARK: Final = b"e"
-"""Begins the datagram of a table of endpoints."""
-MOST_DATAGRAM_BYTES: Final = 60_000
-"""Bytes of the longest datagram that is sent, below what UDP carries."""
+ENDPOINTS_PREFIX: Final = b"e"
+"""First byte of an endpoint update."""
+MAX_DATAGRAM_BYTES: Final = 60_000
+"""Bytes of the longest datagram that is sent, below the UDP limit."""
 
 
 @dataclass(frozen=True, slots=True, kw_only=True)
 class EndpointNews:
-    """A table of endpoints and who has read it."""
+    """A snapshot of the endpoint table, and the failure domain of its reader."""
 
     domain: str
     """Failure domain of the instance that read it."""
     reading: EndpointReading
 
 
-def encode_endpoints(news: EndpointNews) -> bytes | None:
-    """Return the datagram of a table, or None if it is too long for one."""
-    reading = news.reading
+def encode_endpoints(update: EndpointNews) -> bytes | None:
+    """Return the datagram of an endpoint update, or None if it is too long for one."""
+    snapshot = update.reading
     rows = [
         [
             record.endpoint_id,
@@ -40,24 +40,24 @@
             int(record.ready),
             record.born_ms,
         ]
-        for record in reading.records
+        for record in snapshot.records
     ]
-    data = NEWS_MARK + pack([news.domain, reading.digest, reading.reading, rows])
-    return data if len(data) <= MOST_DATAGRAM_BYTES else None
+    data = ENDPOINTS_PREFIX + pack([update.domain, snapshot.digest, snapshot.reading, rows])
+    return data if len(data) <= MAX_DATAGRAM_BYTES else None
 
 
-def decode_endpoints(data: bytes) -> EndpointNews:
-    """Return the table of a datagram.
+def decode_endpoint_update(data: bytes) -> EndpointNews:
+    """Return the endpoint update of a datagram.
 
     Raises:
-        MalformedBeat: It is none.
+        MalformedBeat: The datagram is not a valid endpoint update.
     """
     try:
-        domain, digest, reading, rows = unpack(data[len(NEWS_MARK) :])
+        domain, digest, store_time, rows = unpack(data[len(ENDPOINTS_PREFIX) :])
         table = EndpointReading(
             records=[_decode_record(row) for row in rows],
             digest=str(digest),
-            reading=float(reading),
+            reading=float(store_time),
         )
         return EndpointNews(domain=str(domain), reading=table)
     except (ValueError, TypeError, KeyError, IndexError) as error:
--- a/src/guavamast/relay/fleet_knowledge.py
+++ b/src/guavamast/relay/fleet_knowledge.py
@@ -1,4 +1,4 @@
-"""All that an instance knows of the fleet, and how fresh it is."""
+"""An instance's view of the fleet, and how fresh it is."""
 
 from __future__ import annotations
 
@@ -6,7 +6,7 @@
 from typing import TYPE_CHECKING
 
 from guavamast.relay.endpoint_table import EndpointTable
-from guavamast.relay.freshness import Freshness, Proof, show_age
+from guavamast.relay.freshness import Freshness, Proof, round_age
 
 if TYPE_CHECKING:
     from guavamast.relay.catalog import Catalog, Route, ServiceRule
@@ -16,32 +16,32 @@
 
 
 @dataclass(frozen=True, slots=True, kw_only=True)
-class ShownAges:
-    """How old what is known is, as logs and metrics show it."""
+class RoundedAges:
+    """Ages of the configuration and the endpoint table, rounded for logs and metrics."""
 
     config_s: float
     endpoints_s: float
 
 
 class FleetKnowledge:
-    """Configuration, endpoints and other instances, each with the proof of its age.
+    """Configuration, endpoints and other instances, with the freshness stamps of the tables.
 
     Args:
-        failure_domain: Where this instance runs.
+        failure_domain: Failure domain of this instance.
         peers: The other instances.
-        clock: Places the store's clock on the local one.
+        clock: Maps store time to local time.
     """
 
     __slots__ = (
         "_catalog_freshness",
         "_endpoint_freshness",
-        "_heard_catalog",
-        "_heard_endpoints",
+        "_received_catalog_stamp",
+        "_received_endpoint_stamp",
         "catalog",
         "endpoints",
         "failure_domain",
-        "newer_catalog_heard",
-        "newer_endpoints_heard",
+        "newer_catalog_known",
+        "newer_endpoints_known",
         "peers",
     )
 
@@ -49,60 +49,60 @@
         self.failure_domain = failure_domain
         self.peers = peers
         self.catalog: Catalog | None = None
-        """The configuration in force here."""
+        """The configuration that this instance applies."""
         self.endpoints = EndpointTable()
-        self.newer_catalog_heard = False
+        self.newer_catalog_known = False
         """Whether another instance has a newer configuration."""
-        self.newer_endpoints_heard = False
-        """Whether another instance has read a later table of endpoints that differs."""
+        self.newer_endpoints_known = False
+        """Whether another instance has a later endpoint table that differs."""
         self._catalog_freshness = Freshness(clock=clock)
         self._endpoint_freshness = Freshness(clock=clock)
-        self._heard_catalog: Proof | None = None
-        self._heard_endpoints: Proof | None = None
+        self._received_catalog_stamp: Proof | None = None
+        self._received_endpoint_stamp: Proof | None = None
 
     @property
     def catalog_version(self) -> int | None:
-        """The operators' number of the configuration in force here."""
+        """The operators' version number of the current configuration."""
         return self.catalog.version if self.catalog else None
 
     @property
-    def catalog_proof(self) -> Proof | None:
-        """The newest proof that the configuration is in force."""
-        return self._catalog_freshness.proof
+    def catalog_stamp(self) -> Proof | None:
+        """The newest freshness stamp of the current configuration."""
+        return self._catalog_freshness.stamp
 
     @property
-    def endpoint_proof(self) -> Proof | None:
-        """The newest proof that the table of endpoints is the store's."""
-        return self._endpoint_freshness.proof
+    def endpoint_stamp(self) -> Proof | None:
+        """The newest freshness stamp of the current endpoint table."""
+        return self._endpoint_freshness.stamp
 
     @property
     def heard_catalog_proof(self) -> Proof | None:
-        """The newest proof of a configuration, the one in force here or another's."""
-        return _pick_newer(self._heard_catalog, self.catalog_proof)
+        """The newest freshness stamp of any configuration, current here or at another instance."""
+        return _pick_newer(self._received_catalog_stamp, self.catalog_stamp)
 
     @property
     def heard_endpoint_proof(self) -> Proof | None:
-        """The newest proof of a table of endpoints, the one in force here or another's."""
-        return _pick_newer(self._heard_endpoints, self.endpoint_proof)
+        """The newest freshness stamp of any endpoint table, current here or at another instance."""
+        return _pick_newer(self._received_endpoint_stamp, self.endpoint_stamp)
 
     @property
     def must_relist(self) -> bool:
-        """Whether endpoints are still used for which the time to come back is over."""
-        return self.endpoints.has_lapsed and not self._endpoint_freshness.is_returning()
+        """Whether unlisted endpoints are still in use after the time to register again is over."""
+        return self.endpoints.has_lapsed and not self._endpoint_freshness.is_recovering()
 
     def compute_catalog_age(self, *, now: float) -> float:
-        """Return an upper bound of the seconds since the configuration was the newest."""
+        """Return an upper bound on the seconds since the configuration was the store's newest."""
         return self._catalog_freshness.compute_age(now=now)
 
     def compute_endpoints_age(self, *, now: float) -> float:
-        """Return an upper bound of the seconds since the table of endpoints was the store's."""
+        """Return an upper bound on the seconds since the endpoint table was the store's newest."""
         return self._endpoint_freshness.compute_age(now=now)
 
-    def show_ages(self, *, now: float) -> ShownAges:
-        """Return both ages as logs and metrics show them."""
-        return ShownAges(
-            config_s=show_age(self.compute_catalog_age(now=now)),
-            endpoints_s=show_age(self.compute_endpoints_age(now=now)),
+    def show_ages(self, *, now: float) -> RoundedAges:
+        """Return both ages, rounded for logs and metrics."""
+        return RoundedAges(
+            config_s=round_age(self.compute_catalog_age(now=now)),
+            endpoints_s=round_age(self.compute_endpoints_age(now=now)),
         )
 
     def count_instances(self) -> int:
@@ -110,29 +110,29 @@
         return self.peers.count_known()
 
     def find_service(self, name: str) -> ServiceRule | None:
-        """Return the rule of a service."""
+        """Return the settings of a service."""
         return self.catalog.services.get(name) if self.catalog else None
 
     def find_memory(self, service_name: str) -> int:
-        """Return the tokens that fit into an engine of a service; 0 for plain services."""
+        """Return the KV cache capacity of a service's engines in tokens; 0 if it runs no model."""
         service = self.find_service(service_name)
         return (service.prompt_cache_tokens or 0) if service is not None else 0
 
     def find_shortest_objective(self, service_name: str) -> float:
-        """Return the seconds in which the most urgent streams of a service are due."""
+        """Return the shortest latency objective, in seconds, of the streams of a service."""
         return self.catalog.find_shortest_objective(service_name) if self.catalog else float("inf")
 
     def is_first(self, route: Route, service_name: str) -> bool:
-        """Return whether no stream of a service goes before those of a route."""
-        return self.catalog is not None and self.catalog.is_first(route, service_name)
+        """Return whether no stream of a service is more urgent than those of a route."""
+        return self.catalog is not None and self.catalog.is_most_urgent(route, service_name)
 
     def find_shortest_pause(self, service_name: str) -> float:
-        """Return the shortest of the longest pauses that the streams of a service may have."""
+        """Return the smallest pause limit, in seconds, among the streams of a service."""
         return self.catalog.find_shortest_pause(service_name) if self.catalog else float("inf")
 
-    def take_catalog(self, reading: CatalogReading) -> bool:
-        """Take a reading of the configuration; returns whether it brought a new version."""
-        catalog = reading.catalog
+    def take_catalog(self, snapshot: CatalogReading) -> bool:
+        """Apply a snapshot of the configuration; return whether it has a new version."""
+        catalog = snapshot.catalog
         if catalog is None:
             return False
         current = self.catalog
@@ -141,45 +141,45 @@
         changed = current is None or catalog.row_version > current.row_version
         self.catalog = catalog
         self._catalog_freshness.record(
-            Proof(version=str(catalog.row_version), reading=reading.reading)
+            Proof(version=str(catalog.row_version), reading=snapshot.reading)
         )
-        self.newer_catalog_heard = False
+        self.newer_catalog_known = False
         return changed
 
-    def take_endpoints(self, reading: EndpointReading) -> bool:
-        """Take a reading of the table of endpoints; returns whether it differs."""
-        proof = self._endpoint_freshness.proof
-        if proof is not None and reading.reading < proof.reading:
+    def take_endpoints(self, snapshot: EndpointReading) -> bool:
+        """Apply a snapshot of the endpoint table; return whether it differs."""
+        stamp = self._endpoint_freshness.stamp
+        if stamp is not None and snapshot.reading < stamp.reading:
             return False
-        self._endpoint_freshness.record(Proof(version=reading.digest, reading=reading.reading))
-        changed = reading.digest != self.endpoints.digest
-        returning = self._endpoint_freshness.is_returning()
+        self._endpoint_freshness.record(Proof(version=snapshot.digest, reading=snapshot.reading))
+        changed = snapshot.digest != self.endpoints.digest
+        recovering = self._endpoint_freshness.is_recovering()
         if changed or self.endpoints.has_lapsed:
-            self.endpoints.apply(reading.records, digest=reading.digest, returning=returning)
-        self.newer_endpoints_heard = False
+            self.endpoints.apply(snapshot.records, digest=snapshot.digest, returning=recovering)
+        self.newer_endpoints_known = False
         return changed
 
-    def note_failed_listing(self) -> None:
-        """Note that a read of the table of endpoints failed."""
-        self._endpoint_freshness.note_failure()
+    def record_failed_endpoint_read(self) -> None:
+        """Record that a read of the endpoint table failed."""
+        self._endpoint_freshness.record_failure()
 
     def take_proofs(self, *, catalog: Proof | None, endpoints: Proof | None) -> None:
-        """Extend proofs by another instance's word, or note that it knows something newer.
+        """Apply another instance's freshness stamps, or record that it has a newer table.
 
         Args:
-            catalog: Its proof of the configuration.
-            endpoints: Its proof of the table of endpoints.
+            catalog: Its freshness stamp of the configuration.
+            endpoints: Its freshness stamp of the endpoint table.
         """
-        self._heard_catalog = _pick_newer(self._heard_catalog, catalog)
-        self._heard_endpoints = _pick_newer(self._heard_endpoints, endpoints)
+        self._received_catalog_stamp = _pick_newer(self._received_catalog_stamp, catalog)
+        self._received_endpoint_stamp = _pick_newer(self._received_endpoint_stamp, endpoints)
         if catalog is not None and not self._catalog_freshness.confirm(catalog):
             own = self.catalog.row_version if self.catalog else -1
-            if _read_number(catalog.version) > own:
-                self.newer_catalog_heard = True
+            if _parse_row_version(catalog.version) > own:
+                self.newer_catalog_known = True
         if endpoints is not None and not self._endpoint_freshness.confirm(endpoints):
-            proof = self._endpoint_freshness.proof
-            if proof is None or endpoints.reading > proof.reading:
-                self.newer_endpoints_heard = True
+            stamp = self._endpoint_freshness.stamp
+            if stamp is None or endpoints.reading > stamp.reading:
+                self.newer_endpoints_known = True
 
 
 def _pick_newer(one: Proof | None, other: Proof | None) -> Proof | None:
@@ -188,5 +188,5 @@
     return one if one.reading >= other.reading else other
 
 
-def _read_number(text: str) -> int:
+def _parse_row_version(text: str) -> int:
     return int(text) if text.isdigit() else -1
--- a/src/guavamast/relay/housekeeper.py
+++ b/src/guavamast/relay/housekeeper.py
@@ -1,4 +1,4 @@
-"""Drops what is over: old connections, endpoints and instances that are gone, stale records."""
+"""Periodic cleanup: idle connections, state of gone endpoints and instances, stale records."""
 
 from __future__ import annotations
 
@@ -15,26 +15,26 @@
     from guavamast.relay.store_reader import StoreReader
     from guavamast.relay.work_knowledge import WorkKnowledge
 
-HOUSEKEEPING_S: Final = 1.0
-"""Seconds between two rounds of housekeeping."""
+CLEANUP_INTERVAL_S: Final = 1.0
+"""Seconds between two cleanup rounds."""
 
 
 class Housekeeper:
-    """Keeps what an instance remembers in bounds.
+    """Bounds the state that an instance keeps.
 
     Args:
-        knowledge: Endpoints and other instances.
-        work: What is known of the work at them.
-        pool: Kept connections.
-        reader: Whether the store answers.
-        notes: Shows what has been learnt.
-        scheduling: What this instance schedules.
-        unregister: Drops an instance's record in the store.
+        fleet_state: Endpoints and other instances.
+        work: State of the requests at them.
+        pool: Connection pool.
+        reader: Tells whether the store answers.
+        notes: Records the engine profiles.
+        scheduling: Scheduling state of this instance.
+        unregister: Removes an instance's record from the store.
         read_time: The local clock.
     """
 
     __slots__ = (
-        "_knowledge",
+        "_fleet_state",
         "_notes",
         "_pool",
         "_read_time",
@@ -47,7 +47,7 @@
     def __init__(
         self,
         *,
-        knowledge: FleetKnowledge,
+        fleet_state: FleetKnowledge,
         work: WorkKnowledge,
         pool: ConnectionPool,
         reader: StoreReader,
@@ -56,7 +56,7 @@
         unregister: Callable[[str], Awaitable[None]],
         read_time: Callable[[], float],
     ) -> None:
-        self._knowledge = knowledge
+        self._fleet_state = fleet_state
         self._work = work
         self._pool = pool
         self._reader = reader
@@ -66,37 +66,38 @@
         self._read_time = read_time
 
     async def run(self) -> None:
-        """Keep house until cancelled."""
+        """Clean up periodically until cancelled."""
         while True:
-            await asyncio.sleep(HOUSEKEEPING_S)
+            await asyncio.sleep(CLEANUP_INTERVAL_S)
             now = self._read_time()
-            await self._clean_registry(now=now)
-            self._forget_gone(now=now)
-            self._show_profiles(now=now)
+            await self._unregister_gone(now=now)
+            self._drop_gone(now=now)
+            self._record_profiles(now=now)
 
-    async def _clean_registry(self, *, now: float) -> None:
-        """Drop the records of instances that are gone for good.
+    async def _unregister_gone(self, *, now: float) -> None:
+        """Remove the records of instances that are gone for good.
 
-        Failure: instances that are replaced without a word leave their records, and each new one
-        tells all of them of itself for a while. One instance, the first reader of the store, drops
-        them; an instance that was only cut off is told to all again by its next start.
+        An instance that ends without unregistering leaves its record, and each new instance sends
+        heartbeats to all recorded ones for a while. One instance, the first-ranked reader of the
+        store, removes these records; an instance that was only unreachable registers again at its
+        next start.
         """
-        peers = self._knowledge.peers
+        peers = self._fleet_state.peers
         silent = peers.forget_silent(now=now)
         if peers.rank_as_reader(now=now) > 0 or not self._reader.answers:
             return
         for name in silent:
             await self._unregister(name)
 
-    def _forget_gone(self, *, now: float) -> None:
-        known = {record.endpoint_id for record in self._knowledge.endpoints.list_all()}
-        live = {peer.record.name for peer in self._knowledge.peers.list_live(now=now)}
+    def _drop_gone(self, *, now: float) -> None:
+        known = {record.endpoint_id for record in self._fleet_state.endpoints.list_all()}
+        live = {peer.record.name for peer in self._fleet_state.peers.list_live(now=now)}
         self._pool.keep_only(known, now=now)
         self._work.keep_only(endpoint_ids=known, instances=live)
         self._scheduling.keep_house(endpoint_ids=known, now=now)
 
-    def _show_profiles(self, *, now: float) -> None:
-        catalog = self._knowledge.catalog
+    def _record_profiles(self, *, now: float) -> None:
+        catalog = self._fleet_state.catalog
         for service in catalog.services.values() if catalog is not None else ():
             if service.prompt_cache_tokens is not None:
                 profile = self._work.profiles.find(service.name, now=now)
--- a/src/guavamast/relay/load_notices.py
+++ b/src/guavamast/relay/load_notices.py
@@ -1,4 +1,4 @@
-"""Tells the other instances of changed work at endpoints, sooner than the next beat."""
+"""Updates of changed load at endpoints, sent ahead of the next heartbeat."""
 
 from __future__ import annotations
 
@@ -15,27 +15,27 @@
     from guavamast.relay.endpoint_load import EndpointLoads
     from guavamast.relay.prompt_cache import PromptCache
 
-GATHER_S: Final = 0.02
-"""Seconds in which new work is gathered for one notice: short beside the usual wait for an
-engine."""
-GATHER_LESS_S: Final = 0.1
-"""Seconds in which ended work is gathered; told later, it costs no more than a detour."""
+INCREASE_BATCH_S: Final = 0.02
+"""Seconds for which increases are collected into one load update: short beside the usual wait for
+an engine."""
+DECREASE_BATCH_S: Final = 0.1
+"""Seconds for which decreases are collected; a late report at worst diverts a request."""
 
 
 class LoadNotices:
-    """Gathers changes of this instance's loads and sends them on.
+    """Collects changes of this instance's loads and sends them to the others.
 
-    Failure: a burst comes to all instances at once, each sends to the engine that had the least
-    work a beat ago, and the requests queue there while others idle. Notices make the work known
-    within some 25 ms instead of a beat's 250.
+    Without this, a burst that reaches all instances at once goes to the engine that had the least
+    load at the last heartbeat, and requests queue there while other engines idle. Load updates
+    report the load within some 25 ms instead of a heartbeat's 250.
 
     Args:
         instance: Name of this instance.
         incarnation: Start of this process.
         loads: This instance's loads.
-        cache: This instance's sends.
-        send: Sends a notice to all instances.
-        count_instances: Returns how many there are.
+        cache: Prompts that this instance has sent.
+        send: Sends a load update to all instances.
+        count_instances: Returns the number of instances.
         read_time: The local clock.
     """
 
@@ -49,7 +49,7 @@
         "_loads",
         "_read_time",
         "_send",
-        "_told",
+        "_last_sent_number",
     )
 
     def __init__(
@@ -72,20 +72,20 @@
         self._read_time = read_time
         self._changed: set[str] = set()
         self._flush_at: float | None = None
-        self._told = 0
+        self._last_sent_number = 0
 
     def note(self, endpoint_id: str, *, more: bool) -> None:
-        """Tell soon that the work at an endpoint has changed.
+        """Schedule an update after the load at an endpoint has changed.
 
         Args:
             endpoint_id: The endpoint.
-            more: Whether its work has grown.
+            more: Whether its load has increased.
         """
         if self._count_instances() > FULL_MESH_INSTANCES:
             return
         self._changed.add(endpoint_id)
         loop = asyncio.get_running_loop()
-        flush_at = loop.time() + (GATHER_S if more else GATHER_LESS_S)
+        flush_at = loop.time() + (INCREASE_BATCH_S if more else DECREASE_BATCH_S)
         if self._flush_at is None or flush_at < self._flush_at:
             self._flush_at = flush_at
             loop.call_at(flush_at, self._flush)
@@ -100,9 +100,9 @@
         recent = self._cache.list_recent(
             now=self._read_time(), interval_s=compute_beat_interval(self._count_instances())
         )
-        sends = [send for send in recent if send.number > self._told]
+        sends = [send for send in recent if send.number > self._last_sent_number]
         if sends:
-            self._told = sends[-1].number
+            self._last_sent_number = sends[-1].number
         self._send(
             LoadNotice(
                 instance=self._instance,
--- a/src/guavamast/relay/packing.py
+++ b/src/guavamast/relay/packing.py
@@ -1,4 +1,4 @@
-"""Fields of a message as compressed JSON, for messages that hold a whole table."""
+"""Encoding of messages as compressed JSON, for those that contain a whole table."""
 
 from __future__ import annotations
 
@@ -6,25 +6,25 @@
 import zlib
 from typing import Any, Final
 
-COMPRESSION: Final = 1
-"""Level of compression, the least: most of the gain for little processor time."""
-MOST_UNPACKED_BYTES: Final = 4_194_304
-"""Bytes of what is unpacked at most; far above that of a thousand beats."""
+COMPRESSION_LEVEL: Final = 1
+"""Level of compression, the lowest: most of the reduction for little CPU time."""
+MAX_UNPACKED_BYTES: Final = 4_194_304
+"""Bytes that are decompressed at most; far above those of a thousand heartbeats."""
 
 
 def pack(fields: list[Any]) -> bytes:
     """Return fields as compressed JSON."""
     text = json.dumps(fields, separators=(",", ":"))
-    return zlib.compress(text.encode(), COMPRESSION)
+    return zlib.compress(text.encode(), COMPRESSION_LEVEL)
 
 
 def unpack(data: bytes) -> Any:
-    """Return the fields of compressed JSON, of bounded length.
+    """Return the fields of compressed JSON, decompressing a bounded length.
 
     Raises:
-        ValueError: It is none, or too long.
+        ValueError: The data is not compressed JSON, or is too long.
     """
     try:
-        return json.loads(zlib.decompressobj().decompress(data, MOST_UNPACKED_BYTES))
+        return json.loads(zlib.decompressobj().decompress(data, MAX_UNPACKED_BYTES))
     except zlib.error as error:
         raise ValueError(str(error)) from error
--- a/src/guavamast/relay/scheduler.py
+++ b/src/guavamast/relay/scheduler.py
@@ -1,4 +1,4 @@
-"""Schedules the requests of all instances on one group of endpoints whose work it knows exactly."""
+"""Scheduling of all instances' requests to one group of endpoints, whose load is known exactly."""
 
 from __future__ import annotations
 
@@ -26,49 +26,49 @@
     from guavamast.relay.scheduling_messages import PlacementQuery
 
 LEARNING_S: Final = 1.0
-"""Seconds after its begin in which a scheduler may not have heard of all work yet: each instance
-reports within them."""
+"""Seconds after its start during which a scheduler may not know all work yet; each instance reports
+within this time."""
 
 
 @dataclass(frozen=True, slots=True, kw_only=True)
 class ServiceFacts:
-    """What holds for all endpoints of the service of a group."""
+    """Properties that all endpoints of a group's service share."""
 
     profile: EngineProfile
     memory_tokens: int
-    """Tokens that fit into an engine's memory; 0 for plain services."""
+    """Capacity of an engine's KV cache in tokens; 0 for plain services."""
     shortest_pause_s: float
 
 
 class GroupScheduler:
-    """Decides on the requests to one group of endpoints.
+    """Grants or rejects the requests to one group of endpoints.
 
-    Failure: each instance chooses by loads that are told a second late. All see the same engine
-    idle, send to it, and refuse callers by queues that are gone. The scheduler is asked before each
-    send, counts the request at once, and is told of its begin and end.
+    Failure: when each instance decides on loads that are a second old, all send to the same idle
+    engine and reject callers because of queues that no longer exist. The scheduler is queried
+    before each send, counts the request at once, and receives an update when it begins and ends.
 
-    What it knows is soft: work of an instance that falls silent or does not confirm it is dropped,
-    and a scheduler that has just begun learns what runs from the reports of all.
+    Its state is soft: work of an instance that stops reporting or does not confirm it is dropped,
+    and a new scheduler learns of the running work from the reports of all instances.
 
     Args:
-        random: Spreads choices among equals, and times to come back.
-        now: The present time, from which it learns.
+        random: Breaks ties between equal endpoints and spreads retry delays.
+        now: Current time, at which the learning period starts.
     """
 
-    __slots__ = ("_admission", "_began", "_chooser", "_demand", "_returns", "work")
+    __slots__ = ("_admission", "_started_at", "_chooser", "_demand", "_expected_retries", "work")
 
     def __init__(self, *, random: Random, now: float) -> None:
         self.work = ScheduledWork()
-        """The requests at the endpoints of the group."""
+        """Requests at the endpoints of the group."""
         self._demand = PromptDemand()
         self._chooser = EndpointChooser(loads=self.work.loads, cache=self.work.cache, random=random)
         self._admission = AdmissionControl(history=RefusalHistory(), random=random)
-        self._began = now
-        self._returns = ExpectedReturns()
+        self._started_at = now
+        self._expected_retries = ExpectedReturns()
 
     def is_learning(self, *, now: float) -> bool:
-        """Return whether it may not know all work yet."""
-        return now - self._began < LEARNING_S
+        """Return whether the scheduler may not know all work yet."""
+        return now - self._started_at < LEARNING_S
 
     def decide(
         self,
@@ -78,38 +78,38 @@
         *,
         now: float,
     ) -> PlacementReply:
-        """Return where a request goes; it is counted there from now on.
+        """Select an endpoint for a request, and count the request there if it is granted.
 
         Args:
             query: The request.
-            candidates: Endpoints of the group that may get requests.
-            facts: What holds for all of them.
-            now: The present time.
+            candidates: Endpoints of the group that accept requests.
+            facts: Parameters that all of them share.
+            now: Current time.
         """
-        self.work.hear(query.asker, now=now)
+        self.work.renew_lease(query.asker, now=now)
         learning = self.is_learning(now=now)
-        placement = self._describe(query, facts, learning=learning, now=now)
-        terms = self._make_terms(query, learning=learning, now=now)
+        placement = self._build_placement(query, facts, learning=learning, now=now)
+        wait_parameters = self._build_wait_parameters(query, learning=learning, now=now)
         choice = self._chooser.choose(
             placement,
             candidates,
             exclude=frozenset(query.excluded),
             now=now,
             has_room=self._admission.find_filter(
-                terms, service=query.service, urgency=query.urgency, now=now
+                wait_parameters, service=query.service, urgency=query.urgency, now=now
             ),
         )
         if choice is None:
             return PlacementReply(number=query.number, verdict=Verdict.UNKNOWN, learning=learning)
-        later = self._admit(query, choice, terms, now=now)
-        if later is not None:
-            return _make_reply(
-                query, choice, Verdict.REFUSED, learning=learning, retry_after_s=later
+        retry_after_s = self._admit(query, choice, wait_parameters, now=now)
+        if retry_after_s is not None:
+            return _build_reply(
+                query, choice, Verdict.REFUSED, learning=learning, retry_after_s=retry_after_s
             )
         self.work.grant(query, choice, now=now)
-        return _make_reply(query, choice, Verdict.GRANTED, learning=learning)
+        return _build_reply(query, choice, Verdict.GRANTED, learning=learning)
 
-    def _describe(
+    def _build_placement(
         self, query: PlacementQuery, facts: ServiceFacts, *, learning: bool, now: float
     ) -> Placement:
         if query.prompt_tokens:
@@ -132,41 +132,43 @@
             objective_s=query.objective_s,
             delicate=query.delicate,
             shortest_pause_s=facts.shortest_pause_s,
-            memory_limit=_find_memory_limit(query, learning=learning),
+            memory_limit=_select_memory_limit(query, learning=learning),
             loads_late=learning,
         )
 
-    def _make_terms(self, query: PlacementQuery, *, learning: bool, now: float) -> WaitTerms:
+    def _build_wait_parameters(
+        self, query: PlacementQuery, *, learning: bool, now: float
+    ) -> WaitTerms:
         return WaitTerms(
             objective_s=query.objective_s,
             patient=query.patient,
             first=query.first,
             old_news=learning,
-            fresh=not self._returns.recall(query, now=now),
+            fresh=not self._expected_retries.recall(query, now=now),
         )
 
     def _admit(
-        self, query: PlacementQuery, choice: Choice, terms: WaitTerms, *, now: float
+        self, query: PlacementQuery, choice: Choice, wait_parameters: WaitTerms, *, now: float
     ) -> float | None:
-        """Return the seconds after which a request should come back; None if it may be sent."""
+        """Return the seconds after which to retry a rejected request; None if it is admitted."""
         if choice.forecast is None or not query.refusable:
             return None
-        later = self._admission.admit(
-            choice.forecast, terms, service=query.service, urgency=query.urgency, now=now
+        rejection = self._admission.admit(
+            choice.forecast, wait_parameters, service=query.service, urgency=query.urgency, now=now
         )
-        if later is None:
+        if rejection is None:
             return None
-        self._returns.note(query, now=now)
-        return later.retry_after_s
+        self._expected_retries.note(query, now=now)
+        return rejection.retry_after_s
 
 
-def _find_memory_limit(query: PlacementQuery, *, learning: bool) -> MemoryLimit:
+def _select_memory_limit(query: PlacementQuery, *, learning: bool) -> MemoryLimit:
     if learning:
         return LATE_LIMIT
     return FIRST_LIMIT if query.first else PATIENT_LIMIT
 
 
-def _make_reply(
+def _build_reply(
     query: PlacementQuery,
     choice: Choice,
     verdict: Verdict,
@@ -174,18 +176,18 @@
     learning: bool,
     retry_after_s: float = 0.0,
 ) -> PlacementReply:
-    expected = choice.forecast
+    forecast = choice.forecast
     return PlacementReply(
         number=query.number,
         verdict=verdict,
         endpoint_id=choice.record.endpoint_id,
-        unread_tokens=choice.unread_tokens,
-        own_lane=choice.own_lane,
-        start_ms=expected.start_ms if expected else 0.0,
-        waiting_ms=expected.waiting_ms if expected else 0.0,
-        reading_ms=expected.reading_ms if expected else 0.0,
-        requests_there=choice.load.requests,
-        prefill_tokens_there=choice.load.prefill_tokens,
+        uncached_tokens=choice.unread_tokens,
+        own_bucket=choice.own_lane,
+        start_ms=forecast.start_ms if forecast else 0.0,
+        waiting_ms=forecast.waiting_ms if forecast else 0.0,
+        prefill_ms=forecast.reading_ms if forecast else 0.0,
+        endpoint_requests=choice.load.requests,
+        endpoint_prefill_tokens=choice.load.prefill_tokens,
         retry_after_s=retry_after_s,
         learning=learning,
     )
--- a/src/guavamast/relay/sent_stream.py
+++ b/src/guavamast/relay/sent_stream.py
@@ -1,4 +1,4 @@
-"""What one send of a stream tells of its engine, noted as the events come."""
+"""Samples an engine's speed from the events of one send of a stream."""
 
 from __future__ import annotations
 
@@ -9,26 +9,26 @@
     from guavamast.relay.stream_timing import StreamTiming
 
 
-class SentStream:
-    """Teaches the profile of a service from the events of one send.
+class StreamSampler:
+    """Updates a service's engine profile from the events of one send.
 
     Args:
-        profiles: What is learnt.
+        profiles: The engine profiles.
         service: The engine's service.
-        output_tokens: Most tokens that the answer may have.
-        unread_tokens: Prompt tokens that the engine had to read at the send, by what was known.
-        sent: Local time of the send.
-        timing: Of the caller's stream, which may have begun at another endpoint.
+        output_tokens: Maximum tokens of the response.
+        uncached_tokens: Prompt tokens known to be waiting for prefill at the engine at the send.
+        sent_at: Local time of the send.
+        timing: Timing of the caller's stream, which may have begun at another endpoint.
     """
 
     __slots__ = (
         "_output_tokens",
         "_profiles",
-        "_sent",
+        "_sent_at",
         "_service",
         "_timing",
-        "_unread_tokens",
-        "began",
+        "_uncached_tokens",
+        "first_event_at",
     )
 
     def __init__(
@@ -37,50 +37,50 @@
         profiles: EngineProfiles,
         service: str,
         output_tokens: int,
-        unread_tokens: int,
-        sent: float,
+        uncached_tokens: int,
+        sent_at: float,
         timing: StreamTiming,
     ) -> None:
         self._profiles = profiles
         self._service = service
         self._output_tokens = output_tokens
-        self._unread_tokens = unread_tokens
-        self._sent = sent
+        self._uncached_tokens = uncached_tokens
+        self._sent_at = sent_at
         self._timing = timing
-        self.began: float | None = None
+        self.first_event_at: float | None = None
         """Local time of the first event of this send."""
 
-    def note_event(self, *, unread_tokens: int, now: float) -> None:
-        """Note that an event has come.
+    def record_event(self, *, uncached_tokens: int, now: float) -> None:
+        """Record that an event was received.
 
         Args:
-            unread_tokens: Prompt tokens that the engine has to read now, by what is known.
-            now: The present time.
+            uncached_tokens: Prompt tokens known to be waiting for prefill at the engine now.
+            now: The current time.
         """
-        self._timing.note_event(unread_tokens=unread_tokens, now=now)
-        if self.began is not None:
+        self._timing.record_event(uncached_tokens=uncached_tokens, now=now)
+        if self.first_event_at is not None:
             return
-        self.began = now
+        self.first_event_at = now
         self._profiles.record_first_event(
             self._service,
-            unread_tokens=self._unread_tokens,
-            took_ms=(now - self._sent) * 1000.0,
+            unread_tokens=self._uncached_tokens,
+            took_ms=(now - self._sent_at) * 1000.0,
             now=now,
         )
 
     def finish(self, *, now: float) -> None:
-        """Note that the stream has come whole."""
-        if self.began is None:
+        """Record that the stream is complete."""
+        if self.first_event_at is None:
             return
         self._profiles.record_run(
             self._service,
             output_tokens=self._output_tokens,
-            run_ms=(now - self.began) * 1000.0,
+            run_ms=(now - self.first_event_at) * 1000.0,
             now=now,
         )
         self._profiles.record_pause(
             self._service,
-            unread_tokens=self._timing.unread_tokens_then,
+            unread_tokens=self._timing.uncached_tokens_at_longest_pause,
             pause_ms=self._timing.longest_pause_s * 1000.0,
             now=now,
         )
--- a/src/guavamast/relay/store_reader.py
+++ b/src/guavamast/relay/store_reader.py
@@ -1,11 +1,11 @@
-"""Reads the store's tables, one read of each at a time, and takes what they hold."""
+"""Reads the store's tables, one read of each at a time, and applies the results."""
 
 from __future__ import annotations
 
 import asyncio
 from typing import TYPE_CHECKING
 
-from guavamast.relay.freshness import show_age
+from guavamast.relay.freshness import round_age
 from guavamast.relay.store import CatalogReading, StoreError
 
 if TYPE_CHECKING:
@@ -19,13 +19,13 @@
 
 
 class SharedRead:
-    """One read at a time, for all who ask meanwhile.
+    """A read of a table that concurrent requesters share.
 
-    Failure: many requests find the same table too old at once, each reads it, and the store gets as
-    many calls as there are callers.
+    Without this, many requests that find the same table too old would each read it, and the store
+    would get as many calls as there are callers.
 
     Args:
-        read: Reads once; returns whether it succeeded.
+        read: Performs one read; returns whether it succeeded.
     """
 
     __slots__ = ("_read", "_task")
@@ -35,35 +35,35 @@
         self._task: asyncio.Task[bool] | None = None
 
     async def join(self) -> bool:
-        """Wait for the read that is under way, or begin one; returns whether it succeeded."""
+        """Wait for the read in progress, or start one; return whether it succeeded."""
         if self._task is None or self._task.done():
             self._task = asyncio.ensure_future(self._read())
         return await asyncio.shield(self._task)
 
 
 class StoreReader:
-    """Takes what the store holds and tells the others by a beat at once.
+    """Reads the tables, applies them, and publishes them to the other instances at once.
 
     Args:
         store: The platform's store.
-        knowledge: What is kept fresh.
-        log: Decisions.
+        fleet_state: Receives the tables.
+        log: Decision log.
         counters: Metrics.
         read_time: The local clock.
-        announce: Sends a beat with news.
-        tell_catalog: Tells the others a configuration.
-        tell_endpoints: Tells the others a table of endpoints.
+        send_heartbeat: Sends a heartbeat with the new freshness stamps at once.
+        publish_catalog: Sends a configuration to the other instances.
+        publish_endpoints: Sends an endpoint table to the other instances.
     """
 
     __slots__ = (
-        "_announce",
+        "_send_heartbeat",
         "_counters",
-        "_knowledge",
+        "_fleet_state",
         "_log",
         "_read_time",
         "_store",
-        "_tell_catalog",
-        "_tell_endpoints",
+        "_publish_catalog",
+        "_publish_endpoints",
         "answers",
         "catalog",
         "endpoints",
@@ -73,72 +73,72 @@
         self,
         *,
         store: Store,
-        knowledge: FleetKnowledge,
+        fleet_state: FleetKnowledge,
         log: DecisionLog,
         counters: Counters,
         read_time: Callable[[], float],
-        announce: Callable[[], None],
-        tell_catalog: Callable[[CatalogReading], None],
-        tell_endpoints: Callable[[EndpointReading], None],
+        send_heartbeat: Callable[[], None],
+        publish_catalog: Callable[[CatalogReading], None],
+        publish_endpoints: Callable[[EndpointReading], None],
     ) -> None:
         self._store = store
-        self._knowledge = knowledge
+        self._fleet_state = fleet_state
         self._log = log
         self._counters = counters
         self._read_time = read_time
-        self._announce = announce
-        self._tell_catalog = tell_catalog
-        self._tell_endpoints = tell_endpoints
+        self._send_heartbeat = send_heartbeat
+        self._publish_catalog = publish_catalog
+        self._publish_endpoints = publish_endpoints
         self.catalog = SharedRead(read=self._read_catalog)
         """Reads the configuration."""
         self.endpoints = SharedRead(read=self._read_endpoints)
-        """Reads the table of endpoints."""
+        """Reads the endpoint table."""
         self.answers = True
-        """Whether the last call to the store had a usable answer."""
+        """Whether the last call to the store had a usable response."""
 
-    def take_endpoints(self, reading: EndpointReading, *, told: bool) -> bool:
-        """Take a table of endpoints; returns whether it differs from the one in force.
+    def apply_endpoint_snapshot(self, snapshot: EndpointReading, *, from_peer: bool) -> bool:
+        """Apply an endpoint table; return whether it differs from the current one.
 
         Args:
-            reading: The table.
-            told: Whether another instance has read it.
+            snapshot: The table.
+            from_peer: Whether another instance has read it.
         """
         now = self._read_time()
-        age_s = self._knowledge.compute_endpoints_age(now=now)
-        if not self._knowledge.take_endpoints(reading):
+        age_s = self._fleet_state.compute_endpoints_age(now=now)
+        if not self._fleet_state.take_endpoints(snapshot):
             return False
-        records = self._knowledge.endpoints.list_all()
+        records = self._fleet_state.endpoints.list_all()
         self._log.write(
             "endpoints_taken",
             now=now,
-            endpoints_version=reading.digest,
-            listed=len(reading.records),
+            endpoints_version=snapshot.digest,
+            listed=len(snapshot.records),
             ready=sum(record.ready for record in records),
-            lapsed=self._knowledge.endpoints.has_lapsed,
-            told=told,
-            former_age_s=show_age(age_s),
+            lapsed=self._fleet_state.endpoints.has_lapsed,
+            told=from_peer,
+            former_age_s=round_age(age_s),
         )
         return True
 
-    def take_catalog(self, news: CatalogNews) -> bool:
-        """Take a configuration that another instance has read; returns whether it was news.
+    def apply_catalog_update(self, update: CatalogNews) -> bool:
+        """Apply a configuration that another instance has read; return whether it is new.
 
-        What can't be decoded is left to the next read by this instance itself.
+        One that can't be parsed is ignored; this instance's next read of the store replaces it.
         """
-        former_age_s = self._knowledge.compute_catalog_age(now=self._read_time())
-        known = self._knowledge.catalog
-        if known is not None and known.row_version >= news.row_version:
+        former_age_s = self._fleet_state.compute_catalog_age(now=self._read_time())
+        known = self._fleet_state.catalog
+        if known is not None and known.row_version >= update.row_version:
             return False
         try:
-            catalog = self._store.decode_catalog(news.text, row_version=news.row_version)
+            catalog = self._store.decode_catalog(update.text, row_version=update.row_version)
         except StoreError as error:
             self._log.write("told_unusable", now=self._read_time(), reason=error.reason)
             return False
-        reading = CatalogReading(catalog=catalog, reading=news.reading)
-        return self._take_catalog(reading, former_age_s=former_age_s, told=True)
+        snapshot = CatalogReading(catalog=catalog, reading=update.reading)
+        return self._apply_catalog(snapshot, former_age_s=former_age_s, from_peer=True)
 
-    def note_failure(self, call: str, error: StoreError) -> None:
-        """Note a call that had no usable answer."""
+    def record_failure(self, call: str, error: StoreError) -> None:
+        """Record a call that returned no usable response."""
         self._counters.add(f'store_failures_total{{call="{call}"}}')
         if self.answers:
             now = self._read_time()
@@ -147,56 +147,61 @@
                 now=now,
                 call=call,
                 reason=error.reason,
-                config_age_s=show_age(self._knowledge.compute_catalog_age(now=now)),
+                config_age_s=round_age(self._fleet_state.compute_catalog_age(now=now)),
             )
         self.answers = False
 
     async def _read_catalog(self) -> bool:
-        began = self._read_time()
-        former_age_s = self._knowledge.compute_catalog_age(now=began)
+        started_at = self._read_time()
+        former_age_s = self._fleet_state.compute_catalog_age(now=started_at)
         try:
-            reading = await self._store.read_catalog(known=self._knowledge.catalog)
+            snapshot = await self._store.read_catalog(known=self._fleet_state.catalog)
         except StoreError as error:
-            self.note_failure("read_configuration", error)
+            self.record_failure("read_configuration", error)
             return False
-        self._note_success(began=began)
-        if self._take_catalog(reading, former_age_s=former_age_s, told=False) and reading.text:
-            self._tell_catalog(reading)
-        self._announce()
+        self._record_success(started_at=started_at)
+        if (
+            self._apply_catalog(snapshot, former_age_s=former_age_s, from_peer=False)
+            and snapshot.text
+        ):
+            self._publish_catalog(snapshot)
+        self._send_heartbeat()
         return True
 
-    def _take_catalog(self, reading: CatalogReading, *, former_age_s: float, told: bool) -> bool:
-        if not self._knowledge.take_catalog(reading):
+    def _apply_catalog(
+        self, snapshot: CatalogReading, *, former_age_s: float, from_peer: bool
+    ) -> bool:
+        if not self._fleet_state.take_catalog(snapshot):
             return False
-        catalog = self._knowledge.catalog
+        catalog = self._fleet_state.catalog
         self._log.write(
             "configuration_taken",
             now=self._read_time(),
-            config_version=self._knowledge.catalog_version,
+            config_version=self._fleet_state.catalog_version,
             row_version=catalog.row_version if catalog else None,
-            told=told,
-            former_age_s=show_age(former_age_s),
+            told=from_peer,
+            former_age_s=round_age(former_age_s),
         )
         return True
 
     async def _read_endpoints(self) -> bool:
-        began = self._read_time()
+        started_at = self._read_time()
         try:
-            reading = await self._store.read_endpoints()
+            snapshot = await self._store.read_endpoints()
         except StoreError as error:
-            self._knowledge.note_failed_listing()
-            self.note_failure("read_endpoints", error)
+            self._fleet_state.record_failed_endpoint_read()
+            self.record_failure("read_endpoints", error)
             return False
-        self._note_success(began=began)
-        if self.take_endpoints(reading, told=False):
-            self._tell_endpoints(reading)
-        self._announce()
+        self._record_success(started_at=started_at)
+        if self.apply_endpoint_snapshot(snapshot, from_peer=False):
+            self._publish_endpoints(snapshot)
+        self._send_heartbeat()
         return True
 
-    def _note_success(self, *, began: float) -> None:
+    def _record_success(self, *, started_at: float) -> None:
         now = self._read_time()
         self._counters.add("store_reads_total")
-        self._counters.observe("store_read_seconds", now - began)
+        self._counters.observe("store_read_seconds", now - started_at)
         if not self.answers:
             self._log.write("store_regained", now=now)
         self.answers = True
--- a/src/guavamast/relay/store_watch.py
+++ b/src/guavamast/relay/store_watch.py
@@ -1,4 +1,4 @@
-"""Registers an instance and keeps its knowledge fresh by reading the store in time."""
+"""Registers an instance and keeps its tables fresh by reading the store in time."""
 
 from __future__ import annotations
 
@@ -17,7 +17,7 @@
     from guavamast.relay.table_watch import TableWatch
 
 REGISTER_RETRY_S: Final = 1.0
-"""Seconds between two attempts to register: short beside the start of an instance."""
+"""Seconds between two attempts to register: short compared to the start of an instance."""
 
 
 class StoreWatch:
@@ -27,16 +27,16 @@
         store: The platform's store.
         reader: Reads its tables.
         watches: Keep the tables fresh.
-        knowledge: Told of the other instances.
-        record: This instance, to be registered.
-        log: Decisions.
+        fleet_state: Receives the list of other instances.
+        record: Record of this instance to register.
+        log: Decision log.
         read_time: The local clock.
-        announce_to_all: Sends a beat to each instance directly.
+        broadcast_heartbeat: Sends a heartbeat to each instance directly.
     """
 
     __slots__ = (
-        "_announce_to_all",
-        "_knowledge",
+        "_broadcast_heartbeat",
+        "_fleet_state",
         "_log",
         "_read_time",
         "_reader",
@@ -51,46 +51,46 @@
         store: Store,
         reader: StoreReader,
         watches: Sequence[TableWatch],
-        knowledge: FleetKnowledge,
+        fleet_state: FleetKnowledge,
         record: InstanceRecord,
         log: DecisionLog,
         read_time: Callable[[], float],
-        announce_to_all: Callable[[], None],
+        broadcast_heartbeat: Callable[[], None],
     ) -> None:
         self._store = store
         self._reader = reader
         self._watches = watches
-        self._knowledge = knowledge
+        self._fleet_state = fleet_state
         self._record = record
         self._log = log
         self._read_time = read_time
-        self._announce_to_all = announce_to_all
+        self._broadcast_heartbeat = broadcast_heartbeat
 
     async def run(self) -> None:
-        """Register, and read until cancelled."""
+        """Register, and read the tables until cancelled."""
         async with asyncio.TaskGroup() as tasks:
             tasks.create_task(self._register())
             for watch in self._watches:
                 tasks.create_task(watch.run())
 
     async def _register(self) -> None:
-        """Make this instance known and learn of the others."""
+        """Register this instance and list the others; retry until it succeeds."""
         while True:
             try:
                 await self._store.register_instance(self._record)
                 listed = await self._store.read_instances()
             except StoreError as error:
-                self._reader.note_failure("register", error)
+                self._reader.record_failure("register", error)
                 await asyncio.sleep(REGISTER_RETRY_S)
                 continue
             now = self._read_time()
             for record in listed:
-                self._knowledge.peers.add_listed(record, now=now)
+                self._fleet_state.peers.add_listed(record, now=now)
             self._log.write("registered", now=now, instances=len(listed))
-            self._announce_to_all()
+            self._broadcast_heartbeat()
             return
 
-    def wake_for_news(self) -> None:
-        """Have it decided at once whether to read what another instance told of."""
+    def wake_for_update(self) -> None:
+        """Check at once whether to read a newer table that another instance has."""
         for watch in self._watches:
-            watch.wake_for_news()
+            watch.wake_for_update()
--- a/src/guavamast/relay/stream_relay.py
+++ b/src/guavamast/relay/stream_relay.py
@@ -1,4 +1,4 @@
-"""Passes a stream of events from an endpoint to a caller, each event whole."""
+"""Forwards a stream of events from an endpoint to a caller, each event whole."""
 
 from __future__ import annotations
 
@@ -10,22 +10,22 @@
     from collections.abc import Callable
 
     from guavamast.relay.attempt import Attempt
-    from guavamast.relay.messages import AnswerWriter
+    from guavamast.relay.messages import ResponseWriter
 
 
 async def relay_events(
-    attempt: Attempt, writer: AnswerWriter, note_event: Callable[[str | None], None]
+    attempt: Attempt, writer: ResponseWriter, on_event: Callable[[str | None], None]
 ) -> None:
-    """Pass events on as they arrive, and end the caller's answer after the whole stream.
+    """Forward events as they arrive, and end the caller's response after the whole stream.
 
-    The caller's answer begins with the first event, so that an attempt that fails before it leaves
-    room for another. An event that an endpoint leaves unfinished is not passed on: the endpoint at
+    The caller's response starts with the first event, so that an attempt that fails before it can
+    still be retried. An event that an endpoint leaves incomplete is not forwarded: the endpoint at
     which the stream is resumed sends it again from its start.
 
     Args:
-        attempt: An attempt whose head has come.
-        writer: The caller's side, begun already if this resumes a stream.
-        note_event: Called with each event's id before the event is passed on.
+        attempt: An attempt whose response head was received.
+        writer: The caller's response, already started if this resumes a stream.
+        on_event: Called with each event's id before the event is forwarded.
 
     Raises:
         AttemptFailed: The stream broke.
@@ -35,17 +35,17 @@
         if not events:
             continue
         for event in events:
-            note_event(event.event_id)
-        _begin_once(attempt, writer)
+            on_event(event.event_id)
+        _ensure_started(attempt, writer)
         await writer.write(b"".join(event.data for event in events))
-    _begin_once(attempt, writer)
-    rest = framing.take_rest()
-    if rest:
-        await writer.write(rest)
+    _ensure_started(attempt, writer)
+    remainder = framing.take_rest()
+    if remainder:
+        await writer.write(remainder)
     await writer.end()
 
 
-def _begin_once(attempt: Attempt, writer: AnswerWriter) -> None:
+def _ensure_started(attempt: Attempt, writer: ResponseWriter) -> None:
     assert attempt.head is not None
-    if not writer.begun:
-        writer.begin(attempt.head.status, list(attempt.head.headers))
+    if not writer.started:
+        writer.start(attempt.head.status, list(attempt.head.headers))
--- a/tests/test_relay_scheduler_properties.py
+++ b/tests/test_relay_scheduler_properties.py
@@ -1,4 +1,4 @@
-"""Property tests of scheduling: for any order of messages, no engine is given more than it has."""
+"""Property tests of scheduling: in any order of messages, no engine's KV cache is exceeded."""
 
 from __future__ import annotations
 
@@ -24,13 +24,13 @@
     encode_scheduling,
 )
 from tests.relay_facts import PROFILE, make_endpoint
-from tests.scheduling_world import GROUP, MEMORY_TOKENS, POOL, make_query
+from tests.scheduling_world import GROUP, KV_CAPACITY_TOKENS, POOL, make_query
 
 EXAMPLES = int(os.environ.get("GUAVAMAST_EXAMPLES", "100"))
-FACTS = ServiceFacts(profile=PROFILE, memory_tokens=MEMORY_TOKENS, shortest_pause_s=0.6)
+FACTS = ServiceFacts(profile=PROFILE, memory_tokens=KV_CAPACITY_TOKENS, shortest_pause_s=0.6)
 ENGINES = [make_endpoint(f"e{number}", service=POOL, slots=8) for number in range(2)]
 
-steps = st.lists(
+event_lists = st.lists(
     st.one_of(
         st.tuples(st.just("ask"), st.integers(10_000, 60_000), st.booleans()),
         st.tuples(st.just("ask"), st.integers(100, 10_000), st.booleans()),
@@ -45,21 +45,21 @@
 
 
 class MemoryTest(unittest.TestCase):
-    """Engines never have to stop a request for want of memory."""
+    """Engines never have to preempt a request for lack of KV cache."""
 
     @settings(max_examples=EXAMPLES, deadline=None)
-    @given(steps)
-    def test_never_more_is_granted_than_an_engine_has(self, story: list) -> None:
-        """Requests of three instances come, run, end and are reported in any order.
+    @given(event_lists)
+    def test_never_more_is_granted_than_an_engine_has(self, events: list) -> None:
+        """Requests of three instances arrive, run, end and are reported in any order.
 
-        What runs is judged by what was granted, so a report that names less than runs is not among
-        the stories: an instance always names all its work.
+        The granted requests count as running, so no generated report omits any of them: an instance
+        always reports all its work.
         """
         scheduler = GroupScheduler(random=Random(1), now=0.0)
         now = LEARNING_S + 1.0
         running: dict[int, tuple[PlacementQuery, str]] = {}
         number = 0
-        for kind, value, first in story:
+        for kind, value, first in events:
             if kind == "ask":
                 number += 1
                 query = make_query(
@@ -73,7 +73,7 @@
                 reply = scheduler.decide(query, ENGINES, FACTS, now=now)
                 if reply.verdict is Verdict.GRANTED:
                     running[number] = (query, reply.endpoint_id)
-                    self.check(running, reply.endpoint_id, first=first)
+                    self.check_kv_limit(running, reply.endpoint_id, first=first)
             elif kind == "wait":
                 now += value / 1000.0
                 for place in range(3):
@@ -89,7 +89,7 @@
                 if ended:
                     del running[value]
 
-    def check(
+    def check_kv_limit(
         self, running: dict[int, tuple[PlacementQuery, str]], endpoint_id: str, *, first: bool
     ) -> None:
         taken = sum(
@@ -98,27 +98,27 @@
             if place == endpoint_id
         )
         share = FIRST_MEMORY_SHARE if first else PATIENT_MEMORY_SHARE
-        self.assertLessEqual(taken, share * MEMORY_TOKENS)
+        self.assertLessEqual(taken, share * KV_CAPACITY_TOKENS)
 
     def report(
         self,
         scheduler: GroupScheduler,
         running: dict[int, tuple[PlacementQuery, str]],
-        place: int,
+        instance_number: int,
         now: float,
     ) -> None:
         from guavamast.relay.scheduling_messages import Asker, PlacedWork
 
-        asker = Asker(instance=f"i{place}", incarnation=1)
+        asker = Asker(instance=f"i{instance_number}", incarnation=1)
         works = tuple(
             PlacedWork(
                 number=number,
                 endpoint_id=endpoint_id,
                 phase=WorkPhase.WAITING,
                 shared_part=None,
-                unread_tokens=query.prompt_tokens,
-                memory_tokens=query.prompt_tokens + query.output_tokens,
-                delicate=False,
+                uncached_tokens=query.prompt_tokens,
+                kv_tokens=query.prompt_tokens + query.output_tokens,
+                pause_sensitive=False,
             )
             for number, (query, endpoint_id) in running.items()
             if query.asker == asker
@@ -126,11 +126,11 @@
         report = WorkReport(asker=asker, group=GROUP, works=works)
         decoded = decode_scheduling(encode_scheduling(report))
         self.assertEqual(decoded, report)
-        scheduler.work.take_report(report, now=now)
+        scheduler.work.apply_report(report, now=now)
 
 
 class WireTest(unittest.TestCase):
-    """Any other datagram is refused."""
+    """Messages survive encoding; any other datagram is rejected."""
 
     @given(data=st.binary(max_size=100))
     def test_garbage_is_refused(self, data: bytes) -> None:
