--- a/bench/costs.py
+++ b/bench/costs.py
@@ -1,4 +1,4 @@
-"""Processor time of the entry's decisions against the size of the fleet."""
+"""Processor time of an entry's decisions by the size of the fleet."""
 
 from __future__ import annotations
 
@@ -7,10 +7,7 @@
 from typing import TYPE_CHECKING, Final
 
 from guavamast.allotments import AllotmentAsk, AllotmentDispatcher
-from guavamast.members import MembershipView
-from guavamast.placement import EndpointChooser, Wanted
-from guavamast.slots import Probe
-from guavamast.world import (
+from guavamast.fleet_objects import (
     Configuration,
     Contract,
     Endpoint,
@@ -19,6 +16,9 @@
     Instance,
     Organisation,
 )
+from guavamast.members import MembershipView
+from guavamast.placement import EndpointChooser, EndpointRequirements
+from guavamast.slots import Probe
 
 if TYPE_CHECKING:
     from collections.abc import Callable
@@ -39,7 +39,7 @@
 
 
 def measure(size: int, action: Callable[[int], None]) -> Cost:
-    """Return the processor time of an action that is given the number of its call."""
+    """Return the processor time of an action, which is passed the number of the call."""
     times = []
     for number in range(CALLS):
         start = process_time()
@@ -55,7 +55,7 @@
 
 
 def measure_choose(size: int) -> Cost:
-    """Return the cost of a choice among so many endpoints, each prompt with another prefix."""
+    """Return the cost of choosing among ``size`` endpoints; each prompt has a new prefix."""
     instance = Instance(
         name="i",
         failure_domain=FailureDomain(name="a", region="r"),
@@ -78,7 +78,7 @@
 
     def choose(number: int) -> None:
         now = number / 20
-        wanted = Wanted(tier=1, model="m", prefix_key=f"p{number}", prompt_tokens=500)
+        wanted = EndpointRequirements(tier=1, model="m", prefix_key=f"p{number}", prompt_tokens=500)
         name = chooser.choose(wanted, now=now)[0]
         probe = Probe(
             endpoint=name, in_flight=1, queued=0, estimated_wait_s=0.0, lowest_tier=1, slots=8
@@ -89,8 +89,8 @@
 
 
 def measure_allotment(size: int) -> Cost:
-    """Return the cost of one answer of an organisation's home to one of so many entries."""
-    home = AllotmentDispatcher()
+    """Return the cost of one allotment by a dispatcher to one of ``size`` entries."""
+    dispatcher = AllotmentDispatcher()
     contract = Contract(requests_per_second=500.0, concurrent=2000, classes={})
     organisation = Organisation(name="o", key_sha256="", contract=contract)
 
@@ -103,6 +103,6 @@
             concurrent_wanted=8,
             tokens_wanted=1,
         )
-        home.ask(ask, organisation, now=number / 20)
+        dispatcher.ask(ask, organisation, now=number / 20)
 
     return measure(size, answer)
--- /dev/null
+++ b/soak/guarantees.py
@@ -0,0 +1,204 @@
+"""Checks of the requests that callers and engines recorded against the guarantees."""
+
+from __future__ import annotations
+
+from collections import defaultdict
+from dataclasses import dataclass
+from enum import StrEnum
+from typing import Final
+
+NOT_RUN_STATUSES: Final = (408, 421, 429, 503)
+"""Statuses that state that a request has not run and never will."""
+DENIAL_STATUSES: Final = (401, 403, 404)
+REVOKE_BOUND_S: Final = 2.0
+"""Time after which a revoked key must be rejected, unless a run has another bound."""
+DRAIN_BOUND_S: Final = 2.0
+"""Time after which a leaving engine must receive no requests."""
+SETTLED_AFTER_S: Final = 3.5
+"""Time without a disruption after which the bounds in seconds hold."""
+RECOVERED_SHARE: Final = 0.9
+"""Share of the requests after the recovery that must succeed, as all faults are over by then."""
+
+
+class RequestKind(StrEnum):
+    """Kind of a request: how often it may run and how its response arrives."""
+
+    CALL = "call"
+    """Runs at most once."""
+    LOOKUP = "lookup"
+    STREAM = "stream"
+    """Runs at most once."""
+    RESUMABLE = "resumable"
+
+    @property
+    def at_most_once(self) -> bool:
+        """Whether a second run violates a guarantee."""
+        return self in (RequestKind.CALL, RequestKind.STREAM)
+
+
+@dataclass(frozen=True, slots=True, kw_only=True)
+class RequestRecord:
+    """One request as its caller recorded it."""
+
+    request_id: str
+    kind: RequestKind
+    organisation: str
+    sent_at: float
+    ended_at: float
+    status: int | None
+    """None if no status was received."""
+    response_id: str | None
+    """Request id in the response."""
+    body: bytes
+    expected_body: bytes
+    """Complete body that an engine sends for the request."""
+    complete: bool
+
+
+@dataclass(frozen=True, slots=True, kw_only=True)
+class RunRecord:
+    """One run as an engine recorded it."""
+
+    request_id: str
+    engine: str
+    organisation: str
+    started_at: float
+    unmodified: bool
+    """Whether method, target and body were the caller's, and no API key was forwarded."""
+
+
+@dataclass(frozen=True, slots=True, kw_only=True)
+class Span:
+    """Time span of a disruption or a drain."""
+
+    started_at: float
+    ended_at: float
+
+
+@dataclass(frozen=True, slots=True, kw_only=True)
+class SoakRecord:
+    """Everything that was recorded in a soak run."""
+
+    requests: list[RequestRecord]
+    runs: list[RunRecord]
+    revoked: dict[str, float]
+    """Time at which each organisation's key was revoked."""
+    drains: dict[str, list[Span]]
+    """Spans from the listing as draining to the listing as ready, by engine."""
+    disruptions: list[Span]
+    external_disruptions: list[Span]
+    """Disruptions of the store, links and engines: all but those of instances."""
+    revoke_s: float
+    """Time after which a revoked key must be rejected in this run."""
+    recovered_at: float
+    """Time from which all requests must be served again."""
+    ended_at: float
+    """Time at which callers stopped sending and the site was shut down."""
+
+
+def find_violations(record: SoakRecord) -> list[str]:
+    """Return each violated guarantee with the request that shows it."""
+    runs: dict[str, list[RunRecord]] = defaultdict(list)
+    for run in record.runs:
+        runs[run.request_id].append(run)
+    violations = []
+    for request in record.requests:
+        violations += _check_response(request)
+        violations += _check_undisturbed(request, record)
+        violations += _check_runs(request, runs[request.request_id])
+    sent_at = {request.request_id: request.sent_at for request in record.requests}
+    for run in record.runs:
+        if run.request_id not in sent_at:
+            violations.append(f"{run.request_id}: ran at {run.engine}, though nobody asked for it")
+            continue
+        violations += _check_run(run, sent_at[run.request_id], record)
+    return violations + _check_recovery(record)
+
+
+def _check_response(request: RequestRecord) -> list[str]:
+    name = f"{request.request_id} ({request.kind})"
+    if request.status is None or request.status >= 300:
+        if request.status in DENIAL_STATUSES and not request.organisation.startswith("revocable"):
+            return [f"{name}: denied with {request.status}"]
+        return []
+    violations = []
+    if request.response_id != request.request_id:
+        violations.append(f"{name}: got the answer to {request.response_id}")
+    if request.complete and request.body != request.expected_body:
+        violations.append(f"{name}: complete response with a wrong body {request.body[:80]!r}")
+    if not request.expected_body.startswith(request.body):
+        violations.append(
+            f"{name}: response is no prefix of the expected body: {request.body[:80]!r}"
+        )
+    return violations
+
+
+def _check_undisturbed(request: RequestRecord, record: SoakRecord) -> list[str]:
+    """Check that no request fails during planned work: stops, reloads, changes and drains."""
+    if request.ended_at >= record.ended_at or not _is_undisturbed(
+        record.disruptions, request.sent_at, request.ended_at
+    ):
+        return []
+    if request.status is None or (request.status == 200 and not request.complete):
+        return [
+            f"{request.request_id} ({request.kind}): no full response, though nothing was disturbed"
+        ]
+    if request.status >= 500 and request.status not in NOT_RUN_STATUSES:
+        return [
+            f"{request.request_id} ({request.kind}): {request.status}, though nothing was disturbed"
+        ]
+    return []
+
+
+def _check_runs(request: RequestRecord, runs: list[RunRecord]) -> list[str]:
+    name = f"{request.request_id} ({request.kind})"
+    if request.kind.at_most_once and len(runs) > 1:
+        return [f"{name}: ran {len(runs)} times, at {[run.engine for run in runs]}"]
+    if request.kind.at_most_once and request.status in NOT_RUN_STATUSES and runs:
+        return [f"{name}: refused as not run with {request.status}, and ran"]
+    if len({run.engine for run in runs}) > 2:
+        return [f"{name}: sent to {len(runs)} engines, two are allowed"]
+    return [
+        f"{name}: ran as {run.organisation}"
+        for run in runs
+        if run.organisation != request.organisation
+    ]
+
+
+def _check_run(run: RunRecord, sent_at: float, record: SoakRecord) -> list[str]:
+    violations = []
+    if not run.unmodified:
+        violations.append(f"{run.request_id}: changed on its way")
+    revoked = record.revoked.get(run.organisation)
+    if revoked is not None and sent_at > revoked + record.revoke_s:
+        late_s = sent_at - revoked
+        violations.append(
+            f"{run.request_id}: ran, sent {late_s:.2f} s after its key was taken away"
+        )
+    for drain in record.drains.get(run.engine, []):
+        # Only external disruptions count: a disrupted instance rereads stale state before it sends.
+        undisturbed = _is_undisturbed(record.external_disruptions, run.started_at, run.started_at)
+        if undisturbed and drain.started_at + DRAIN_BOUND_S < run.started_at < drain.ended_at:
+            late_s = run.started_at - drain.started_at
+            violations.append(f"{run.request_id}: ran at {run.engine} {late_s:.2f} s after it left")
+    return violations
+
+
+def _is_undisturbed(disruptions: list[Span], started_at: float, ended_at: float) -> bool:
+    """Return whether a time span and ``SETTLED_AFTER_S`` before it had no disruption."""
+    return not any(
+        span.started_at <= ended_at and started_at - SETTLED_AFTER_S <= span.ended_at
+        for span in disruptions
+    )
+
+
+def _check_recovery(record: SoakRecord) -> list[str]:
+    last_requests = [
+        request
+        for request in record.requests
+        if request.sent_at >= record.recovered_at and request.organisation not in record.revoked
+    ]
+    succeeded = sum(request.status == 200 and request.complete for request in last_requests)
+    if succeeded < RECOVERED_SHARE * len(last_requests) or not last_requests:
+        return [f"only {succeeded} of the last {len(last_requests)} requests were answered"]
+    return []
--- /dev/null
+++ b/soak/site.py
@@ -0,0 +1,159 @@
+"""Site of a soak run: instances, engines, services and the store, behind faulty links."""
+
+from __future__ import annotations
+
+import asyncio
+import time
+from typing import TYPE_CHECKING, Final
+
+from guavamast.platform.standins.site import KEY, Site
+from soak.guarantees import RunRecord, Span
+from soak.instances import Instance
+from soak.proxy import LinkProxy
+
+if TYPE_CHECKING:
+    from guavamast.platform.standins.engine import EngineStandIn, Run
+
+ENGINE_WORK_S: Final = 0.03
+"""Time that an engine takes before a response, so that faults affect running requests."""
+KEYS: Final = {
+    "bakery": KEY,
+    "florist": "florist-key",
+    "revocable-1": "key-1",
+    "revocable-2": "key-2",
+}
+"""Keys by organisation; those of the revocable organisations may be revoked."""
+
+
+class SoakSite(Site):
+    """Site whose engines and store are reached through proxies.
+
+    Args:
+        directory: Directory for settings and logs.
+    """
+
+    def __init__(self, *, directory: str) -> None:
+        super().__init__()
+        self.instances: list[Instance] = []
+        self.links: dict[str, LinkProxy] = {}
+        """Links to the engines, by engine id."""
+        self.engine_services: dict[str, str] = {}
+        """Services of the engines, by engine id."""
+        self.replaced_engines: list[tuple[str, EngineStandIn]] = []
+        """Engines that have been replaced, with their ids."""
+        self.revoked: dict[str, float] = {}
+        self.drains: dict[str, list[Span]] = {}
+        self.other_keys = {name: key for name, key in KEYS.items() if name != "bakery"}
+        self._directory = directory
+
+    async def add_engine(self, engine_id: str, service: str) -> EngineStandIn:
+        """Start an engine behind a link and list the link's address."""
+        engine = await super().add_engine(engine_id, service)
+        engine.processing_s = ENGINE_WORK_S
+        link = LinkProxy(target_port=engine.port)
+        self.links[engine_id] = link
+        self.engine_services[engine_id] = service
+        await link.start()
+        self.list_engine_link(engine_id)
+        return engine
+
+    def list_engine_link(self, engine_id: str, *, state: str = "ready") -> None:
+        """Write an engine's row to the store, with the address of its link."""
+        self.register_engine(
+            engine_id, self.engine_services[engine_id], self.links[engine_id].port, state=state
+        )
+
+    async def restart_engine(self, engine_id: str) -> None:
+        """Start a new engine with the id and address of another, but none of its state."""
+        await self._replace_engine(engine_id, engine_id, self.engine_services[engine_id])
+        self.list_engine_link(engine_id)
+
+    async def reuse_address(self, engine_id: str, new_id: str) -> None:
+        """Reassign the address of a stopped engine to a new engine of the other service."""
+        service = "portal" if self.engine_services[engine_id] == "pool" else "pool"
+        await self._replace_engine(engine_id, new_id, service)
+        self.links[new_id] = self.links.pop(engine_id)
+        self.engine_services[new_id] = service
+        self.unlist_engine(engine_id)
+        self.list_engine_link(new_id)
+
+    def unlist_engine(self, engine_id: str) -> None:
+        """Remove an engine's row from the store."""
+        self.store.drop("servers", engine_id)
+
+    async def crash_engine(self, engine_id: str) -> None:
+        """Stop an engine and close its connections."""
+        await self.engines[engine_id].stop()
+
+    async def add_instance(self, name: str) -> None:
+        """Start an instance with its own link to the store."""
+        settings = self.build_settings(name)
+        link = LinkProxy(target_port=self.store_port)
+        await link.start()
+        settings["platform"]["address"] = f"127.0.0.1:{link.port}"
+        instance = Instance(settings=settings, directory=self._directory, store_link=link)
+        self.instances.append(instance)
+        await instance.start()
+
+    async def stop(self) -> None:
+        """Stop instances, stand-ins and links.
+
+        If an instance can't be stopped, the rest of the site is stopped before the error is raised.
+        Otherwise the other instances would keep running without their site, and query the store at
+        ports that a later run has assigned to its engines.
+        """
+        stops = [instance.stop() for instance in self.instances]
+        results = await asyncio.gather(*stops, return_exceptions=True)
+        await super().stop()
+        for link in [*self.links.values(), *(instance.store_link for instance in self.instances)]:
+            await link.stop()
+        failures = [result for result in results if isinstance(result, Exception)]
+        if failures:
+            raise ExceptionGroup("instances that could not be stopped", failures)
+
+    def revoke(self, organisation: str) -> None:
+        """Revoke an organisation's key."""
+        self.other_keys.pop(organisation, None)
+        self.publish_configuration()
+        self.revoked.setdefault(organisation, time.monotonic())
+
+    def list_runs(self) -> list[RunRecord]:
+        """Return all runs of all engines, including the replaced ones."""
+        return [
+            _describe_run(run, engine_id)
+            for engine_id, engine in [*self.engines.items(), *self.replaced_engines]
+            for run in engine.runs
+        ]
+
+    def find_instance_failures(self) -> list[str]:
+        """Return unexpected exits and logged errors of all instances."""
+        failures = []
+        for instance in self.instances:
+            failures += instance.unexpected_exits + instance.find_logged_errors()
+        return failures
+
+    async def _replace_engine(self, old_id: str, new_id: str, service: str) -> None:
+        old = self.engines.pop(old_id)
+        self.replaced_engines.append((old_id, old))
+        engine = type(old)(engine_id=new_id)
+        engine.processing_s = ENGINE_WORK_S
+        self.links[old_id].target_port = await engine.listen()
+        # Added only once it listens, as a concurrent fault may stop any engine found here.
+        self.engines[new_id] = engine
+        self.engine_services[old_id if old_id == new_id else new_id] = service
+
+
+def _describe_run(run: Run, engine_id: str) -> RunRecord:
+    expected = b"" if "/lookup/" in run.target else run.request_id.encode()
+    intact = (
+        run.target.endswith("/" + run.request_id)
+        and run.body == expected
+        and "authorization" not in run.headers
+    )
+    return RunRecord(
+        request_id=run.request_id,
+        engine=engine_id,
+        organisation=run.tenant,
+        started_at=run.began,
+        unmodified=intact,
+    )
--- a/src/guavamast/_round_robin.py
+++ b/src/guavamast/_round_robin.py
@@ -11,14 +11,14 @@
     from guavamast.slots import Ask
 
 QUANTUM: Final = 256.0
-"""Tokens that an organisation may start each round; about one short answer."""
-COST_CEILING: Final = 65_536.0
-"""Tokens above which a request costs no more; bounds an organisation's debt."""
+"""Tokens added to an organisation's deficit counter each round; about one short response."""
+MAX_COST: Final = 65_536.0
+"""Maximum cost of a request in tokens; bounds an organisation's debt."""
 
 
 @dataclass(slots=True, kw_only=True)
-class Waiting:
-    """A queued ask with what was worked out when it came."""
+class WaitingAsk:
+    """A queued ask with the estimates from its arrival."""
 
     ask: Ask
     sequence: int
@@ -27,21 +27,21 @@
     cost: float
     """Estimated work in tokens."""
     latest_start: float
-    """Time after which it can't meet its deadline."""
+    """Time after which the ask can't meet its deadline."""
     target_start: float
-    """Time after which it misses its class's first-token target."""
+    """Time after which the ask misses its class's first-token target."""
     is_late: bool = False
-    """It has missed that target; asks that can still meet theirs go first."""
+    """Whether the ask has missed that target; asks that can still meet theirs go first."""
 
 
 class _Account:
-    """One organisation's waiting asks and its balance."""
+    """The waiting asks and the deficit counter of one organisation."""
 
     __slots__ = ("deficit", "last_round", "late", "waiting")
 
     def __init__(self, *, last_round: int) -> None:
-        self.waiting: OrderedDict[str, Waiting] = OrderedDict()
-        self.late: OrderedDict[str, Waiting] = OrderedDict()
+        self.waiting: OrderedDict[str, WaitingAsk] = OrderedDict()
+        self.late: OrderedDict[str, WaitingAsk] = OrderedDict()
         self.deficit = QUANTUM
         self.last_round = last_round
 
@@ -50,13 +50,13 @@
 
 
 class RoundRobin:
-    """Waiting asks, served round by round and organisation by organisation.
+    """Waiting asks in deficit round robin among organisations.
 
-    Each round adds `QUANTUM` to an organisation's deficit counter and each start takes its cost
-    off. An organisation in debt waits until the round that makes its counter positive again; a
-    heap by that round makes a start logarithmic in the number of organisations, however dear
-    the asks are. The debt outlives an empty queue while others wait, so that sending one dear ask
-    at a time gains nothing.
+    Each round adds `QUANTUM` to an organisation's deficit counter and each start subtracts its
+    cost. An organisation in debt waits until the round that makes its counter positive again. A
+    heap ordered by that round makes a start logarithmic in the number of organisations, however
+    expensive the asks are. The debt persists while the organisation's queue is empty and others
+    wait, so that sending one expensive ask at a time gains nothing.
     """
 
     __slots__ = ("_accounts", "_by_count", "_heap", "_length", "_longest", "_round", "_sequence")
@@ -68,13 +68,13 @@
         self._sequence = 0
         self._length = 0
         self._by_count: dict[int, dict[str, None]] = {}
-        """Organisations by how many of their asks wait."""
+        """Organisations by the number of their waiting asks."""
         self._longest = 0
 
     def __len__(self) -> int:
         return self._length
 
-    def add(self, waiting: Waiting) -> None:
+    def add(self, waiting: WaitingAsk) -> None:
         """Append an ask to its organisation's queue."""
         organisation = waiting.ask.organisation
         account = self._accounts.get(organisation)
@@ -83,23 +83,23 @@
             self._schedule(organisation, self._round)
         account.waiting[waiting.ask.ask_id] = waiting
         self._length += 1
-        self._recount(organisation, len(account), change=1)
+        self._update_count(organisation, len(account), change=1)
 
-    def remove(self, ask: Ask) -> Waiting:
-        """Take an ask out without starting it."""
+    def remove(self, ask: Ask) -> WaitingAsk:
+        """Remove an ask without starting it."""
         account = self._accounts[ask.organisation]
         waiting = account.waiting.pop(ask.ask_id, None) or account.late.pop(ask.ask_id)
-        self._recount(ask.organisation, len(account), change=-1)
-        self._note_removal()
+        self._update_count(ask.organisation, len(account), change=-1)
+        self._record_removal()
         return waiting
 
-    def turn_late(self, waiting: Waiting) -> None:
-        """Put an ask behind those of its organisation that can still meet their target."""
+    def demote_late(self, waiting: WaitingAsk) -> None:
+        """Move an ask behind those of its organisation that can still meet their target."""
         account = self._accounts[waiting.ask.organisation]
         account.late[waiting.ask.ask_id] = account.waiting.pop(waiting.ask.ask_id)
 
-    def take(self) -> Waiting:
-        """Take the next ask to start and charge its organisation."""
+    def pop_next(self) -> WaitingAsk:
+        """Remove and return the next ask to start, and charge its organisation."""
         while True:
             round_number, _, organisation = heappop(self._heap)
             self._round = max(self._round, round_number)
@@ -113,11 +113,11 @@
                 return self._start(organisation, account)
 
     def charge(self, organisation: str, cost: float) -> None:
-        """Take the difference between a start's true and estimated cost off its organisation."""
+        """Charge an organisation the difference between a start's actual and estimated cost."""
         account = self._accounts.get(organisation)
         if account is not None:
             self._top_up(account)
-            account.deficit = min(QUANTUM, max(-COST_CEILING, account.deficit - cost))
+            account.deficit = min(QUANTUM, max(-MAX_COST, account.deficit - cost))
 
     def count(self, organisation: str) -> int:
         """Return how many asks of an organisation wait and are not late."""
@@ -134,11 +134,11 @@
         return len(account) if account is not None else 0
 
     def count_longest(self) -> int:
-        """Return how many asks the organisation with the most of them has waiting."""
+        """Return the greatest number of waiting asks of any organisation."""
         return self._longest
 
-    def find_newest_of_longest(self) -> Waiting:
-        """Return the last ask of an organisation that has the most of them waiting."""
+    def find_newest_of_longest(self) -> WaitingAsk:
+        """Return the newest ask of an organisation with the most waiting asks."""
         organisation = next(iter(self._by_count[self._longest]))
         account = self._accounts[organisation]
         return next(reversed((account.waiting or account.late).values()))
@@ -147,15 +147,15 @@
         """Return all organisations' deficit counters."""
         return [account.deficit for account in self._accounts.values()]
 
-    def _start(self, organisation: str, account: _Account) -> Waiting:
+    def _start(self, organisation: str, account: _Account) -> WaitingAsk:
         _, waiting = (account.waiting or account.late).popitem(last=False)
-        account.deficit = max(-COST_CEILING, account.deficit - waiting.cost)
+        account.deficit = max(-MAX_COST, account.deficit - waiting.cost)
         self._schedule(organisation, self._find_round(account))
-        self._recount(organisation, len(account), change=-1)
-        self._note_removal()
+        self._update_count(organisation, len(account), change=-1)
+        self._record_removal()
         return waiting
 
-    def _recount(self, organisation: str, count: int, *, change: int) -> None:
+    def _update_count(self, organisation: str, count: int, *, change: int) -> None:
         before = count - change
         if before:
             del self._by_count[before][organisation]
@@ -166,7 +166,7 @@
         if before and not self._by_count[before]:
             del self._by_count[before]
 
-    def _note_removal(self) -> None:
+    def _record_removal(self) -> None:
         self._length -= 1
         if self._length == 0:
             self._accounts.clear()
--- a/src/guavamast/heartbeat_link.py
+++ b/src/guavamast/heartbeat_link.py
@@ -1,4 +1,4 @@
-"""One stream of heartbeats."""
+"""A single heartbeat stream."""
 
 from __future__ import annotations
 
@@ -21,17 +21,26 @@
 class HeartbeatLink:
     """Sends on a stream when woken and receives from it, each in a task of its own.
 
-    Failure: a peer that is stopped takes nothing from its socket, and a send to it never returns.
-    Only this link's sender waits then, and messages are made when they can be sent, so that none
-    pile up.
+    A stopped peer does not read from its socket, and a send to it never returns. In that case only
+    this link's sending task blocks, and messages are built only when they can be sent, so none
+    queue up.
 
     Args:
         stream: Either end of a ``Gossip`` stream.
-        address: The address that was dialled; empty where the peer dialled.
-        now: The present time.
+        address: The dialled address; empty if the peer dialled.
+        now: Current time.
     """
 
-    __slots__ = ("_sent", "_stream", "_tasks", "_wake", "address", "heard_at", "state", "used_at")
+    __slots__ = (
+        "_sent",
+        "_stream",
+        "_tasks",
+        "_wake",
+        "address",
+        "received_at",
+        "state",
+        "used_at",
+    )
 
     def __init__(self, *, stream: ClientStream | ServerStream, address: str, now: float) -> None:
         self._stream = stream
@@ -40,48 +49,48 @@
         self._tasks: list[asyncio.Task[None]] = []
         self.address = address
         self.state = ExchangeState()
-        self.heard_at = now
-        """When the last message came, or the stream was opened."""
+        self.received_at = now
+        """Time at which the last message was received or the stream was opened."""
         self.used_at = now
-        """When the peer was last a neighbour."""
+        """Time at which the peer was last a neighbour."""
 
     def wake(self) -> None:
-        """Send a message as soon as the stream takes one."""
+        """Send a message as soon as the stream accepts one."""
         self._sent.clear()
         self._wake.set()
 
-    def excuse(self, now: float) -> None:
-        """Count the stream's silence from now on, after this process was paused."""
-        self.heard_at = max(self.heard_at, now)
+    def reset_silence(self, now: float) -> None:
+        """Restart the measurement of silence after this process was paused."""
+        self.received_at = max(self.received_at, now)
 
     def close(self) -> None:
-        """End the stream."""
+        """Close the stream."""
         for task in self._tasks:
             task.cancel()
 
     async def wait_sent(self) -> None:
-        """Wait until the message that was last asked for is sent."""
+        """Wait until the message of the last `wake` is sent."""
         await self._sent.wait()
 
     async def run(
         self,
         *,
-        make: Callable[[], HeartbeatMessage],
-        take: Callable[[HeartbeatMessage], None],
+        build_message: Callable[[], HeartbeatMessage],
+        on_message: Callable[[HeartbeatMessage], None],
     ) -> bool:
         """Exchange messages until either end closes the stream.
 
         Args:
-            make: Makes the next message to send.
-            take: Takes a received message.
+            build_message: Returns the next message to send.
+            on_message: Called with each received message.
 
         Returns:
-            Whether the stream broke, rather than being closed.
+            Whether the stream broke rather than being closed.
         """
         self._wake.set()
         self._tasks = [
-            asyncio.ensure_future(self._send(make)),
-            asyncio.ensure_future(self._receive(take)),
+            asyncio.ensure_future(self._send(build_message)),
+            asyncio.ensure_future(self._receive(on_message)),
         ]
         try:
             await asyncio.wait(self._tasks, return_when=asyncio.FIRST_COMPLETED)
@@ -95,16 +104,16 @@
                 raise error
         return bool(broken)
 
-    async def _send(self, make: Callable[[], HeartbeatMessage]) -> None:
+    async def _send(self, build_message: Callable[[], HeartbeatMessage]) -> None:
         while True:
             await self._wake.wait()
             self._wake.clear()
-            await self._stream.send_message(make())
+            await self._stream.send_message(build_message())
             self._sent.set()
 
-    async def _receive(self, take: Callable[[HeartbeatMessage], None]) -> None:
+    async def _receive(self, on_message: Callable[[HeartbeatMessage], None]) -> None:
         try:
             while (message := await self._stream.recv_message()) is not None:
-                take(message)
+                on_message(message)
         except (GRPCError, ProtocolError):
             return
--- a/src/guavamast/heartbeats.py
+++ b/src/guavamast/heartbeat_links.py
@@ -1,7 +1,7 @@
-"""Streams of heartbeats to other dispatchers.
+"""Heartbeat streams to other dispatchers.
 
-There is one stream for each pair of neighbours. It is dialled by the end with the lower name, or by
-the other one when that fails to come.
+There is one stream for each pair of neighbours. The end with the lower name dials it; the other end
+dials if no stream is opened in time.
 """
 
 from __future__ import annotations
@@ -31,46 +31,46 @@
     from guavamast.peer_pb2 import HeartbeatMessage
 
 COALESCE_S: Final = 0.02
-"""Time for which news is collected before it is passed on."""
+"""Time for which updates are coalesced before they are sent."""
 CONNECT_TIMEOUT_S: Final = 2.0
-"""Longest time for opening a stream."""
-FIRST_RETRY_S: Final = 0.5
-"""Pause after a failed dial; doubles up to `LONGEST_RETRY_S`."""
-LONGEST_RETRY_S: Final = 5.0
-"""Longest pause between two dials of one address."""
-CONTACT_S: Final = 5.0
-"""Time between two dials of a seed or a gone instance, while there are neighbours."""
-LINGER_S: Final = 5.0
-"""Time for which a stream to an instance that is no neighbour is kept."""
-SILENT_SHARE: Final = 0.75
-"""Share of the time until suspicion after which a silent stream is replaced by a new one."""
-FAREWELL_S: Final = 0.5
-"""Longest time for telling neighbours that this process ends."""
+"""Timeout for opening a stream."""
+INITIAL_RETRY_DELAY_S: Final = 0.5
+"""Delay after a failed dial; doubles up to `MAX_RETRY_DELAY_S`."""
+MAX_RETRY_DELAY_S: Final = 5.0
+"""Upper bound of the delay between two dials of one address, before jitter."""
+RECONNECT_INTERVAL_S: Final = 5.0
+"""Mean interval between two dials of a seed or a gone instance, while there are neighbours."""
+UNUSED_STREAM_TIMEOUT_S: Final = 5.0
+"""Time for which a dialled stream to an instance that is no longer a neighbour is kept."""
+SILENT_STREAM_SHARE: Final = 0.75
+"""Share of the time until suspicion after which a silent dialled stream is replaced."""
+CLOSE_TIMEOUT_S: Final = 0.5
+"""Timeout for announcing to the neighbours that this process ends."""
 GAUGE_ROUNDS: Final = 10
-"""Rounds between two sets of gauges."""
+"""Rounds between two updates of the gauges."""
 
 _STREAM_ERRORS: Final = (OSError, GRPCError, ProtocolError, StreamTerminatedError, TimeoutError)
 
 
 class HeartbeatLinks:
-    """Keeps the streams to this instance's neighbours and runs its failure detector.
+    """Maintains the streams to this instance's neighbours and runs its failure detector.
 
     The dispatcher awaits `run` in a task, passes each ``Gossip`` stream to `serve`, calls
     `tell_soon` after it changed the membership or the configuration itself, and awaits `close` at
     the end.
 
     Args:
-        membership: The membership to keep.
-        spread: The configuration to spread.
-        metrics: Where counts go.
-        on_change: Called after a message changed members or configuration.
+        membership: This instance's membership.
+        spread: The configuration to distribute.
+        metrics: Receives counters and gauges.
+        on_change: Called after members or configuration changed.
         clock: The monotonic clock.
     """
 
     __slots__ = (
         "_clock",
         "_closing",
-        "_contact_at",
+        "_reconnect_at",
         "_dialling",
         "_exchange",
         "_failures",
@@ -111,13 +111,13 @@
         self._retry_at: dict[str, float] = {}
         self._missing_since: dict[str, float] = {}
         self._flush: asyncio.TimerHandle | None = None
-        self._contact_at = 0.0
+        self._reconnect_at = 0.0
         self._ticked_at = clock()
         self._rounds = 0
         self._closing = False
 
     async def run(self) -> None:
-        """Send heartbeats once a period until cancelled."""
+        """Send heartbeats once per period until cancelled."""
         period = self._membership.timing.period_s
         due = self._clock()
         while True:
@@ -126,11 +126,11 @@
             await asyncio.sleep(due - self._clock())
 
     async def serve(self, stream: Stream) -> None:
-        """Serve a ``Gossip`` stream that a peer dialled, until either end ends it."""
+        """Serve a ``Gossip`` stream that a peer dialled, until either end closes it."""
         await self._serve_link(HeartbeatLink(stream=stream, address="", now=self._clock()))
 
     async def close(self) -> None:
-        """Tell the neighbours that this process ends, and end all streams."""
+        """Announce to the neighbours that this process ends, and close all streams."""
         self._closing = True
         self._membership.end()
         for link in self._links:
@@ -138,7 +138,7 @@
         if self._links:
             await asyncio.wait(
                 [asyncio.ensure_future(link.wait_sent()) for link in self._links],
-                timeout=FAREWELL_S,
+                timeout=CLOSE_TIMEOUT_S,
             )
         if self._flush is not None:
             self._flush.cancel()
@@ -148,21 +148,21 @@
             task.cancel()
         await asyncio.gather(*self._tasks, return_exceptions=True)
 
-    def tell_soon(self) -> None:
-        """Send what is new without waiting for the next period."""
+    def schedule_flush(self) -> None:
+        """Send pending updates soon, without waiting for the next period."""
         if self._flush is None:
-            self._flush = asyncio.get_running_loop().call_later(COALESCE_S, self._send_news)
+            self._flush = asyncio.get_running_loop().call_later(COALESCE_S, self._send_updates)
 
     def _run_round(self, now: float) -> None:
         paused = now - self._ticked_at > 2.0 * self._membership.timing.period_s
         self._ticked_at = now
-        before = self._membership.news_sequence
+        before = self._membership.state_sequence
         self._membership.tick(now=now)
-        if self._membership.news_sequence != before:
+        if self._membership.state_sequence != before:
             self._on_change()
         if paused:
             for link in self._links:
-                link.excuse(now)
+                link.reset_silence(now)
         self._update_links(now)
         for link in self._links:
             link.wake()
@@ -170,17 +170,17 @@
         if self._rounds % GAUGE_ROUNDS == 1:
             self._set_gauges(now)
 
-    def _send_news(self) -> None:
+    def _send_updates(self) -> None:
         self._flush = None
         now = self._clock()
         for link in self._links:
-            if self._exchange.has_news(link.state, now=now):
+            if self._exchange.has_updates(link.state, now=now):
                 link.wake()
 
     def _update_links(self, now: float) -> None:
         neighbours = {m.instance.name: m for m in self._membership.list_neighbours()}
         self._spread.set_neighbours(len(neighbours))
-        self._close_useless(neighbours, now)
+        self._close_obsolete(neighbours, now)
         linked = {link.state.peer for link in self._links}
         for name, member in neighbours.items():
             if name in linked:
@@ -189,9 +189,9 @@
                 self._dial(member.instance.peer_address, name, now)
         for name in set(self._missing_since) - set(neighbours):
             del self._missing_since[name]
-        self._try_contact(bool(neighbours), now)
+        self._reconnect(bool(neighbours), now)
 
-    def _close_useless(self, neighbours: Iterable[str], now: float) -> None:
+    def _close_obsolete(self, neighbours: Iterable[str], now: float) -> None:
         timing = self._membership.timing
         own = self._membership.me.instance.name
         accepted = {link.state.peer for link in self._links if not link.address}
@@ -199,16 +199,16 @@
             peer = link.state.peer
             if peer in neighbours:
                 link.used_at = now
-            silent = now - link.heard_at
+            silent = now - link.received_at
             if link.address:
-                # Failure: the peer restarted or a route changed, this end's packets vanish and
-                # the stream looks open. A new stream comes before the peer would be suspected.
-                useless = silent > SILENT_SHARE * timing.suspect_after_s
-                useless = useless or now - link.used_at > LINGER_S
-                useless = useless or (peer < own and peer in accepted)
+                # If the peer restarted or a route changed, this end's packets are lost while the
+                # stream looks open. Replace it before the peer would be suspected.
+                obsolete = silent > SILENT_STREAM_SHARE * timing.suspect_after_s
+                obsolete = obsolete or now - link.used_at > UNUSED_STREAM_TIMEOUT_S
+                obsolete = obsolete or (peer < own and peer in accepted)
             else:
-                useless = silent > timing.suspect_after_s + timing.gone_after_s
-            if useless:
+                obsolete = silent > timing.suspect_after_s + timing.gone_after_s
+            if obsolete:
                 link.close()
 
     def _should_dial(self, name: str, now: float) -> bool:
@@ -216,13 +216,13 @@
         waited = now - since >= 2.0 * self._membership.timing.period_s
         return waited or self._membership.me.instance.name < name
 
-    def _try_contact(self, connected: bool, now: float) -> None:
-        if connected and now < self._contact_at:
+    def _reconnect(self, connected: bool, now: float) -> None:
+        if connected and now < self._reconnect_at:
             return
-        self._contact_at = now + CONTACT_S * self._random.uniform(0.5, 1.5)
+        self._reconnect_at = now + RECONNECT_INTERVAL_S * self._random.uniform(0.5, 1.5)
         linked = {link.address for link in self._links}
-        contacts = [c for c in self._membership.list_contacts() if c not in linked]
-        ready = [c for c in contacts if self._retry_at.get(c, now) <= now]
+        addresses = [c for c in self._membership.list_reconnect_addresses() if c not in linked]
+        ready = [c for c in addresses if self._retry_at.get(c, now) <= now]
         self._retry_at = {a: at for a, at in self._retry_at.items() if at > now - 60.0}
         if ready:
             self._dial(self._random.choice(ready), "", now)
@@ -240,8 +240,8 @@
         channel = Channel(host, int(port))
         try:
             async with PeerStub(channel).Gossip.open() as stream:
-                # Failure: wait_for loses a cancellation that comes as the connection is made, and
-                # `close` waits for ever. The timeout's context doesn't.
+                # asyncio.wait_for loses a cancellation that arrives just as the connection is
+                # made, and `close` would wait forever. asyncio.timeout doesn't lose it.
                 async with asyncio.timeout(CONNECT_TIMEOUT_S):
                     await stream.send_request()
                 self._dialling.discard(address)
@@ -249,67 +249,67 @@
                 try:
                     await self._serve_link(link)
                 finally:
-                    # Failure: leaving the context waits for the peer's trailers, which a stopped
+                    # Leaving the stream's context waits for the peer's trailers, which a stopped
                     # peer never sends. It doesn't wait on a closed connection.
                     channel.close()
         except _STREAM_ERRORS as error:
             if address in self._dialling:
-                self._note_failed_dial(address, name, error)
+                self._record_failed_dial(address, name, error)
         finally:
             self._dialling.discard(address)
             channel.close()
 
-    def _note_failed_dial(self, address: str, name: str, error: Exception) -> None:
+    def _record_failed_dial(self, address: str, name: str, error: Exception) -> None:
         now = self._clock()
         failures = self._failures.get(address, 0)
         self._failures[address] = failures + 1
-        pause = min(FIRST_RETRY_S * 2.0**failures, LONGEST_RETRY_S)
+        pause = min(INITIAL_RETRY_DELAY_S * 2.0**failures, MAX_RETRY_DELAY_S)
         self._retry_at[address] = now + pause * self._random.uniform(0.5, 1.5)
         self._metrics.count("heartbeat.dial_failed")
         if name and isinstance(error, ConnectionRefusedError):
-            self._membership.report_lost(name, now=now)
+            self._membership.report_connection_refused(name, now=now)
             self._on_change()
-            self.tell_soon()
+            self.schedule_flush()
 
     async def _serve_link(self, link: HeartbeatLink) -> None:
         if self._closing:
             return
         self._links.add(link)
-        # grpclib cancels the handler of an accepted stream whose connection is lost, so an end
-        # by an exception counts as broken too.
+        # grpclib cancels the handler of an accepted stream whose connection is lost, so a stream
+        # that ends by an exception counts as broken too.
         broken = True
         try:
             broken = await link.run(
-                make=lambda: self._exchange.make_message(link.state, now=self._clock()),
-                take=lambda message: self._take(link, message),
+                build_message=lambda: self._exchange.build_message(link.state, now=self._clock()),
+                on_message=lambda message: self._receive(link, message),
             )
         finally:
             self._links.discard(link)
-            self._note_ended(link, broken and not self._closing)
+            self._handle_ended(link, broken and not self._closing)
 
-    def _note_ended(self, link: HeartbeatLink, broken: bool) -> None:
+    def _handle_ended(self, link: HeartbeatLink, broken: bool) -> None:
         peer = link.state.peer
         if not peer or any(other.state.peer == peer for other in self._links):
             return
         self._spread.forget_peer(peer)
         if broken:
-            # A process that ended takes its streams along. Dialling it at once tells, by a refused
-            # connection, that it is lost; waiting for silence takes seconds longer.
+            # The streams of a process break when it exits. Dialling its address at once detects
+            # this by a refused connection, seconds sooner than waiting for silence.
             self._missing_since[peer] = float("-inf")
             asyncio.get_running_loop().call_soon(lambda: self._update_links(self._clock()))
 
-    def _take(self, link: HeartbeatLink, message: HeartbeatMessage) -> None:
+    def _receive(self, link: HeartbeatLink, message: HeartbeatMessage) -> None:
         first = not link.state.peer
-        link.heard_at = self._clock()
-        changes = self._exchange.take_message(message, link.state, now=link.heard_at)
+        link.received_at = self._clock()
+        changes = self._exchange.apply_message(message, link.state, now=link.received_at)
         if first:
             self._failures.pop(link.address, None)
             self._close_older(link)
         if changes.members or changes.configuration:
             self._on_change()
-            self.tell_soon()
-        elif self._exchange.has_news(link.state, now=link.heard_at):
-            self.tell_soon()
+            self.schedule_flush()
+        elif self._exchange.has_updates(link.state, now=link.received_at):
+            self.schedule_flush()
 
     def _close_older(self, link: HeartbeatLink) -> None:
         for other in list(self._links):
@@ -318,7 +318,7 @@
                 other.close()
 
     def _set_gauges(self, now: float) -> None:
-        states = [member.state for member in self._membership.make_view(now=now).members]
+        states = [member.state for member in self._membership.create_view(now=now).members]
         self._metrics.gauge("heartbeat.links", len(self._links))
         for state in (MemberState.LIVE, MemberState.SUSPECT, MemberState.LEAVING):
             self._metrics.gauge(f"membership.{state.name.lower()}", states.count(state))
--- a/src/guavamast/keeper_host.py
+++ b/src/guavamast/keeper_host.py
@@ -1,4 +1,4 @@
-"""The dispatcher's side of slots: the keepers of its endpoints and the streams to entries."""
+"""The keepers that a dispatcher hosts and its streams to entries."""
 
 from __future__ import annotations
 
@@ -9,30 +9,30 @@
 from guavamast._slot_wire import decode_ask, decode_release, encode_event, encode_probe
 from guavamast.errors import ErrorCode
 from guavamast.estimates import LengthEstimates
+from guavamast.fleet_objects import EndpointKind, EndpointState
 from guavamast.keepers import EndpointKeeper
 from guavamast.slots import Granted, Refused, Release
-from guavamast.world import EndpointKind, EndpointState
 
 if TYPE_CHECKING:
     from collections.abc import Callable
 
     from guavamast import peer_pb2
+    from guavamast.fleet_objects import Configuration, Endpoint
     from guavamast.metrics import Metrics
     from guavamast.slots import Ask, KeeperEvent, LoadReport
-    from guavamast.world import Configuration, Endpoint
 
 CAUTION_S: Final = 1.0
-"""Time a new keeper gives entries to present the slots that they hold."""
+"""Seconds of the cautious start: a new keeper lets entries present the slots that they hold."""
 PROBE_INTERVAL_S: Final = 0.5
-"""Entries with asks in flight hear of the endpoint this often; see ``ANSWER_TIMEOUT_S``."""
+"""Seconds between probes to entries with asks in flight; see ``ANSWER_TIMEOUT_S``."""
 UNKNOWN_ENDPOINT_RETRY_S: Final = 1.0
-SHORTEST_TICK_S: Final = 0.001
-"""Least time between two ticks, so that a keeper whose time has come can't keep the loop busy."""
+MIN_TICK_INTERVAL_S: Final = 0.001
+"""Minimum seconds between two ticks, so that a keeper that is always due can't block the loop."""
 IDLE_LIFETIME_S: Final = 60.0
 
 
 class EntryStream:
-    """What is waiting to be sent to one entry."""
+    """Messages that wait to be sent to one entry."""
 
     __slots__ = ("entry", "outbox")
 
@@ -42,15 +42,15 @@
 
 
 class KeeperHost:
-    """Holds the keepers and carries their decisions to the entries.
+    """Hosts the keepers and sends their decisions to the entries.
 
-    A keeper is made at the first ask for its endpoint, whoever this process thinks should keep it:
-    refusing would leave the entry without a keeper while views differ, and two keepers for a moment
-    cost over-admission only.
+    A keeper is created at the first ask for its endpoint, whichever instance should keep it by the
+    membership view of this process. Rejecting the ask would leave the entry without a keeper while
+    views differ; two keepers for a short time cost over-admission only.
 
     Args:
-        clock: Monotonic time.
-        metrics: Where counts go.
+        clock: Monotonic time in seconds.
+        metrics: Receives the counts.
     """
 
     def __init__(self, *, clock: Callable[[], float], metrics: Metrics) -> None:
@@ -58,57 +58,57 @@
         self._metrics = metrics
         self._configuration: Configuration | None = None
         self.configured = asyncio.Event()
-        """Set once there is a configuration to know endpoints from."""
+        """Set once there is a configuration that defines the endpoints."""
         self._lengths = LengthEstimates()
-        """Output lengths as all keepers of this process have seen them."""
+        """Output lengths, learnt by all keepers of this process."""
         self._keepers: dict[str, EndpointKeeper] = {}
         self._endpoints: dict[str, Endpoint] = {}
         """Each kept endpoint as last configured."""
-        self._held: set[str] = set()
+        self._out_of_use: set[str] = set()
         """Endpoints that get no new work because of their orders."""
         self._used_at: dict[str, float] = {}
         self._streams: dict[str, EntryStream] = {}
-        self._waiting: dict[str, set[str]] = {}
+        self._probe_subscribers: dict[str, set[str]] = {}
         self._timer: asyncio.TimerHandle | None = None
         self.on_new_keeper: Callable[[str], None] = lambda _: None
-        """Called with the endpoint's name; its load is wanted at once, which ends the caution."""
+        """Called with the endpoint's name to poll its load at once, ending the cautious start."""
 
     def configure(self, configuration: Configuration) -> None:
-        """Take a newer configuration; endpoints that it lacks stop granting."""
+        """Apply a newer configuration; endpoints that it lacks stop granting."""
         self._configuration = configuration
         self.configured.set()
         now = self._clock()
         for name, keeper in list(self._keepers.items()):
             last = replace(self._endpoints[name], state=EndpointState.LEAVING)
-            endpoint = self._apply_hold(configuration.endpoints.get(name, last))
+            endpoint = self._apply_cordon(configuration.endpoints.get(name, last))
             self._endpoints[name] = endpoint
             events = keeper.configure(endpoint=endpoint, configuration=configuration, now=now)
             self._deliver(events, now)
-        self.schedule()
+        self.schedule_tick()
 
-    def hold(self, name: str, *, out: bool) -> None:
-        """Let an endpoint take no new work while it loads, or go on; the same again does nothing.
+    def set_out_of_use(self, name: str, *, out_of_use: bool) -> None:
+        """Stop new work for an endpoint while it loads, or resume it; a repeat does nothing.
 
-        A hold outlasts new configurations and the keeper's own lifetime.
+        The hold persists across new configurations and the end of the keeper.
         """
-        if out == (name in self._held):
+        if out_of_use == (name in self._out_of_use):
             return
-        self._held ^= {name}
+        self._out_of_use ^= {name}
         if self._configuration is not None and name in self._keepers:
             self.configure(self._configuration)
 
     def count_running(self, name: str) -> int:
-        """Return the requests that hold a slot of an endpoint, as its keeper here knows them."""
+        """Return how many requests hold a slot of an endpoint, by the keeper in this process."""
         keeper = self._keepers.get(name)
-        return 0 if keeper is None else keeper.make_probe(now=self._clock()).in_flight
+        return 0 if keeper is None else keeper.build_probe(now=self._clock()).in_flight
 
-    def _apply_hold(self, endpoint: Endpoint) -> Endpoint:
-        if endpoint.name not in self._held:
+    def _apply_cordon(self, endpoint: Endpoint) -> Endpoint:
+        if endpoint.name not in self._out_of_use:
             return endpoint
         return replace(endpoint, state=EndpointState.LEAVING)
 
     def connect(self, entry: str) -> EntryStream:
-        """Open an entry's stream; one before it of the same entry is forgotten."""
+        """Open an entry's stream; it replaces an earlier one of the same entry."""
         stream = EntryStream(entry=entry)
         self._streams[entry] = stream
         return stream
@@ -121,18 +121,18 @@
         now = self._clock()
         for keeper in list(self._keepers.values()):
             self._deliver(keeper.drop_entry(stream.entry, now=now), now)
-        self.schedule()
+        self.schedule_tick()
 
-    def take(self, message: peer_pb2.EntryMessage, *, entry: str) -> None:
-        """Handle one message of an entry; `schedule` is due after the last of a batch."""
+    def receive(self, message: peer_pb2.EntryMessage, *, entry: str) -> None:
+        """Handle one message of an entry; call `schedule` after the last of a batch."""
         now = self._clock()
         kind = message.WhichOneof("body")
         if kind == "ask":
-            self._take_ask(decode_ask(message.ask, entry=entry, now=now), now)
+            self._receive_ask(decode_ask(message.ask, entry=entry, now=now), now)
         elif kind == "present":
-            self._take_present(message.present, entry, now)
+            self._receive_present(message.present, entry, now)
         elif kind == "release":
-            self._take_release(decode_release(message.release), now)
+            self._receive_release(decode_release(message.release), now)
         elif kind == "withdraw":
             keeper = self._keepers.get(message.withdraw.endpoint)
             if keeper is not None:
@@ -143,56 +143,56 @@
                 keeper.record_progress(message.progress.ask_id, message.progress.tokens, now=now)
 
     def record_load(self, report: LoadReport) -> None:
-        """Take an endpoint's load report."""
+        """Record an endpoint's load report."""
         keeper = self._keepers.get(report.endpoint)
         if keeper is not None:
             now = self._clock()
             self._deliver(keeper.record_load(report, now=now), now)
-            self.schedule()
+            self.schedule_tick()
 
     def list_kept(self) -> list[str]:
-        """Return the endpoints that were asked for lately."""
+        """Return the endpoints that were asked for lately; drop idle keepers."""
         now = self._clock()
         for name, used_at in list(self._used_at.items()):
-            idle = self._keepers[name].make_probe(now=now).in_flight == 0
+            idle = self._keepers[name].build_probe(now=now).in_flight == 0
             if idle and now - used_at > IDLE_LIFETIME_S:
-                self._forget(name)
+                self._drop_keeper(name)
         return list(self._keepers)
 
     def send_probes(self) -> None:
-        """Tell each entry with asks in flight how its endpoints stand."""
+        """Send each entry with asks in flight the state of its endpoints."""
         now = self._clock()
-        for name, entries in self._waiting.items():
-            message = encode_probe(self._keepers[name].make_probe(now=now))
+        for name, entries in self._probe_subscribers.items():
+            message = encode_probe(self._keepers[name].build_probe(now=now))
             for entry in entries:
                 self._send(entry, message)
 
-    def _take_ask(self, ask: Ask, now: float) -> None:
+    def _receive_ask(self, ask: Ask, now: float) -> None:
         self._metrics.count("keeper.asks")
-        keeper = self._find(ask.endpoint, now)
+        keeper = self._get_or_create_keeper(ask.endpoint, now)
         if keeper is None:
             refused = Refused(
                 ask=ask, code=ErrorCode.NO_ENDPOINT, retry_after_s=UNKNOWN_ENDPOINT_RETRY_S
             )
             self._deliver([refused], now)
             return
-        self._waiting.setdefault(ask.endpoint, set()).add(ask.entry)
+        self._probe_subscribers.setdefault(ask.endpoint, set()).add(ask.entry)
         self._deliver(keeper.ask(ask, now=now), now)
-        self._send(ask.entry, encode_probe(keeper.make_probe(now=now)))
+        self._send(ask.entry, encode_probe(keeper.build_probe(now=now)))
 
-    def _take_present(self, message: peer_pb2.PresentMessage, entry: str, now: float) -> None:
+    def _receive_present(self, message: peer_pb2.PresentMessage, entry: str, now: float) -> None:
         ask = decode_ask(message.ask, entry=entry, now=now)
-        keeper = self._find(ask.endpoint, now)
+        keeper = self._get_or_create_keeper(ask.endpoint, now)
         if keeper is not None:
             events = keeper.present(ask, held_s=message.held_s, tokens=message.tokens, now=now)
             self._deliver(events, now)
 
-    def _take_release(self, release: Release, now: float) -> None:
+    def _receive_release(self, release: Release, now: float) -> None:
         keeper = self._keepers.get(release.endpoint)
         if keeper is not None:
             self._deliver(keeper.release(release, now=now), now)
 
-    def _find(self, name: str, now: float) -> EndpointKeeper | None:
+    def _get_or_create_keeper(self, name: str, now: float) -> EndpointKeeper | None:
         self._used_at[name] = now
         if name in self._keepers:
             return self._keepers[name]
@@ -200,8 +200,8 @@
         if endpoint is None:
             del self._used_at[name]
             return None
-        endpoint = self._apply_hold(endpoint)
-        # A service tells no load, so caution would only hold its first calls back.
+        endpoint = self._apply_cordon(endpoint)
+        # A service reports no load, so a cautious start would only delay its first calls.
         caution_s = CAUTION_S if endpoint.kind is EndpointKind.ENGINE else 0.0
         keeper = EndpointKeeper(
             endpoint=endpoint,
@@ -215,19 +215,19 @@
         self._endpoints[name] = endpoint
         return keeper
 
-    def _forget(self, name: str) -> None:
+    def _drop_keeper(self, name: str) -> None:
         self._keepers.pop(name, None)
         self._endpoints.pop(name, None)
         self._used_at.pop(name, None)
-        self._waiting.pop(name, None)
+        self._probe_subscribers.pop(name, None)
 
     def _deliver(self, events: list[KeeperEvent], now: float) -> None:
         for event in events:
             self._metrics.count(f"keeper.{type(event).__name__.lower()}")
             sent = self._send(event.ask.entry, encode_event(event))
             if isinstance(event, Granted) and not sent:
-                # The entry has gone: nothing will be sent under this grant.
-                self._take_release(
+                # The entry is disconnected: it sends nothing under this grant.
+                self._receive_release(
                     Release(ask_id=event.ask.ask_id, endpoint=event.ask.endpoint, used=False), now
                 )
 
@@ -238,15 +238,15 @@
         stream.outbox.put_nowait(message)
         return True
 
-    def schedule(self) -> None:
-        """Set the timer to the next thing that a keeper has to do."""
+    def schedule_tick(self) -> None:
+        """Set the timer to the next wake-up of a keeper."""
         if self._timer is not None:
             self._timer.cancel()
             self._timer = None
         wakeups = [keeper.next_wakeup() for keeper in self._keepers.values()]
         times = [at for at in wakeups if at is not None]
         if times:
-            delay = max(SHORTEST_TICK_S, min(times) - self._clock())
+            delay = max(MIN_TICK_INTERVAL_S, min(times) - self._clock())
             self._timer = asyncio.get_running_loop().call_later(delay, self._tick)
 
     def _tick(self) -> None:
@@ -254,4 +254,4 @@
         now = self._clock()
         for keeper in list(self._keepers.values()):
             self._deliver(keeper.tick(now=now), now)
-        self.schedule()
+        self.schedule_tick()
--- a/src/guavamast/keepers.py
+++ b/src/guavamast/keepers.py
@@ -1,4 +1,4 @@
-"""The keeper of one endpoint: who gets its slots, who waits and who is refused."""
+"""The keeper of one endpoint: grants its slots, queues asks and rejects them."""
 
 from __future__ import annotations
 
@@ -7,38 +7,38 @@
 
 from guavamast.errors import ErrorCode
 from guavamast.estimates import LengthEstimates, StragglerWeight
-from guavamast.forecasts import PAUSE_S, Forecast
+from guavamast.fleet_objects import EndpointKind, EndpointState
+from guavamast.forecasts import PAUSE_DELAY_S, Forecast
 from guavamast.grants import Grant, GrantTable
-from guavamast.kv_room import KvRoom
+from guavamast.kv_headroom import KvHeadroom
 from guavamast.queues import WaitingQueue
 from guavamast.slots import Granted, Paused, Probe, Queued, Refused
-from guavamast.world import EndpointKind, EndpointState
 
 if TYPE_CHECKING:
+    from guavamast.fleet_objects import Configuration, Endpoint
     from guavamast.queues import Start
     from guavamast.slots import Ask, KeeperEvent, LoadReport, Release
-    from guavamast.world import Configuration, Endpoint
 
 ORPHAN_GRACE_S: Final = 10.0
-"""Seconds for which a grant outlives the stream of its entry."""
-OVERRUN_S: Final = 30.0
-"""Seconds after its deadline at which a grant without a release is given up."""
-PAUSE_LEAD_S: Final = 1.5 * PAUSE_S
-"""Seconds before its target at which an ask no longer waits for an expected release."""
-LEAST_RETRY_S: Final = 0.1
-GREATEST_RETRY_S: Final = 60.0
+"""Seconds for which a grant stays valid after the stream of its entry has ended."""
+EXPIRY_GRACE_S: Final = 30.0
+"""Seconds after its deadline at which a grant without a release expires."""
+PAUSE_LEAD_S: Final = 1.5 * PAUSE_DELAY_S
+"""Seconds before its target start at which an ask stops waiting for an expected release."""
+MIN_RETRY_AFTER_S: Final = 0.1
+MAX_RETRY_AFTER_S: Final = 60.0
 PAUSE_REASON: Final = "a higher tier would miss its first-token target"
 
 
 class EndpointKeeper:
-    """Decides on the slots and the queue of one endpoint.
+    """Manages the slots and the queue of one endpoint.
 
     Args:
         endpoint: The endpoint as configured.
         configuration: The configuration in force.
-        now: Present time in seconds.
-        cautious_until: Time until which other entries may not have presented their slots yet.
-        lengths: Output lengths, shared by the keepers of a process; own ones when left out.
+        now: Current time in seconds.
+        cautious_until: Time until which entries may still present slots that they hold.
+        lengths: Output lengths, shared by the keepers of a process; a new object by default.
     """
 
     __slots__ = (
@@ -49,11 +49,11 @@
         "_freed_since_report",
         "_grants",
         "_kv_check_at",
-        "_kv_room",
+        "_kv_headroom",
         "_pause_check_at",
         "_queue",
         "_strict_starts",
-        "_weight",
+        "_straggler_weight",
     )
 
     def __init__(
@@ -71,81 +71,81 @@
         self._forecast = Forecast(
             kind=endpoint.kind, lengths=lengths if lengths is not None else LengthEstimates()
         )
-        self._weight = StragglerWeight(now=now)
+        self._straggler_weight = StragglerWeight(now=now)
         self._grants = GrantTable()
         self._queue = WaitingQueue(configuration=configuration)
-        self._kv_room = KvRoom()
+        self._kv_headroom = KvHeadroom()
         self._kv_check_at: float | None = None
         self._freed_since_report = 0
-        """Presented slots that came free since the last load report was received."""
+        """Presented slots that were freed since the last load report was received."""
         self._strict_starts = 0
-        """Slots that were taken by pausing and go by tier alone when they come free."""
+        """Slots freed by pausing, which are granted by tier alone."""
         self._pause_check_at: float | None = None
 
     def ask(self, ask: Ask, *, now: float) -> list[KeeperEvent]:
-        """Grant, queue or refuse one ask; a repeated ask gets its present state again.
+        """Grant, queue or reject one ask; a repeated ask gets its current state again.
 
         Args:
             ask: The ask.
-            now: Present time in seconds.
+            now: Current time in seconds.
 
         Returns:
-            What became of it, after the refusals of those it pushed out and before the pauses
-            that make room for it.
+            The decision on the ask, after the rejections of asks that it displaced and before
+            the pauses that free a slot for it.
         """
         if ask.ask_id in self._queue or ask.ask_id in self._grants:
-            return [self._repeat(ask, now)]
-        self._forecast.note_arrival(self._queue.find_tier(ask), now=now)
+            return [self._repeat_state(ask, now)]
+        self._forecast.record_arrival(self._queue.find_tier(ask), now=now)
         wait_s = self._estimate_wait(ask, now)
-        least_s = self._forecast.estimate_least(ask)
-        refusal = self._find_refusal(ask, wait_s, least_s, now)
+        min_run_s = self._forecast.estimate_min_run(ask)
+        refusal = self._find_refusal(ask, wait_s, min_run_s, now)
         if refusal is not None:
             return [refusal]
         events = self._make_room(ask, now)
         if events and events[-1].ask is ask:
             return events
-        self._enqueue(ask, least_s, now)
+        self._enqueue(ask, min_run_s, now)
         events += self._start_waiting(now)
         if ask.ask_id in self._queue:
             events.append(Queued(ask=ask, estimated_wait_s=wait_s))
         return events + self._pause_for_waiting(now)
 
     def release(self, release: Release, *, now: float) -> list[KeeperEvent]:
-        """End a grant and learn from its run; an unknown one changes nothing."""
+        """End a grant and update the estimates from its run; ignore an unknown one."""
         grant = self._grants.remove(release.ask_id)
         if grant is None:
             return self.withdraw(release.ask_id, now=now)
         if release.used:
             self._learn(grant, release, now)
-        return self._free(grant, unused=not release.used, now=now)
+        return self._free_slot(grant, unused=not release.used, now=now)
 
     def withdraw(self, ask_id: str, *, now: float) -> list[KeeperEvent]:
-        """Forget an ask, also one whose grant is on its way to the entry.
+        """Remove an ask, also one whose grant is on its way to the entry.
 
-        An entry that withdraws does not use a grant that crosses its word, so the slot is free at
-        once; a grant that has delivered tokens is in use and waits for its release.
+        An entry that withdraws does not use a grant that crosses its message, so the slot is free
+        at once. A grant that has delivered tokens is in use and waits for its release.
         """
         if self._queue.remove(ask_id) is not None:
-            return self._continue(now)
+            return self._run_queue(now)
         grant = self._grants.get(ask_id)
         if grant is None or grant.tokens > 0:
             return []
         self._grants.remove(ask_id)
-        return self._free(grant, unused=True, now=now)
+        return self._free_slot(grant, unused=True, now=now)
 
     def present(self, ask: Ask, *, held_s: float, tokens: int, now: float) -> list[KeeperEvent]:
         """Record a slot that an entry already holds, even above the endpoint's slots."""
         self._queue.remove(ask.ask_id)
         known = self._grants.get(ask.ask_id)
         if known is not None:
-            known.expires_at = max(ask.deadline, now) + OVERRUN_S
+            known.expires_at = max(ask.deadline, now) + EXPIRY_GRACE_S
         else:
-            self._grants.add(self._make_grant(ask, now=now, granted_at=now - held_s))
+            self._grants.add(self._create_grant(ask, now=now, granted_at=now - held_s))
         self.record_progress(ask.ask_id, tokens, now=now)
-        return self._continue(now)
+        return self._run_queue(now)
 
     def record_progress(self, ask_id: str, tokens: int, *, now: float) -> None:
-        """Record how many tokens a running request has delivered; late words are dropped."""
+        """Record how many tokens a running request has delivered; drop outdated reports."""
         grant = self._grants.get(ask_id)
         if grant is None or tokens < grant.tokens:
             return
@@ -154,38 +154,38 @@
         self._forecast.refresh(grant, now=now)
 
     def record_load(self, report: LoadReport, *, now: float) -> list[KeeperEvent]:
-        """Record the endpoint's word on its load."""
-        if self._kv_room.record(report, grants=self._grants):
+        """Record a load report of the endpoint."""
+        if self._kv_headroom.record(report, grants=self._grants):
             self._freed_since_report = 0
-        return self._continue(now)
+        return self._run_queue(now)
 
     def drop_entry(self, entry: str, *, now: float) -> list[KeeperEvent]:
-        """Forget the asks of an entry whose stream ended and put a term to its grants."""
+        """Remove the asks of an entry whose stream ended and limit the life of its grants."""
         for ask in self._queue.list_asks():
             if ask.entry == entry:
                 self._queue.remove(ask.ask_id)
         self._grants.orphan(entry, expires_at=now + ORPHAN_GRACE_S)
-        return self._continue(now)
+        return self._run_queue(now)
 
     def configure(
         self, *, endpoint: Endpoint, configuration: Configuration, now: float
     ) -> list[KeeperEvent]:
-        """Take on a new configuration; a leaving endpoint refuses all that wait."""
+        """Apply a new configuration; a leaving endpoint rejects all waiting asks."""
         self._endpoint = endpoint
         self._configuration = configuration
         self._queue.configure(configuration)
         if endpoint.state is not EndpointState.LEAVING:
-            return self._continue(now)
+            return self._run_queue(now)
         asks = self._queue.list_asks()
         for ask in asks:
             self._queue.remove(ask.ask_id)
         return [Refused(ask=ask, code=ErrorCode.LEAVING, retry_after_s=0.0) for ask in asks]
 
     def tick(self, *, now: float) -> list[KeeperEvent]:
-        """Act on what has become due: deadlines, expiries, pauses, the end of caution."""
+        """Process what is due: deadlines, expiries, pauses, the end of the cautious start."""
         for grant in self._grants.remove_expired(now):
             self._settle(grant, unused=False)
-        return self._continue(now)
+        return self._run_queue(now)
 
     def next_wakeup(self) -> float | None:
         """Return the time at which `tick` has something to do; None when nothing is due."""
@@ -197,8 +197,8 @@
         due = min(time for time in times if time is not None)
         return due if due != float("inf") else None
 
-    def make_probe(self, *, now: float) -> Probe:
-        """Return what the choice among candidates needs to know of this endpoint."""
+    def build_probe(self, *, now: float) -> Probe:
+        """Return the state of this endpoint that the choice among candidates needs."""
         free = self._count_free(now)
         wait_s = max(0, len(self._queue) + 1 - free) / self._estimate_rate(now)
         return Probe(
@@ -207,49 +207,52 @@
             queued=len(self._queue),
             estimated_wait_s=wait_s,
             lowest_tier=max(self._grants.find_lowest_tier(), self._queue.find_lowest_tier()),
-            weight=self._weight.get(now=now),
+            weight=self._straggler_weight.get(now=now),
             slots=self._endpoint.slots,
         )
 
-    def _repeat(self, ask: Ask, now: float) -> KeeperEvent:
+    def _repeat_state(self, ask: Ask, now: float) -> KeeperEvent:
         grant = self._grants.get(ask.ask_id)
         if grant is None:
             waiting = self._queue.get(ask.ask_id)
             return Queued(ask=waiting.ask, estimated_wait_s=self._estimate_wait(ask, now))
-        # Failure: a grant is lost with the entry's stream and asked for again, yet ends with the
-        # grace of the lost stream while it runs. An entry that asks is there, so the term is off.
-        grant.expires_at = max(ask.deadline, now) + OVERRUN_S
+        # Without this, a grant that was lost with the entry's stream and asked for again would
+        # expire while it runs, at the end of the grace period of the lost stream. An entry that
+        # asks is connected, so its grant gets the usual expiry again.
+        grant.expires_at = max(ask.deadline, now) + EXPIRY_GRACE_S
         if grant.paused:
             return Paused(ask=grant.ask, reason=PAUSE_REASON)
         return Granted(ask=grant.ask)
 
-    def _find_refusal(self, ask: Ask, wait_s: float, least_s: float, now: float) -> Refused | None:
+    def _find_refusal(
+        self, ask: Ask, wait_s: float, min_run_s: float, now: float
+    ) -> Refused | None:
         if self._endpoint.state is EndpointState.LEAVING:
             return Refused(ask=ask, code=ErrorCode.LEAVING, retry_after_s=0.0)
         if ask.deadline <= now:
-            return self._refuse(ask, ErrorCode.DEADLINE_EXCEEDED, wait_s)
-        known_wait_s = wait_s if self._forecast.has_evidence() else 0.0
-        missing_s = now + known_wait_s + least_s - ask.deadline
-        if missing_s <= 0.0 or self._is_idle():
+            return self._build_refusal(ask, ErrorCode.DEADLINE_EXCEEDED, wait_s)
+        trusted_wait_s = wait_s if self._forecast.has_enough_samples() else 0.0
+        shortfall_s = now + trusted_wait_s + min_run_s - ask.deadline
+        if shortfall_s <= 0.0 or self._is_idle():
             return None
-        return self._refuse(ask, ErrorCode.DEADLINE_UNREACHABLE, missing_s)
+        return self._build_refusal(ask, ErrorCode.DEADLINE_UNREACHABLE, shortfall_s)
 
     def _is_idle(self) -> bool:
-        # An idle endpoint takes any ask: estimates that are too long would else refuse every one
-        # and never be corrected by a release.
+        # An idle endpoint accepts any ask. Otherwise, estimates that are too long would reject all
+        # asks, and no release would ever correct them.
         return not len(self._grants) and not len(self._queue)
 
     def _make_room(self, ask: Ask, now: float) -> list[KeeperEvent]:
         if not len(self._queue) and self._count_free(now) > 0:
             return []
-        overflow = self._queue.find_overflow(ask)
+        overflow = self._queue.select_overflow(ask)
         if overflow is None:
             return []
         self._queue.remove(overflow.ask.ask_id)
-        half_s = 0.5 * len(self._queue) / self._estimate_rate(now)
-        return [self._refuse(overflow.ask, overflow.code, half_s)]
+        retry_after_s = 0.5 * len(self._queue) / self._estimate_rate(now)
+        return [self._build_refusal(overflow.ask, overflow.code, retry_after_s)]
 
-    def _enqueue(self, ask: Ask, least_s: float, now: float) -> None:
+    def _enqueue(self, ask: Ask, min_run_s: float, now: float) -> None:
         service_class = self._configuration.classes.get(ask.class_name)
         target_start = ask.deadline
         if service_class is not None:
@@ -258,16 +261,16 @@
         self._queue.add(
             ask,
             cost=self._forecast.estimate_cost(ask),
-            latest_start=ask.deadline if self._is_idle() else ask.deadline - least_s,
+            latest_start=ask.deadline if self._is_idle() else ask.deadline - min_run_s,
             target_start=target_start,
             now=now,
         )
 
-    def _free(self, grant: Grant, *, unused: bool, now: float) -> list[KeeperEvent]:
+    def _free_slot(self, grant: Grant, *, unused: bool, now: float) -> list[KeeperEvent]:
         self._settle(grant, unused=unused)
         self._freed_since_report += grant.start is None
-        self._forecast.note_slots(full=False, released=not (unused or grant.paused), now=now)
-        return self._continue(now)
+        self._forecast.record_slots(full=False, released=not (unused or grant.paused), now=now)
+        return self._run_queue(now)
 
     def _settle(self, grant: Grant, *, unused: bool) -> None:
         self._strict_starts += grant.paused
@@ -276,63 +279,63 @@
         cost = 0.0 if unused else self._forecast.measure_cost(grant)
         self._queue.finish(grant.start, cost=cost)
 
-    def _continue(self, now: float) -> list[KeeperEvent]:
+    def _run_queue(self, now: float) -> list[KeeperEvent]:
         return self._start_waiting(now) + self._pause_for_waiting(now)
 
     def _start_waiting(self, now: float) -> list[KeeperEvent]:
         if now >= self._cautious_until:
             self._cautious_until = 0.0
         events: list[KeeperEvent] = [
-            self._refuse(waiting.ask, ErrorCode.DEADLINE_UNREACHABLE, 0.0)
+            self._build_refusal(waiting.ask, ErrorCode.DEADLINE_UNREACHABLE, 0.0)
             for waiting in self._queue.remove_late(now)
         ]
         while len(self._queue) and self._count_free(now) > 0:
             strict = self._strict_starts > 0
-            start = self._queue.take(
+            start = self._queue.pop_next(
                 rate=self._estimate_rate(now), slots=self._endpoint.slots, now=now, strict=strict
             )
             self._strict_starts -= strict
             events.append(self._grant(start, now))
-        events += self._give_up_late(now)
+        events += self._reject_late(now)
         if not len(self._queue):
             self._strict_starts = 0
-        self._kv_check_at = None if self._is_full() else self._kv_room.find_expiry(now=now)
-        self._forecast.note_slots(full=self._is_full(), now=now)
+        self._kv_check_at = None if self._is_full() else self._kv_headroom.find_expiry(now=now)
+        self._forecast.record_slots(full=self._is_full(), now=now)
         return events
 
-    def _give_up_late(self, now: float) -> list[KeeperEvent]:
-        """Refuse asks that have missed their target and won't meet their deadline either."""
+    def _reject_late(self, now: float) -> list[KeeperEvent]:
+        """Reject asks that have missed their target and won't meet their deadline either."""
         events: list[KeeperEvent] = []
-        for waiting in self._queue.turn_late(now):
+        for waiting in self._queue.demote_late(now):
             ask = waiting.ask
             can_pause = self._grants.count_pausable(self._queue.find_tier(ask)) > 0
-            if can_pause or not self._forecast.has_evidence():
+            if can_pause or not self._forecast.has_enough_samples():
                 continue
             wait_s = self._forecast.estimate_late_wait(
                 ask, queue=self._queue, slots=self._endpoint.slots, now=now
             )
             if now + wait_s > waiting.latest_start:
                 self._queue.remove(ask.ask_id)
-                missing_s = now + wait_s - waiting.latest_start
-                events.append(self._refuse(ask, ErrorCode.DEADLINE_UNREACHABLE, missing_s))
+                shortfall_s = now + wait_s - waiting.latest_start
+                events.append(self._build_refusal(ask, ErrorCode.DEADLINE_UNREACHABLE, shortfall_s))
         return events
 
     def _grant(self, start: Start, now: float) -> Granted:
         ask = start.waiting.ask
-        grant = self._make_grant(ask, now=now, granted_at=now, start=start)
+        grant = self._create_grant(ask, now=now, granted_at=now, start=start)
         self._grants.add(grant)
-        self._kv_room.note_grant(grant, slots=self._endpoint.slots)
-        self._forecast.note_start(start.tier, now=now)
+        self._kv_headroom.record_grant(grant, slots=self._endpoint.slots)
+        self._forecast.record_start(start.tier, now=now)
         return Granted(ask=ask)
 
-    def _make_grant(
+    def _create_grant(
         self, ask: Ask, *, now: float, granted_at: float, start: Start | None = None
     ) -> Grant:
         grant = Grant(
             ask=ask,
             tier=start.tier if start is not None else self._queue.find_tier(ask),
             granted_at=granted_at,
-            expires_at=max(ask.deadline, now) + OVERRUN_S,
+            expires_at=max(ask.deadline, now) + EXPIRY_GRACE_S,
             expected_end=now,
             progress_at=now,
             start=start,
@@ -353,22 +356,22 @@
                 break
             needed += 1
             if ends is None:
-                ends = self._forecast.list_ends(self._grants, now=now)
+                ends = self._forecast.list_expected_ends(self._grants, now=now)
             decide_at = target - PAUSE_LEAD_S
             if bisect_right(ends, decide_at) >= needed:
                 if decide_at > now:
                     self._pause_check_at = min(decide_at, self._pause_check_at or decide_at)
                 continue
-            victim = self._grants.find_victim(tier, now=now)
+            victim = self._grants.select_victim(tier, now=now)
             victim.paused = True
-            ends = self._forecast.list_ends(self._grants, now=now)
+            ends = self._forecast.list_expected_ends(self._grants, now=now)
             lowest = self._grants.find_pausable_tier()
             events.append(Paused(ask=victim.ask, reason=PAUSE_REASON))
         return events
 
     def _learn(self, grant: Grant, release: Release, now: float) -> None:
         grant.tokens = max(grant.tokens, release.tokens)
-        self._weight.observe(grant.ask, release, now=now)
+        self._straggler_weight.observe(grant.ask, release, now=now)
         if not release.failed and not grant.paused:
             self._forecast.learn(grant.ask, release)
 
@@ -380,13 +383,13 @@
         free = slots - len(self._grants)
         if now < self._cautious_until:
             return min(free, self._count_reported_free(now))
-        if free > 0 and not self._kv_room.has_room(grants=self._grants, slots=slots, now=now):
+        if free > 0 and not self._kv_headroom.has_room(grants=self._grants, slots=slots, now=now):
             return 0
         return free
 
     def _count_reported_free(self, now: float) -> int:
-        """Return what the endpoint's report leaves free, with what has changed since."""
-        report = self._kv_room.get_report(now)
+        """Return the free slots by the last load report and the changes since then."""
+        report = self._kv_headroom.get_report(now)
         if report is None:
             return 0
         recent = sum(1 for g in self._grants.list_grants() if g.granted_at > report.as_of)
@@ -396,9 +399,9 @@
         return self._forecast.estimate_rate(slots=self._endpoint.slots, now=now)
 
     def _estimate_wait(self, ask: Ask, now: float) -> float:
-        """Return the seconds until a new ask would start; pausing bounds them for its tier."""
-        before = self._queue.count_ahead(ask) + self._queue.count_others(ask)
-        ahead = before + 1 - max(0, self._count_free(now))
+        """Return the seconds until a new ask would start, bounded if it may pause a lower tier."""
+        queued_ahead = self._queue.count_ahead(ask) + self._queue.count_others(ask)
+        ahead = queued_ahead + 1 - max(0, self._count_free(now))
         if ahead <= 0:
             return 0.0
         wait_s = self._forecast.estimate_wait(
@@ -407,9 +410,9 @@
         service_class = self._configuration.classes.get(ask.class_name)
         tier = self._queue.find_tier(ask)
         if service_class is not None and ahead <= self._grants.count_pausable(tier):
-            wait_s = min(wait_s, service_class.first_token_ms / 1000.0 + PAUSE_S)
+            wait_s = min(wait_s, service_class.first_token_ms / 1000.0 + PAUSE_DELAY_S)
         return wait_s
 
-    def _refuse(self, ask: Ask, code: ErrorCode, retry_after_s: float) -> Refused:
-        bounded = min(GREATEST_RETRY_S, max(LEAST_RETRY_S, retry_after_s))
+    def _build_refusal(self, ask: Ask, code: ErrorCode, retry_after_s: float) -> Refused:
+        bounded = min(MAX_RETRY_AFTER_S, max(MIN_RETRY_AFTER_S, retry_after_s))
         return Refused(ask=ask, code=code, retry_after_s=bounded)
--- a/src/guavamast/platform/questions.py
+++ b/src/guavamast/platform/query_handlers.py
@@ -1,4 +1,4 @@
-"""What the platform and callers ask an instance: where to connect, readiness and metrics."""
+"""Handlers of queries from the platform and callers: addresses, readiness and metrics."""
 
 from __future__ import annotations
 
@@ -6,10 +6,10 @@
 from typing import TYPE_CHECKING
 from urllib.parse import parse_qs
 
-from guavamast.relay.beats import InstanceState
 from guavamast.relay.boot_clock import read_boot_time
-from guavamast.relay.caller_addresses import VALIDITY_S, CallerPlace, choose_addresses
-from guavamast.relay.listener import Question
+from guavamast.relay.caller_addresses import VALIDITY_S, CallerLocation, choose_addresses
+from guavamast.relay.heartbeat_messages import InstanceState
+from guavamast.relay.listener import QueryHandler
 
 if TYPE_CHECKING:
     from guavamast.relay.node import Node
@@ -18,39 +18,41 @@
 _TEXT = "text/plain"
 
 
-class NodeQuestion(Question):
-    """A question about one instance.
+class NodeQueryHandler(QueryHandler):
+    """Base of the handlers of queries about one instance.
 
     Args:
-        node: The instance that answers.
+        node: The queried instance.
     """
 
     def __init__(self, *, node: Node) -> None:
         self._node = node
 
 
-class AddressQuestion(NodeQuestion):
+class AddressQueryHandler(NodeQueryHandler):
     """``GET /v1/resolve``: addresses for a caller."""
 
-    def answer(self, path: str, query: str) -> tuple[int, str, str] | None:
-        """Return the addresses for the caller's place."""
+    def handle(self, path: str, query: str) -> tuple[int, str, str] | None:
+        """Return the addresses for the caller's location."""
         if path != "/v1/resolve":
             return None
         fields = parse_qs(query)
-        place = CallerPlace(
+        location = CallerLocation(
             region=fields.get("region", [""])[0],
             failure_domain=fields.get("zone", [""])[0],
         )
-        addresses = choose_addresses(place, self._node.list_serving(), self._node.list_fallback())
+        addresses = choose_addresses(
+            location, self._node.list_serving(), self._node.list_fallback()
+        )
         body = json.dumps({"addresses": addresses, "ttl_s": VALIDITY_S})
         return 200, _JSON, body
 
 
-class ReadinessQuestion(NodeQuestion):
-    """``GET /v1/ready``: whether this instance takes new work."""
+class ReadinessQueryHandler(NodeQueryHandler):
+    """``GET /v1/ready``: whether this instance accepts new requests."""
 
-    def answer(self, path: str, query: str) -> tuple[int, str, str] | None:
-        """Return 200 when callers may come."""
+    def handle(self, path: str, query: str) -> tuple[int, str, str] | None:
+        """Return 200 when callers may connect, otherwise 503."""
         del query
         if path != "/v1/ready":
             return None
@@ -58,17 +60,17 @@
         return 200 if state is InstanceState.SERVING else 503, _TEXT, f"{state}\n"
 
 
-class MetricsQuestion(NodeQuestion):
+class MetricsQueryHandler(NodeQueryHandler):
     """``GET /metrics``."""
 
-    def answer(self, path: str, query: str) -> tuple[int, str, str] | None:
+    def handle(self, path: str, query: str) -> tuple[int, str, str] | None:
         """Return all metrics as text."""
         del query
         if path != "/metrics":
             return None
         now = read_boot_time()
         counters = self._node.counters
-        ages = self._node.knowledge.show_ages(now=now)
+        ages = self._node.fleet_state.round_ages(now=now)
         counters.set("config_age_seconds", ages.config_s)
         counters.set("endpoints_age_seconds", ages.endpoints_s)
         counters.set("instances_live", 1 + len(self._node.peers.list_live(now=now)))
--- a/src/guavamast/platform/runner.py
+++ b/src/guavamast/platform/runner.py
@@ -1,10 +1,14 @@
-"""Runs one instance of the relay from the platform's settings."""
+"""Runner of one relay instance with the platform's settings."""
 
 from __future__ import annotations
 
 from typing import TYPE_CHECKING
 
-from guavamast.platform.questions import AddressQuestion, MetricsQuestion, ReadinessQuestion
+from guavamast.platform.query_handlers import (
+    AddressQueryHandler,
+    MetricsQueryHandler,
+    ReadinessQueryHandler,
+)
 from guavamast.platform.request_headers import PlatformHeaders
 from guavamast.platform.store_client import StoreClient
 from guavamast.relay.boot_clock import read_boot_time
@@ -19,8 +23,8 @@
     """Serve until SIGTERM.
 
     Args:
-        settings: What the platform says to this instance.
-        log_descriptor: Where log lines go.
+        settings: The instance's decoded settings.
+        log_descriptor: File descriptor to which log lines are written.
     """
     clock = StoreClock()
     node = Node(
@@ -31,7 +35,7 @@
         log_descriptor=log_descriptor,
     )
     await node.run(
-        directory=AddressQuestion(node=node),
-        readiness=ReadinessQuestion(node=node),
-        metrics=MetricsQuestion(node=node),
+        directory=AddressQueryHandler(node=node),
+        readiness=ReadinessQueryHandler(node=node),
+        metrics=MetricsQueryHandler(node=node),
     )
--- a/src/guavamast/platform/settings.py
+++ b/src/guavamast/platform/settings.py
@@ -1,4 +1,4 @@
-"""Decodes the platform's settings file of one process."""
+"""Decoder of the platform's settings file of one process."""
 
 from __future__ import annotations
 
@@ -13,26 +13,26 @@
 
 SETTINGS_VARIABLE = "GUAVAMAST_SETTINGS"
 """Environment variable that holds the path of the file."""
-UNBOUNDED_S = 3600.0
-"""Where no bound is set, an instance serves by what it knows through an outage this long."""
+DEFAULT_BOUND_S = 3600.0
+"""Seconds for which an instance serves by its last state in an outage, if no bound is set."""
 
 
-class _Reader:
-    """Takes values out of the file's tables and collects what is wrong."""
+class _SettingsReader:
+    """Reads values from a decoded settings file and collects findings."""
 
     def __init__(self, file: str, fields: dict[str, Any]) -> None:
         self._file = file
         self._fields = fields
         self.findings: list[Finding] = []
 
-    def report(self, path: str, code: FindingCode, message: str) -> None:
+    def add_finding(self, path: str, code: FindingCode, message: str) -> None:
         """Add a finding."""
         self.findings.append(
             Finding(file=self._file, line=0, code=code, message=f"{path}: {message}")
         )
 
-    def find(self, path: str) -> Any:
-        """Return the value at a dotted path; None where there is none."""
+    def look_up(self, path: str) -> Any:
+        """Return the value at a dotted path; None if there is none."""
         value: Any = self._fields
         for name in path.split("."):
             if not isinstance(value, dict) or name not in value:
@@ -41,21 +41,21 @@
         return value
 
     def read(self, path: str, convert: Callable[[Any], Any], default: Any) -> Any:
-        """Return a converted value; a missing or wrong one is a finding."""
-        value = self.find(path)
+        """Return a converted value; if missing or invalid, add a finding and return the default."""
+        value = self.look_up(path)
         if value is None:
-            self.report(path, FindingCode.MISSING_KEY, "is missing")
+            self.add_finding(path, FindingCode.MISSING_KEY, "is missing")
             return default
         try:
             return convert(value)
         except (TypeError, ValueError) as error:
-            self.report(path, FindingCode.BAD_VALUE, str(error))
+            self.add_finding(path, FindingCode.BAD_VALUE, str(error))
             return default
 
 
 def _read_text(value: Any) -> str:
     if not isinstance(value, str) or not value:
-        raise ValueError("is not a text")
+        raise ValueError("is not a non-empty string")
     return value
 
 
@@ -72,7 +72,7 @@
     return SocketAddress(ip=ip, port=int(port))
 
 
-def _read_ports(value: Any) -> int:
+def _read_first_port(value: Any) -> int:
     if not isinstance(value, list) or len(value) != 2 or value[1] - value[0] < 1:
         raise ValueError("is not a range of two ports or more")
     return int(value[0])
@@ -82,13 +82,13 @@
     """Return the settings in a file.
 
     Raises:
-        FindingsError: With everything that is wrong in it.
+        FindingsError: With all findings of the file.
     """
     try:
         with open(path, encoding="utf-8") as file:
             fields = json.load(file)
         if not isinstance(fields, dict):
-            raise ValueError("not a table")
+            raise ValueError("not a JSON object")
     except (OSError, ValueError) as error:
         finding = Finding(file=path, line=0, code=FindingCode.UNREADABLE, message=str(error))
         raise FindingsError([finding]) from error
@@ -99,37 +99,37 @@
     """Return the settings in a decoded file; unknown fields are ignored.
 
     Raises:
-        FindingsError: With everything that is wrong in it.
+        FindingsError: With all findings of the file.
     """
-    reader = _Reader(file, fields)
-    nowhere = SocketAddress(ip="127.0.0.1", port=1)
+    reader = _SettingsReader(file, fields)
+    placeholder = SocketAddress(ip="127.0.0.1", port=1)
     ip = reader.read("ip", _read_text, "127.0.0.1")
-    first_port = reader.read("internal_ports", _read_ports, 1)
-    has_directory = reader.find("listen.directory") is not None
-    has_readiness = reader.find("listen.readiness") is not None
+    first_port = reader.read("internal_ports", _read_first_port, 1)
+    has_directory = reader.look_up("listen.directory") is not None
+    has_readiness = reader.look_up("listen.readiness") is not None
     settings = NodeSettings(
         name=reader.read("node_name", _read_text, ""),
         ip=ip,
         failure_domain=reader.read("zone", _read_text, ""),
         region=reader.read("region", _read_text, ""),
-        callers=reader.read("listen.front", _read_address, nowhere),
+        callers=reader.read("listen.front", _read_address, placeholder),
         directory=(
-            reader.read("listen.directory", _read_address, nowhere) if has_directory else None
+            reader.read("listen.directory", _read_address, placeholder) if has_directory else None
         ),
         readiness=(
-            reader.read("listen.readiness", _read_address, nowhere) if has_readiness else None
+            reader.read("listen.readiness", _read_address, placeholder) if has_readiness else None
         ),
         metrics=SocketAddress(ip=ip, port=first_port + 1),
         peers=SocketAddress(ip=ip, port=first_port),
-        store=reader.read("platform.address", _read_address, nowhere),
+        store=reader.read("platform.address", _read_address, placeholder),
         change_s=_read_bound(reader, "bounds.config_apply_ms"),
         leaving_s=_read_bound(reader, "bounds.drain_ms"),
-        # Absent where keys need not stop working at once; a long bound then.
+        # The default bound applies where keys need not stop working at once.
         revocation_s=_read_revocation(reader),
         grace_s=reader.read("bounds.grace_s", _read_positive, 8.0),
-        repeat_ratio=reader.read("bounds.retry_budget_ratio", _read_positive, 0.1),
-        repeat_slack=reader.read("bounds.budget_slack", _read_positive, 10.0),
-        repeat_window_s=reader.read("bounds.budget_window_s", _read_positive, 10.0),
+        retry_ratio=reader.read("bounds.retry_budget_ratio", _read_positive, 0.1),
+        retry_slack=reader.read("bounds.budget_slack", _read_positive, 10.0),
+        retry_window_s=reader.read("bounds.budget_window_s", _read_positive, 10.0),
         link_mbps=_read_optional(reader, "limits.link_mbps"),
         processor_share=_read_optional(reader, "limits.cpu_share")
         * (_read_optional(reader, "limits.cores") or 1.0),
@@ -139,22 +139,26 @@
     return settings
 
 
-def _read_optional(reader: _Reader, path: str) -> float:
-    """Return a number that may be missing; 0 then."""
-    if reader.find(path) is None:
+def _read_optional(reader: _SettingsReader, path: str) -> float:
+    """Return an optional number; 0 if missing."""
+    if reader.look_up(path) is None:
         return 0.0
     return float(reader.read(path, _read_positive, 0.0))
 
 
-def _read_bound(reader: _Reader, path: str) -> float:
-    """Return seconds of a bound in milliseconds that may be missing; a long one then."""
-    if reader.find(path) is None:
-        return UNBOUNDED_S
+def _read_bound(reader: _SettingsReader, path: str) -> float:
+    """Return an optional bound in seconds, read as milliseconds; the default bound if missing."""
+    if reader.look_up(path) is None:
+        return DEFAULT_BOUND_S
     return float(reader.read(path, _read_positive, 2000.0)) / 1000.0
 
 
-def _read_revocation(reader: _Reader) -> float:
-    """Return seconds; the file says milliseconds, and whether the bound holds when cut off."""
-    if not reader.find("bounds.strict_revocation"):
-        return UNBOUNDED_S
+def _read_revocation(reader: _SettingsReader) -> float:
+    """Return the revocation bound in seconds, read as milliseconds.
+
+    It applies only if the file states that it must hold while the store is unreachable; otherwise
+    the default bound is returned.
+    """
+    if not reader.look_up("bounds.strict_revocation"):
+        return DEFAULT_BOUND_S
     return float(reader.read("bounds.revoke_ms", _read_positive, 5000.0)) / 1000.0
--- a/src/guavamast/platform/standins/engine.py
+++ b/src/guavamast/platform/standins/engine.py
@@ -1,4 +1,4 @@
-"""Stand-in of an engine or service: answers deterministically, counts runs, fails on request."""
+"""Stand-in for an engine or service: deterministic responses, recorded runs, injected faults."""
 
 from __future__ import annotations
 
@@ -9,37 +9,37 @@
 
 import h11
 
-EVENTS = 6
-"""Events of a stream unless set otherwise."""
+EVENTS_PER_STREAM = 6
+"""Default number of events in a stream."""
 EVENT_INTERVAL_S = 0.02
 KEEP_ALIVE_S = 5
 
 
 class EngineFault(StrEnum):
-    """What the engine does wrong."""
+    """Fault that the engine injects."""
 
     NONE = "none"
     FULL = "full"
-    """Refuses each request as not run."""
+    """Rejects each request as not run."""
     ERROR = "error"
     """Runs the request and answers 500."""
     CUT = "cut"
-    """Breaks a stream off in the middle of its third event."""
+    """Closes the connection in the middle of a stream's third event."""
     LOSE = "lose"
-    """Runs the request and closes the connection without an answer."""
+    """Runs the request and closes the connection without a response."""
     EXTRA = "extra"
-    """Sends a second answer, to another request, after each one."""
+    """Sends a second response, to another request, after each response."""
     CROSSED = "crossed"
-    """Answers as if to another request."""
+    """Answers with the id of another request."""
     HANG = "hang"
     """Runs the request and never answers."""
     UNSEALED = "unsealed"
-    """Leaves the signature out."""
+    """Omits the signature."""
 
 
 @dataclass(frozen=True, slots=True, kw_only=True)
 class Run:
-    """One request that the engine began to work on."""
+    """One request that the engine began to run."""
 
     request_id: str
     tenant: str
@@ -47,43 +47,43 @@
     body: bytes
     headers: dict[str, str]
     began: float
-    """Seconds of the steady clock."""
+    """Seconds on the monotonic clock."""
 
 
 class EngineStandIn:
-    """Serves one connection per request at a time, as engines do.
+    """Serves one request at a time on each connection, as engines do.
 
     Args:
-        engine_id: Its id; requests that expect another are refused.
+        engine_id: Its id; requests that expect another are rejected.
     """
 
     def __init__(self, *, engine_id: str) -> None:
         self.engine_id = engine_id
         self.fault = EngineFault.NONE
-        self.work_s = 0.0
-        """Time that a request takes before its answer begins."""
-        self.events = EVENTS
-        """Events of each stream."""
+        self.processing_s = 0.0
+        """Seconds that a request takes before its response begins."""
+        self.events = EVENTS_PER_STREAM
+        """Number of events in each stream."""
         self.runs: list[Run] = []
         self.abandoned = 0
-        """Requests whose connection was closed before their answer was whole."""
+        """Number of requests whose connection closed before the response was complete."""
         self.connections = 0
         self._server: asyncio.Server | None = None
         self._writers: dict[asyncio.StreamWriter, asyncio.Task[None]] = {}
 
     @property
     def port(self) -> int:
-        """The port on which it serves."""
+        """The listening port."""
         assert self._server is not None
         return int(self._server.sockets[0].getsockname()[1])
 
     async def listen(self, port: int = 0) -> int:
-        """Begin to serve on loopback; returns the port, chosen by the system unless given."""
+        """Listen on loopback and return the port, chosen by the system unless given."""
         self._server = await asyncio.start_server(self._serve, "127.0.0.1", port)
         return self.port
 
     async def stop(self) -> None:
-        """Stop serving and drop all connections."""
+        """Stop listening and close all connections."""
         assert self._server is not None
         self._server.close()
         tasks = list(self._writers.values())
@@ -109,7 +109,7 @@
     async def _serve_one(
         self, http: h11.Connection, reader: asyncio.StreamReader, writer: asyncio.StreamWriter
     ) -> bool:
-        """Answer one request; returns whether the connection goes on."""
+        """Serve one request and return whether the connection stays open."""
         request: h11.Request | None = None
         body = b""
         while True:
@@ -126,13 +126,13 @@
                 return False
         assert request is not None
         if self.fault is EngineFault.HANG:
-            self._note_run(request, body)
+            self._record_run(request, body)
             await reader.read()
             self.abandoned += 1
             return False
-        return await self._answer(http, writer, request, body)
+        return await self._respond(http, writer, request, body)
 
-    def _note_run(self, request: h11.Request, body: bytes) -> Run:
+    def _record_run(self, request: h11.Request, body: bytes) -> Run:
         headers = {name.decode(): value.decode() for name, value in request.headers}
         run = Run(
             request_id=headers.get("x-attempt-id", ""),
@@ -145,7 +145,7 @@
         self.runs.append(run)
         return run
 
-    async def _answer(
+    async def _respond(
         self, http: h11.Connection, writer: asyncio.StreamWriter, request: h11.Request, body: bytes
     ) -> bool:
         headers = {name.decode(): value.decode() for name, value in request.headers}
@@ -153,26 +153,26 @@
             return await self._send(http, writer, 421, [("X-Instance-Id", self.engine_id)], b"")
         if self.fault is EngineFault.FULL:
             return await self._send(http, writer, 503, [("X-Not-Executed", "1")], b"")
-        run = self._note_run(request, body)
+        run = self._record_run(request, body)
         request_id = run.request_id
-        await asyncio.sleep(self.work_s)
+        await asyncio.sleep(self.processing_s)
         if self.fault is EngineFault.LOSE:
             return False
-        told_id = "other" if self.fault is EngineFault.CROSSED else request_id
-        common = [("X-Attempt-Id", told_id), ("Keep-Alive", f"timeout={KEEP_ALIVE_S}")]
+        response_id = "other" if self.fault is EngineFault.CROSSED else request_id
+        common = [("X-Attempt-Id", response_id), ("Keep-Alive", f"timeout={KEEP_ALIVE_S}")]
         if self.fault is not EngineFault.UNSEALED:
             common.append(("X-Engine-Seal", f"seal-{self.engine_id}"))
         if self.fault is EngineFault.ERROR:
             return await self._send(http, writer, 500, common, b"failed")
         if b"stream" in request.target:
             return await self._stream(http, writer, common, run)
-        again = await self._send(http, writer, 200, common, b"answer " + request_id.encode())
+        keep_open = await self._send(http, writer, 200, common, b"answer " + request_id.encode())
         if self.fault is EngineFault.EXTRA:
             writer.write(
                 b"HTTP/1.1 200 OK\r\nX-Attempt-Id: other\r\nX-Engine-Seal: s\r\n"
                 b"Content-Length: 5\r\n\r\nwrong"
             )
-        return again
+        return keep_open
 
     async def _stream(
         self,
@@ -186,7 +186,7 @@
         writer.write(http.send(h11.Response(status_code=200, headers=headers)) or b"")
         first = int(run.headers.get("last-event-id", "0")) + 1
         for number in range(first, self.events + 1):
-            data = make_event(run.request_id, number)
+            data = encode_event(run.request_id, number)
             if self.fault is EngineFault.CUT and number == 3:
                 writer.write(http.send(h11.Data(data=data[:9])) or b"")
                 await writer.drain()
@@ -215,6 +215,6 @@
         return True
 
 
-def make_event(request_id: str, number: int) -> bytes:
-    """Return an event of a stream, the same from every engine."""
+def encode_event(request_id: str, number: int) -> bytes:
+    """Return an event of a stream; all engines send the same bytes."""
     return f"id: {number}\ndata: {request_id}-{number}\n\n".encode()
--- a/src/guavamast/platform/standins/site.py
+++ b/src/guavamast/platform/standins/site.py
@@ -1,4 +1,4 @@
-"""A small site on loopback: a store with a configuration, engines and services in it."""
+"""A small site on loopback: a store with a configuration, engines and services."""
 
 from __future__ import annotations
 
@@ -12,35 +12,35 @@
 
 HOST = "portal.example"
 KEY = "site-caller-key"
-CALLS = "/call/"
-"""Prefix of non-idempotent calls."""
-LOOKUPS = "/lookup/"
-"""Prefix of idempotent calls."""
-STREAMS = "/stream/"
-"""Prefix of streams that can't be resumed."""
-RESUMABLE = "/resumable/stream/"
-"""Prefix of streams that can be."""
+CALL_PREFIX = "/call/"
+"""Path prefix of non-idempotent calls."""
+LOOKUP_PREFIX = "/lookup/"
+"""Path prefix of idempotent calls."""
+STREAM_PREFIX = "/stream/"
+"""Path prefix of streams that can't be resumed."""
+RESUMABLE_PREFIX = "/resumable/stream/"
+"""Path prefix of streams that can be resumed."""
 
 
 class Site:
-    """Stand-ins of all that an instance meets, and the settings for instances."""
+    """Stand-ins for all that an instance connects to, and the settings for instances."""
 
     def __init__(self) -> None:
         self.store = StoreStandIn()
         self.engines: dict[str, EngineStandIn] = {}
         self.store_port = 0
         self._version = 0
-        self._holders: list[socket.socket] = []
+        self._reserved_sockets: list[socket.socket] = []
         self.keys = [KEY]
-        self.more_keys: dict[str, str] = {}
-        """Keys of further organisations, by their names."""
+        self.other_keys: dict[str, str] = {}
+        """Keys of further organisations by name."""
         self.route_services = {
-            CALLS: "portal",
-            LOOKUPS: "portal",
-            STREAMS: "pool",
-            RESUMABLE: "pool",
+            CALL_PREFIX: "portal",
+            LOOKUP_PREFIX: "portal",
+            STREAM_PREFIX: "pool",
+            RESUMABLE_PREFIX: "pool",
         }
-        """The service of each route, by its prefix."""
+        """Service of each route by path prefix."""
         self.bounds: dict[str, Any] = {
             "strict_revocation": True,
             "revoke_ms": 2000,
@@ -51,12 +51,12 @@
             "budget_slack": 20,
             "budget_window_s": 10,
         }
-        """What instances are told of the bounds in force."""
+        """Bounds in the settings of instances."""
 
     async def start(self, *, pool: int = 2, portal: int = 2) -> None:
-        """Start the store and so many engines of each service."""
+        """Start the store and the given numbers of engines of each service."""
         self.store_port = self.store.listen()
-        self.configure()
+        self.publish_configuration()
         for number in range(pool):
             await self.add_engine(f"pool-{number}", "pool")
         for number in range(portal):
@@ -67,19 +67,21 @@
         for engine in self.engines.values():
             await engine.stop()
         self.store.stop()
-        for holder in self._holders:
-            holder.close()
+        for reserved in self._reserved_sockets:
+            reserved.close()
 
     async def add_engine(self, engine_id: str, service: str) -> EngineStandIn:
-        """Start an engine and list it."""
+        """Start an engine and write its row."""
         engine = EngineStandIn(engine_id=engine_id)
         port = await engine.listen()
         self.engines[engine_id] = engine
-        self.list_engine(engine_id, service, port)
+        self.register_engine(engine_id, service, port)
         return engine
 
-    def list_engine(self, engine_id: str, service: str, port: int, *, state: str = "ready") -> None:
-        """Write an engine's row."""
+    def register_engine(
+        self, engine_id: str, service: str, port: int, *, state: str = "ready"
+    ) -> None:
+        """Write an engine's row to the store."""
         fields = {
             "service": service,
             "address": f"127.0.0.1:{port}",
@@ -90,14 +92,20 @@
         }
         self.store.put("servers", engine_id, fields)
 
-    def configure(self) -> None:
+    def publish_configuration(self) -> None:
         """Write the next version of the configuration."""
         self._version += 3
         routes = [
-            _make_route(CALLS, "non_idempotent", self.route_services[CALLS], 2),
-            _make_route(LOOKUPS, "idempotent", self.route_services[LOOKUPS], 2),
-            _make_route(STREAMS, "streaming", self.route_services[STREAMS], 1),
-            _make_route(RESUMABLE, "streaming", self.route_services[RESUMABLE], 2, resumable=True),
+            _build_route(CALL_PREFIX, "non_idempotent", self.route_services[CALL_PREFIX], 2),
+            _build_route(LOOKUP_PREFIX, "idempotent", self.route_services[LOOKUP_PREFIX], 2),
+            _build_route(STREAM_PREFIX, "streaming", self.route_services[STREAM_PREFIX], 1),
+            _build_route(
+                RESUMABLE_PREFIX,
+                "streaming",
+                self.route_services[RESUMABLE_PREFIX],
+                2,
+                resumable=True,
+            ),
         ]
         services = [
             {"name": "pool", "max_connections": 100, "engine": {"kv_capacity_tokens": 100_000}},
@@ -121,15 +129,16 @@
     def _list_organisations(self) -> list[dict[str, Any]]:
         first = {"name": "bakery", "api_keys": list(self.keys), "priority": 1}
         more = [
-            {"name": name, "api_keys": [key], "priority": 1} for name, key in self.more_keys.items()
+            {"name": name, "api_keys": [key], "priority": 1}
+            for name, key in self.other_keys.items()
         ]
         return [first, *more]
 
-    def make_settings(self, name: str) -> dict[str, Any]:
-        """Return the settings of an instance, on ports that stay reserved for it."""
-        holders = [*(_reserve_port() for _ in range(3)), *_reserve_pair()]
-        self._holders += holders
-        ports = [int(holder.getsockname()[1]) for holder in holders]
+    def build_settings(self, name: str) -> dict[str, Any]:
+        """Return the settings of an instance, with ports that stay reserved for it."""
+        sockets = [*(_reserve_port() for _ in range(3)), *_reserve_pair()]
+        self._reserved_sockets += sockets
+        ports = [int(reserved.getsockname()[1]) for reserved in sockets]
         return {
             "node_name": name,
             "ip": "127.0.0.1",
@@ -147,7 +156,7 @@
 
 
 def write_settings(fields: dict[str, Any], directory: str) -> str:
-    """Write a settings file; returns its path."""
+    """Write a settings file and return its path."""
     path = os.path.join(directory, f"{fields['node_name']}.json")
     with open(path, "w", encoding="utf-8") as file:
         json.dump(fields, file)
@@ -155,20 +164,20 @@
 
 
 def _reserve_port(port: int = 0) -> socket.socket:
-    """Return a socket that is bound and never listens; a listener may be bound beside it.
+    """Return a socket that is bound and never listens, so that a listener may share its port.
 
-    Failure: an instance ends and is started again, and meanwhile its port is given to an outgoing
-    connection. The system chooses no port that is bound, and Linux lets a listener share it when
-    both allow the reuse of addresses.
+    Without it, the port of an instance that restarts could be assigned to an outgoing connection.
+    The system chooses no port that is bound, and Linux lets a listener share it when both sockets
+    allow the reuse of addresses.
     """
-    holder = socket.socket()
-    holder.setsockopt(socket.SOL_SOCKET, socket.SO_REUSEADDR, 1)
-    holder.bind(("127.0.0.1", port))
-    return holder
+    reserved = socket.socket()
+    reserved.setsockopt(socket.SOL_SOCKET, socket.SO_REUSEADDR, 1)
+    reserved.bind(("127.0.0.1", port))
+    return reserved
 
 
 def _reserve_pair() -> list[socket.socket]:
-    """Return the sockets of two ports in a row."""
+    """Return the sockets of two consecutive ports."""
     while True:
         first = _reserve_port()
         try:
@@ -177,7 +186,7 @@
             first.close()
 
 
-def _make_route(
+def _build_route(
     prefix: str, kind: str, service: str, attempts: int, *, resumable: bool = False
 ) -> dict[str, Any]:
     return {
--- a/src/guavamast/platform/standins/store.py
+++ b/src/guavamast/platform/standins/store.py
@@ -1,4 +1,4 @@
-"""Stand-in of the platform's store: rows in tables, one counter of versions, a steady clock."""
+"""Stand-in for the platform's store: rows in tables, one version counter, a monotonic clock."""
 
 from __future__ import annotations
 
@@ -15,15 +15,15 @@
 
 
 class StoreFault(StrEnum):
-    """What the store does wrong."""
+    """Fault that the store injects."""
 
     NONE = "none"
     BUSY = "busy"
     """Answers 503."""
     SILENT = "silent"
-    """Answers nothing."""
+    """Never answers."""
     LOSES_ANSWERS = "loses_answers"
-    """Performs writes and answers nothing to them."""
+    """Performs writes and never answers them."""
 
 
 @dataclass(slots=True, kw_only=True)
@@ -38,21 +38,21 @@
     def __init__(self) -> None:
         self._rows: dict[tuple[str, str], _Row] = {}
         self._version = 0
-        self._server = HTTPServer(self._answer)
+        self._server = HTTPServer(self._handle_request)
         self.fault = StoreFault.NONE
 
     def listen(self) -> int:
-        """Begin to serve on loopback; returns the port."""
+        """Listen on loopback and return the port."""
         sockets = bind_sockets(0, "127.0.0.1")
         self._server.add_sockets(sockets)
         return int(sockets[0].getsockname()[1])
 
     def stop(self) -> None:
-        """Accept no more connections."""
+        """Stop accepting connections."""
         self._server.stop()
 
     def put(self, table: str, key: str, fields: Any) -> int:
-        """Write a row as an operator or an engine does; returns its version."""
+        """Write a row as an operator or an engine does and return its version."""
         self._version += 1
         value = base64.b64encode(json.dumps(fields).encode()).decode()
         self._rows[table, key] = _Row(value=value, version=self._version)
@@ -71,19 +71,19 @@
         self._version += 1
         self._rows.pop((table, key), None)
 
-    def _answer(self, request: httputil.HTTPServerRequest) -> None:
+    def _handle_request(self, request: httputil.HTTPServerRequest) -> None:
         if self.fault is StoreFault.SILENT:
             return
         if self.fault is StoreFault.BUSY:
-            _write(request, 503, {})
+            _write_response(request, 503, {})
         elif request.path == "/v1/rows-get":
-            _write(request, 200, self._get(request))
+            _write_response(request, 200, self._get(request))
         elif request.path == "/v1/rows-tx":
-            answer = self._transact(json.loads(request.body))
+            response = self._transact(json.loads(request.body))
             if self.fault is not StoreFault.LOSES_ANSWERS:
-                _write(request, 200, answer)
+                _write_response(request, 200, response)
         else:
-            _write(request, 404, {})
+            _write_response(request, 404, {})
 
     def _get(self, request: httputil.HTTPServerRequest) -> dict[str, Any]:
         table = request.query_arguments["table"][0].decode()
@@ -100,7 +100,7 @@
             }
             for key in keys[:limit]
         ]
-        return self._stamp({"rows": rows, "more_pages": len(keys) > limit})
+        return self._add_store_time({"rows": rows, "more_pages": len(keys) > limit})
 
     def _transact(self, fields: dict[str, Any]) -> dict[str, Any]:
         self._version += 1
@@ -108,14 +108,16 @@
             self._rows[row["table"], row["key"]] = _Row(value=row["value"], version=self._version)
         for row in fields["remove"]:
             self._rows.pop((row["table"], row["key"]), None)
-        return self._stamp({})
+        return self._add_store_time({})
 
-    def _stamp(self, fields: dict[str, Any]) -> dict[str, Any]:
+    def _add_store_time(self, fields: dict[str, Any]) -> dict[str, Any]:
         now_ms = int(time.clock_gettime(time.CLOCK_BOOTTIME) * 1000)
         return fields | {"ver": self._version, "now_ms": now_ms}
 
 
-def _write(request: httputil.HTTPServerRequest, status: int, fields: dict[str, Any]) -> None:
+def _write_response(
+    request: httputil.HTTPServerRequest, status: int, fields: dict[str, Any]
+) -> None:
     body = json.dumps(fields).encode()
     headers = httputil.HTTPHeaders(
         {"Content-Type": "application/json", "Content-Length": str(len(body))}
--- a/src/guavamast/relay/housekeeper.py
+++ b/src/guavamast/relay/cleanup_loop.py
@@ -9,17 +9,17 @@
     from collections.abc import Awaitable, Callable
 
     from guavamast.relay.connection_pool import ConnectionPool
-    from guavamast.relay.fleet_knowledge import FleetKnowledge
-    from guavamast.relay.request_notes import RequestNotes
+    from guavamast.relay.fleet_state import FleetState
+    from guavamast.relay.request_recorder import RequestRecorder
     from guavamast.relay.scheduling import Scheduling
     from guavamast.relay.store_reader import StoreReader
-    from guavamast.relay.work_knowledge import WorkKnowledge
+    from guavamast.relay.work_state import WorkState
 
 CLEANUP_INTERVAL_S: Final = 1.0
 """Seconds between two cleanup rounds."""
 
 
-class Housekeeper:
+class CleanupLoop:
     """Bounds the state that an instance keeps.
 
     Args:
@@ -47,11 +47,11 @@
     def __init__(
         self,
         *,
-        fleet_state: FleetKnowledge,
-        work: WorkKnowledge,
+        fleet_state: FleetState,
+        work: WorkState,
         pool: ConnectionPool,
         reader: StoreReader,
-        notes: RequestNotes,
+        notes: RequestRecorder,
         scheduling: Scheduling,
         unregister: Callable[[str], Awaitable[None]],
         read_time: Callable[[], float],
@@ -92,13 +92,13 @@
     def _drop_gone(self, *, now: float) -> None:
         known = {record.endpoint_id for record in self._fleet_state.endpoints.list_all()}
         live = {peer.record.name for peer in self._fleet_state.peers.list_live(now=now)}
-        self._pool.keep_only(known, now=now)
-        self._work.keep_only(endpoint_ids=known, instances=live)
-        self._scheduling.keep_house(endpoint_ids=known, now=now)
+        self._pool.retain(known, now=now)
+        self._work.retain(endpoint_ids=known, instances=live)
+        self._scheduling.clean_up(endpoint_ids=known, now=now)
 
     def _record_profiles(self, *, now: float) -> None:
         catalog = self._fleet_state.catalog
         for service in catalog.services.values() if catalog is not None else ():
-            if service.prompt_cache_tokens is not None:
+            if service.kv_capacity_tokens is not None:
                 profile = self._work.profiles.find(service.name, now=now)
-                self._notes.note_profile(service.name, profile)
+                self._notes.record_profile(service.name, profile)
--- a/src/guavamast/relay/endpoint_news.py
+++ b/src/guavamast/relay/endpoint_update.py
@@ -5,10 +5,10 @@
 from dataclasses import dataclass
 from typing import Final
 
-from guavamast.relay.beats import MalformedBeat
+from guavamast.relay.compressed_json import pack, unpack
 from guavamast.relay.endpoint_table import EndpointRecord
-from guavamast.relay.packing import pack, unpack
-from guavamast.relay.store import EndpointReading
+from guavamast.relay.heartbeat_messages import MalformedBeat
+from guavamast.relay.store import EndpointSnapshot
 
 ENDPOINTS_PREFIX: Final = b"e"
 """First byte of an endpoint update."""
@@ -17,17 +17,17 @@
 
 
 @dataclass(frozen=True, slots=True, kw_only=True)
-class EndpointNews:
+class EndpointUpdate:
     """A snapshot of the endpoint table, and the failure domain of its reader."""
 
     domain: str
     """Failure domain of the instance that read it."""
-    reading: EndpointReading
+    snapshot: EndpointSnapshot
 
 
-def encode_endpoints(update: EndpointNews) -> bytes | None:
+def encode_endpoint_update(update: EndpointUpdate) -> bytes | None:
     """Return the datagram of an endpoint update, or None if it is too long for one."""
-    snapshot = update.reading
+    snapshot = update.snapshot
     rows = [
         [
             record.endpoint_id,
@@ -38,15 +38,15 @@
             record.failure_domain,
             record.slots,
             int(record.ready),
-            record.born_ms,
+            record.started_ms,
         ]
         for record in snapshot.records
     ]
-    data = ENDPOINTS_PREFIX + pack([update.domain, snapshot.digest, snapshot.reading, rows])
+    data = ENDPOINTS_PREFIX + pack([update.domain, snapshot.digest, snapshot.store_time, rows])
     return data if len(data) <= MAX_DATAGRAM_BYTES else None
 
 
-def decode_endpoint_update(data: bytes) -> EndpointNews:
+def decode_endpoint_update(data: bytes) -> EndpointUpdate:
     """Return the endpoint update of a datagram.
 
     Raises:
@@ -54,12 +54,12 @@
     """
     try:
         domain, digest, store_time, rows = unpack(data[len(ENDPOINTS_PREFIX) :])
-        table = EndpointReading(
+        table = EndpointSnapshot(
             records=[_decode_record(row) for row in rows],
             digest=str(digest),
-            reading=float(store_time),
+            store_time=float(store_time),
         )
-        return EndpointNews(domain=str(domain), reading=table)
+        return EndpointUpdate(domain=str(domain), snapshot=table)
     except (ValueError, TypeError, KeyError, IndexError) as error:
         raise MalformedBeat(f"endpoints: {type(error).__name__}: {error}") from error
 
@@ -75,5 +75,5 @@
         failure_domain=str(domain),
         slots=int(slots or 0),
         ready=bool(ready),
-        born_ms=None if born_ms is None else int(born_ms),
+        started_ms=None if born_ms is None else int(born_ms),
     )
--- a/src/guavamast/relay/exchange.py
+++ b/src/guavamast/relay/exchange.py
@@ -10,27 +10,27 @@
 from guavamast.relay.catalog import RouteKind
 from guavamast.relay.connection_pool import compute_idle_limit
 from guavamast.relay.endpoint_load import Load
-from guavamast.relay.messages import SendTerms
-from guavamast.relay.sent_stream import StreamSampler
+from guavamast.relay.messages import SendParameters
 from guavamast.relay.stream_relay import relay_events
+from guavamast.relay.stream_sampler import StreamSampler
 
 if TYPE_CHECKING:
     from collections.abc import Callable
 
     from guavamast.relay.attempt import CompleteResponse
-    from guavamast.relay.attempt_budget import AttemptBudget
     from guavamast.relay.caller_admission import CallerAdmission
     from guavamast.relay.connection_pool import ConnectionPool
     from guavamast.relay.endpoint_choice import Choice
     from guavamast.relay.endpoint_load import EndpointLoads, Work
     from guavamast.relay.endpoint_table import EndpointRecord
     from guavamast.relay.engine_profile import EngineProfiles
-    from guavamast.relay.fleet_knowledge import FleetKnowledge
+    from guavamast.relay.fleet_state import FleetState
     from guavamast.relay.messages import CallerRequest, HeaderCodec, ResponseWriter
-    from guavamast.relay.placing import Placed
+    from guavamast.relay.placer import PlacementDecision
     from guavamast.relay.prompt_cache import PromptCache
-    from guavamast.relay.request_notes import RequestNotes
     from guavamast.relay.request_progress import RequestProgress
+    from guavamast.relay.request_recorder import RequestRecorder
+    from guavamast.relay.retry_budget import RetryBudget
 
 RESPONSE_TIMEOUT_SHARE: Final = 0.6
 """Share of the objective after which a repeatable call without a response is retried at another
@@ -43,7 +43,7 @@
 class PublishLoad(Protocol):
     """Reports that this instance's work at an endpoint has changed."""
 
-    def __call__(self, endpoint_id: str, *, more: bool) -> None:
+    def __call__(self, endpoint_id: str, *, increased: bool) -> None:
         """Report an endpoint and whether its work has grown."""
 
 
@@ -51,7 +51,7 @@
 class _Send:
     """One send of a request: its placement, and its part of the endpoint's load."""
 
-    placed: Placed
+    placed: PlacementDecision
     work: Work
 
     def finish_prefill(self) -> bool:
@@ -96,13 +96,13 @@
         self,
         *,
         admission: CallerAdmission,
-        knowledge: FleetKnowledge,
+        knowledge: FleetState,
         loads: EndpointLoads,
         cache: PromptCache,
-        budget: AttemptBudget,
+        budget: RetryBudget,
         codec: HeaderCodec,
         pool: ConnectionPool,
-        recorder: RequestNotes,
+        recorder: RequestRecorder,
         profiles: EngineProfiles,
         publish_load: PublishLoad,
         read_time: Callable[[], float],
@@ -124,7 +124,7 @@
         request: CallerRequest,
         writer: ResponseWriter,
         progress: RequestProgress,
-        placed: Placed,
+        placed: PlacementDecision,
     ) -> None:
         """Send a request to the selected endpoint and forward its response.
 
@@ -161,7 +161,7 @@
                     failure_weight=failure_weight,
                     longest_pause_s=progress.timing.longest_pause_s,
                 )
-            self._publish_load(record.endpoint_id, more=False)
+            self._publish_load(record.endpoint_id, increased=False)
 
     def _begin_work(
         self, request: CallerRequest, progress: RequestProgress, choice: Choice
@@ -170,16 +170,16 @@
         endpoint_id = choice.record.endpoint_id
         if request.shared_part is not None:
             now = self._read_time()
-            self._cache.record(endpoint_id, request.shared_part, choice.unread_tokens, now=now)
+            self._cache.record(endpoint_id, request.shared_part, choice.uncached_tokens, now=now)
         work = self._loads.begin(
             endpoint_id,
-            prefill_tokens=choice.unread_tokens,
-            memory_tokens=request.prompt_tokens + request.output_tokens,
+            prefill_tokens=choice.uncached_tokens,
+            kv_tokens=request.prompt_tokens + request.output_tokens,
             # Outside its own length bucket, among long prompts, the stream is late anyway, so long
             # prompts need not avoid the engine because of it.
-            delicate=progress.delicate and choice.own_lane,
+            pause_sensitive=progress.pause_sensitive and choice.own_bucket,
         )
-        self._publish_load(endpoint_id, more=True)
+        self._publish_load(endpoint_id, increased=True)
         return work
 
     async def _exchange(
@@ -191,14 +191,14 @@
         send: _Send,
     ) -> None:
         now = self._read_time()
-        if send.placed.work is not None and send.placed.work.is_void(now=now):
+        if send.placed.work is not None and send.placed.work.is_expired(now=now):
             raise AttemptFailed(
                 FailureKind.OUTDATED, "the scheduler's grant expired before the send"
             )
         self._admission.check_send(progress.admitted, attempt.record, now=now)
         terms = self._build_send_terms(progress, attempt.record, now=now)
         timeout_s = self._compute_attempt_timeout(progress, now=now)
-        progress.sent += 1
+        progress.sends += 1
         progress.possible_runs += 1
         load = self._read_load(send)
         self._record_send(request, progress, attempt.record, terms, send, load=load, now=now)
@@ -226,7 +226,7 @@
                 FailureKind.SILENT, "nothing received within the attempt timeout"
             ) from error
         except AttemptFailed as failure:
-            progress.possible_runs -= failure.unrun
+            progress.possible_runs -= failure.not_run
             raise
         await self._forward_response(request, writer, progress, attempt.record, response)
 
@@ -237,10 +237,10 @@
         """
         choice = send.placed.choice
         assert choice is not None
-        if send.placed.scheduled is not None:
+        if send.placed.scheduler_reply is not None:
             return Load(
                 requests=choice.load.requests + 1,
-                prefill_tokens=choice.load.prefill_tokens + choice.unread_tokens,
+                prefill_tokens=choice.load.prefill_tokens + choice.uncached_tokens,
             )
         return self._loads.sum_up(choice.record.endpoint_id)
 
@@ -260,7 +260,7 @@
         def on_event(event_id: str | None) -> None:
             now = self._read_time()
             if send.finish_prefill():
-                self._publish_load(endpoint_id, more=False)
+                self._publish_load(endpoint_id, increased=False)
             uncached_tokens = self._loads.sum_up(endpoint_id).prefill_tokens
             first = progress.timing.first_event_s is None
             sampler.record_event(uncached_tokens=uncached_tokens, now=now)
@@ -311,7 +311,7 @@
         request: CallerRequest,
         progress: RequestProgress,
         record: EndpointRecord,
-        terms: SendTerms,
+        terms: SendParameters,
         send: _Send,
         *,
         load: Load,
@@ -321,22 +321,22 @@
             request,
             record,
             terms,
-            sends=progress.sent,
+            sends=progress.sends,
             load=load,
-            scheduled=send.placed.scheduled,
+            scheduled=send.placed.scheduler_reply,
             admitted=progress.admitted,
             now=now,
         )
 
     def _build_send_terms(
         self, progress: RequestProgress, record: EndpointRecord, *, now: float
-    ) -> SendTerms:
+    ) -> SendParameters:
         admitted = progress.admitted
-        engine = self._knowledge.find_memory(record.service) > 0
-        return SendTerms(
+        engine = self._knowledge.find_kv_capacity_tokens(record.service) > 0
+        return SendParameters(
             endpoint_id=record.endpoint_id,
             organisation=admitted.organisation.name if admitted.organisation else None,
-            time_left_s=progress.deadline - now,
+            remaining_s=progress.deadline - now,
             urgency=admitted.urgency if engine else None,
             resume_after=progress.last_event_id,
         )
@@ -348,7 +348,7 @@
         request.
         """
         route = progress.admitted.route
-        if not route.repeatable or progress.sent + 1 >= route.max_endpoints:
+        if not route.repeatable or progress.sends + 1 >= route.max_endpoints:
             return None
         instances = self._knowledge.count_instances()
         if not self._budget.has_room(progress.service, instances=instances, now=now):
--- a/src/guavamast/relay/node.py
+++ b/src/guavamast/relay/node.py
@@ -10,34 +10,40 @@
 from random import Random
 from typing import TYPE_CHECKING, Final
 
-from guavamast.relay.beat_exchange import BeatExchange
-from guavamast.relay.beat_relays import BeatRelays
-from guavamast.relay.beat_socket import BeatSocket
-from guavamast.relay.beats import Beat, BeatBundle, InstanceState, LoadNotice, encode_notice
 from guavamast.relay.boot_clock import read_boot_time
-from guavamast.relay.bundle_content import BundleContent
 from guavamast.relay.caller_addresses import VALIDITY_S
-from guavamast.relay.catalog_news import CatalogNews, encode_catalog
+from guavamast.relay.catalog_update import CatalogUpdate, encode_catalog_update
+from guavamast.relay.cleanup_loop import CleanupLoop
 from guavamast.relay.connection_pool import ConnectionPool
 from guavamast.relay.counters import Counters
 from guavamast.relay.decision_log import DecisionLog
-from guavamast.relay.endpoint_news import EndpointNews, encode_endpoints
-from guavamast.relay.fleet_knowledge import FleetKnowledge
-from guavamast.relay.housekeeper import Housekeeper
-from guavamast.relay.listener import CallerListener, Question, QuestionListener
-from guavamast.relay.load_notices import LoadNotices
+from guavamast.relay.endpoint_update import EndpointUpdate, encode_endpoint_update
+from guavamast.relay.fleet_state import FleetState
+from guavamast.relay.heartbeat_aggregation import HeartbeatAggregation
+from guavamast.relay.heartbeat_exchange import HeartbeatExchange
+from guavamast.relay.heartbeat_messages import (
+    AggregatedHeartbeat,
+    Heartbeat,
+    InstanceState,
+    LoadUpdate,
+    encode_load_update,
+)
+from guavamast.relay.heartbeat_topology import HeartbeatTopology
+from guavamast.relay.length_buckets import NO_DEMAND
+from guavamast.relay.listener import CallerListener, QueryHandler, QueryListener
+from guavamast.relay.load_update_sender import LoadUpdateSender
 from guavamast.relay.loop_delay import LoopDelay
-from guavamast.relay.peers import Peers, compute_beat_interval
-from guavamast.relay.prompt_lanes import NO_DEMAND
-from guavamast.relay.request_notes import RequestNotes
-from guavamast.relay.request_path import make_relayer
+from guavamast.relay.peer_socket import PeerSocket
+from guavamast.relay.peers import Peers, compute_heartbeat_interval
+from guavamast.relay.relayer_factory import build_relayer
+from guavamast.relay.request_recorder import RequestRecorder
 from guavamast.relay.scheduling import Scheduling
 from guavamast.relay.staleness import StalenessBounds
 from guavamast.relay.store import InstanceRecord
 from guavamast.relay.store_reader import StoreReader
 from guavamast.relay.store_watch import StoreWatch
 from guavamast.relay.table_watch import build_table_watches
-from guavamast.relay.work_knowledge import WorkKnowledge
+from guavamast.relay.work_state import WorkState
 
 if TYPE_CHECKING:
     from guavamast.relay.engine_profile import ProfileEstimates
@@ -46,7 +52,7 @@
     from guavamast.relay.node_settings import NodeSettings, SocketAddress
     from guavamast.relay.relayer import Relayer
     from guavamast.relay.scheduling_wire import SchedulingMessage
-    from guavamast.relay.store import CatalogReading, EndpointReading, Store
+    from guavamast.relay.store import CatalogSnapshot, EndpointSnapshot, Store
 
 STANDARD_OUTPUT: Final = 1
 """Descriptor of the log by default."""
@@ -83,7 +89,7 @@
         self.counters = Counters()
         self.log = DecisionLog(instance=settings.name, descriptor=log_descriptor)
         self.peers = Peers(own_name=settings.name)
-        self.knowledge = FleetKnowledge(
+        self.fleet_state = FleetState(
             failure_domain=settings.failure_domain, peers=self.peers, clock=clock
         )
         self.record = InstanceRecord(
@@ -101,7 +107,7 @@
         self._incarnation = time.time_ns() // 1_000_000
         self._sequence = 0
         self._leaving = False
-        self._work = WorkKnowledge()
+        self._work = WorkState()
         self._loop_delay = LoopDelay()
         self._pool = ConnectionPool()
         self._bounds = StalenessBounds(
@@ -111,21 +117,21 @@
         )
         self._stop = asyncio.Event()
         self._load_updates = self._build_load_updates()
-        self._heartbeat_socket = BeatSocket(
-            take=self._receive_message,
-            take_catalog=self._receive_catalog,
-            take_endpoints=self._receive_endpoints,
-            take_scheduling=self._receive_scheduling,
+        self._heartbeat_socket = PeerSocket(
+            on_message=self._receive_message,
+            on_catalog_update=self._receive_catalog,
+            on_endpoint_update=self._receive_endpoints,
+            on_scheduling_message=self._receive_scheduling,
             counters=self.counters,
         )
         self._scheduling = self._build_scheduling()
         self._exchange = self._build_exchange()
         self._reader = self._build_reader()
         self._watch = self._build_watch()
-        self._notes = RequestNotes(
+        self._notes = RequestRecorder(
             log=self.log,
             counters=self.counters,
-            knowledge=self.knowledge,
+            knowledge=self.fleet_state,
             loop_delay=self._loop_delay,
         )
         self._cleanup_loop = self._build_cleanup_loop()
@@ -134,12 +140,12 @@
             relayer=self._relayer,
             codec=codec,
             read_time=read_boot_time,
-            note_rejection=self._record_rejection,
-            note_fault=self._record_fault,
+            on_rejection=self._record_rejection,
+            on_error=self._record_fault,
         )
 
-    def _build_load_updates(self) -> LoadNotices:
-        return LoadNotices(
+    def _build_load_updates(self) -> LoadUpdateSender:
+        return LoadUpdateSender(
             instance=self.settings.name,
             incarnation=self._incarnation,
             loads=self._work.loads,
@@ -153,7 +159,7 @@
         return Scheduling(
             record=self.record,
             incarnation=self._incarnation,
-            knowledge=self.knowledge,
+            knowledge=self.fleet_state,
             profiles=self._work.profiles,
             counters=self.counters,
             send=self._heartbeat_socket.send_to,
@@ -161,19 +167,19 @@
             read_time=read_boot_time,
         )
 
-    def _build_exchange(self) -> BeatExchange:
-        return BeatExchange(
+    def _build_exchange(self) -> HeartbeatExchange:
+        return HeartbeatExchange(
             name=self.settings.name,
             peers=self.peers,
-            relays=BeatRelays(record=self.record, peers=self.peers),
-            content=BundleContent(
+            topology=HeartbeatTopology(record=self.record, peers=self.peers),
+            aggregates=HeartbeatAggregation(
                 record=self.record,
-                knowledge=self.knowledge,
+                knowledge=self.fleet_state,
                 read_profiles=self._aggregate_profiles,
             ),
-            make_beat=self._build_heartbeat,
-            take_beat=self._receive_heartbeat,
-            take_bundle=self._receive_aggregated_heartbeat,
+            build_heartbeat=self._build_heartbeat,
+            on_heartbeat=self._receive_heartbeat,
+            on_aggregate=self._receive_aggregated_heartbeat,
             send=self._heartbeat_socket.send,
             read_time=read_boot_time,
         )
@@ -181,7 +187,7 @@
     def _build_reader(self) -> StoreReader:
         return StoreReader(
             store=self._store,
-            fleet_state=self.knowledge,
+            fleet_state=self.fleet_state,
             log=self.log,
             counters=self.counters,
             read_time=read_boot_time,
@@ -197,22 +203,22 @@
             watches=build_table_watches(
                 reader=self._reader,
                 bounds=self._bounds,
-                fleet_state=self.knowledge,
+                fleet_state=self.fleet_state,
                 counters=self.counters,
                 loop_delay=self._loop_delay,
                 random=self._random,
                 read_time=read_boot_time,
             ),
-            fleet_state=self.knowledge,
+            fleet_state=self.fleet_state,
             record=self.record,
             log=self.log,
             read_time=read_boot_time,
             broadcast_heartbeat=self._exchange.announce_to_all,
         )
 
-    def _build_cleanup_loop(self) -> Housekeeper:
-        return Housekeeper(
-            fleet_state=self.knowledge,
+    def _build_cleanup_loop(self) -> CleanupLoop:
+        return CleanupLoop(
+            fleet_state=self.fleet_state,
             work=self._work,
             pool=self._pool,
             reader=self._reader,
@@ -223,17 +229,17 @@
         )
 
     def _build_relayer(self, codec: HeaderCodec) -> Relayer:
-        return make_relayer(
+        return build_relayer(
             settings=self.settings,
             codec=codec,
-            knowledge=self.knowledge,
+            knowledge=self.fleet_state,
             work=self._work,
             bounds=self._bounds,
             reader=self._reader,
             pool=self._pool,
-            notes=self._notes,
+            recorder=self._notes,
             scheduling=self._scheduling,
-            tell_load=self._load_updates.note,
+            publish_load=self._load_updates.record_change,
             random=self._random,
             read_time=read_boot_time,
         )
@@ -243,9 +249,9 @@
         """State of this instance; only a serving one is listed for callers."""
         if self._leaving:
             return InstanceState.LEAVING
-        if self.knowledge.catalog is None or not self.knowledge.endpoints.digest:
+        if self.fleet_state.catalog is None or not self.fleet_state.endpoints.digest:
             return InstanceState.STARTING
-        age_s = self.knowledge.compute_catalog_age(now=read_boot_time())
+        age_s = self.fleet_state.compute_catalog_age(now=read_boot_time())
         return InstanceState.STALE if age_s > self._bounds.keys_s else InstanceState.SERVING
 
     def list_serving(self) -> list[InstanceRecord]:
@@ -261,9 +267,9 @@
     async def run(
         self,
         *,
-        directory: Question,
-        readiness: Question,
-        metrics: Question,
+        directory: QueryHandler,
+        readiness: QueryHandler,
+        metrics: QueryHandler,
     ) -> None:
         """Serve until SIGTERM."""
         settings = self.settings
@@ -294,10 +300,10 @@
         self.log.write("stopped", now=read_boot_time(), in_flight=self._relayer.in_flight)
 
     def _open_listeners(
-        self, directory: Question, readiness: Question, metrics: Question
-    ) -> list[QuestionListener]:
+        self, directory: QueryHandler, readiness: QueryHandler, metrics: QueryHandler
+    ) -> list[QueryListener]:
         settings = self.settings
-        queries: list[tuple[SocketAddress | None, Question]] = [
+        queries: list[tuple[SocketAddress | None, QueryHandler]] = [
             (settings.directory, directory),
             (settings.readiness, readiness),
             (settings.metrics, metrics),
@@ -306,7 +312,7 @@
         for address, query in queries:
             if address is None:
                 continue
-            listener = QuestionListener(questions=[query])
+            listener = QueryListener(handlers=[query])
             listener.listen(address.ip, address.port)
             listeners.append(listener)
         return listeners
@@ -315,7 +321,7 @@
         """Keep serving while callers may still connect, then stop when no request is in flight."""
         requested_at = read_boot_time()
         self._leaving = True
-        self._listener.close_after_answers()
+        self._listener.disable_keep_alive()
         self._exchange.announce_to_all()
         self.log.write("leaving", now=requested_at, in_flight=self._relayer.in_flight)
         addresses_expired_at = requested_at + ADDRESS_CACHE_FACTOR * VALIDITY_S + LEAVE_MARGIN_S
@@ -335,80 +341,80 @@
         except Exception as error:  # noqa: BLE001
             self.log.write("unregister_failed", now=read_boot_time(), who=name, reason=str(error))
 
-    def _build_heartbeat(self) -> Beat:
+    def _build_heartbeat(self) -> Heartbeat:
         """Return this instance's next heartbeat."""
         now = read_boot_time()
         self._apply_limits()
         self._sequence += 1
-        interval_s = compute_beat_interval(self.peers.count_known())
+        interval_s = compute_heartbeat_interval(self.peers.count_known())
         # In large fleets the schedulers track all requests; other instances need no such fields.
-        scheduled = self.peers.relayed
-        return Beat(
+        scheduled = self.peers.aggregated
+        return Heartbeat(
             record=self.record,
             incarnation=self._incarnation,
             sequence=self._sequence,
             state=self.state,
-            store_answers=self._reader.answers,
-            catalog=self.knowledge.catalog_stamp,
-            endpoints=self.knowledge.endpoint_stamp,
+            store_reachable=self._reader.answers,
+            catalog=self.fleet_state.catalog_stamp,
+            endpoints=self.fleet_state.endpoint_stamp,
             loads={} if scheduled else self._work.loads.list_own(),
             demand=NO_DEMAND if scheduled else self._work.demand.read_own(now=now),
-            refusals=[] if scheduled else self._work.refusals.list_own(now=now),
+            rejections=[] if scheduled else self._work.rejections.list_own(now=now),
             profiles=self._work.profiles.list_own(now=now),
             sends=[] if scheduled else self._work.cache.list_recent(now=now, interval_s=interval_s),
         )
 
-    def _send_load_update(self, update: LoadNotice) -> None:
-        data = encode_notice(update)
+    def _send_load_update(self, update: LoadUpdate) -> None:
+        data = encode_load_update(update)
         for peer in self.peers.list_live(now=read_boot_time()):
             self._heartbeat_socket.send(data, peer.record)
 
-    def _receive_message(self, message: Beat | LoadNotice | BeatBundle) -> None:
-        if isinstance(message, Beat):
-            self._exchange.take(message)
-        elif isinstance(message, BeatBundle):
-            self._exchange.take_bundle(message)
-        elif self.peers.is_current(message.instance, message.incarnation):
-            self._work.take_notice(message)
+    def _receive_message(self, message: Heartbeat | LoadUpdate | AggregatedHeartbeat) -> None:
+        if isinstance(message, Heartbeat):
+            self._exchange.receive(message)
+        elif isinstance(message, AggregatedHeartbeat):
+            self._exchange.receive_aggregate(message)
+        elif self.peers.is_current_process(message.instance, message.incarnation):
+            self._work.apply_load_update(message)
 
     def _receive_scheduling(self, message: SchedulingMessage, source: tuple[str, int]) -> None:
-        self._scheduling.take(message, source)
+        self._scheduling.receive(message, source)
 
-    def _publish_catalog(self, snapshot: CatalogReading) -> None:
+    def _publish_catalog(self, snapshot: CatalogSnapshot) -> None:
         """Send a configuration that this instance has read to the other instances."""
         assert snapshot.catalog is not None
-        update = CatalogNews(
+        update = CatalogUpdate(
             domain=self.settings.failure_domain,
             row_version=snapshot.catalog.row_version,
-            reading=snapshot.reading,
+            store_time=snapshot.store_time,
             text=snapshot.text,
         )
-        self._exchange.tell_table(encode_catalog(update))
+        self._exchange.send_table_update(encode_catalog_update(update))
 
-    def _publish_endpoints(self, snapshot: EndpointReading) -> None:
+    def _publish_endpoints(self, snapshot: EndpointSnapshot) -> None:
         """Send an endpoint table that this instance has read to the other instances."""
-        update = EndpointNews(domain=self.settings.failure_domain, reading=snapshot)
-        self._exchange.tell_table(encode_endpoints(update))
+        update = EndpointUpdate(domain=self.settings.failure_domain, snapshot=snapshot)
+        self._exchange.send_table_update(encode_endpoint_update(update))
 
-    def _receive_catalog(self, update: CatalogNews, data: bytes) -> None:
+    def _receive_catalog(self, update: CatalogUpdate, data: bytes) -> None:
         """Apply and forward a configuration that another instance has read."""
         if self._reader.apply_catalog_update(update):
-            self._exchange.forward_table(data, domain=update.domain)
+            self._exchange.forward_table_update(data, domain=update.domain)
 
-    def _receive_endpoints(self, update: EndpointNews, data: bytes) -> None:
+    def _receive_endpoints(self, update: EndpointUpdate, data: bytes) -> None:
         """Apply and forward an endpoint table that another instance has read."""
-        if self._reader.apply_endpoint_snapshot(update.reading, from_peer=True):
-            self._exchange.forward_table(data, domain=update.domain)
+        if self._reader.apply_endpoint_snapshot(update.snapshot, from_peer=True):
+            self._exchange.forward_table_update(data, domain=update.domain)
 
-    def _receive_heartbeat(self, heartbeat: Beat) -> None:
-        self.knowledge.take_proofs(catalog=heartbeat.catalog, endpoints=heartbeat.endpoints)
+    def _receive_heartbeat(self, heartbeat: Heartbeat) -> None:
+        self.fleet_state.apply_stamps(catalog=heartbeat.catalog, endpoints=heartbeat.endpoints)
         self._watch.wake_for_update()
-        self._work.take_beat(heartbeat, now=read_boot_time())
+        self._work.apply_heartbeat(heartbeat, now=read_boot_time())
 
-    def _receive_aggregated_heartbeat(self, heartbeat: BeatBundle) -> None:
-        self.knowledge.take_proofs(catalog=heartbeat.catalog, endpoints=heartbeat.endpoints)
+    def _receive_aggregated_heartbeat(self, heartbeat: AggregatedHeartbeat) -> None:
+        self.fleet_state.apply_stamps(catalog=heartbeat.catalog, endpoints=heartbeat.endpoints)
         self._watch.wake_for_update()
-        self._work.take_bundle(heartbeat)
+        self._work.apply_aggregated_heartbeat(heartbeat)
 
     def _aggregate_profiles(self) -> dict[str, dict[str, ProfileEstimates]]:
         """Return the engine profiles, aggregated by failure domain."""
@@ -416,10 +422,10 @@
         now = read_boot_time()
         live = self.peers.list_live(now=now)
         names = [peer.record.name for peer in live if peer.record.failure_domain == own]
-        return self._work.sum_up_profiles(own, names, now=now)
+        return self._work.aggregate_profiles(own, names, now=now)
 
     def _apply_limits(self) -> None:
-        catalog = self.knowledge.catalog
+        catalog = self.fleet_state.catalog
         if catalog is not None and self._listener.limits is not catalog.limits:
             self._listener.set_limits(catalog.limits)
 
--- a/src/guavamast/relay/placing.py
+++ b/src/guavamast/relay/placer.py
@@ -6,11 +6,11 @@
 from dataclasses import dataclass
 from typing import TYPE_CHECKING, Final
 
-from guavamast.relay.admission import ComeBack, WaitTerms
+from guavamast.relay.admission import Rejection, WaitParameters
 from guavamast.relay.admission_control import AdmissionControl
 from guavamast.relay.endpoint_choice import Choice
 from guavamast.relay.endpoint_load import Load
-from guavamast.relay.engine_model import LATE_LIMIT, RECENT_LIMIT, Forecast
+from guavamast.relay.engine_forecast import FRESH_LOADS_LIMIT, STALE_LOADS_LIMIT, Forecast
 from guavamast.relay.placement import Placement
 from guavamast.relay.scheduling_messages import PlacedWork, PlacementQuery, Verdict, WorkPhase
 
@@ -22,10 +22,10 @@
     from guavamast.relay.endpoint_groups import EndpointGroups
     from guavamast.relay.endpoint_load import EndpointLoads
     from guavamast.relay.engine_profile import EngineProfiles
-    from guavamast.relay.fleet_knowledge import FleetKnowledge
+    from guavamast.relay.fleet_state import FleetState
+    from guavamast.relay.length_buckets import PromptDemand
     from guavamast.relay.messages import CallerRequest
-    from guavamast.relay.prompt_lanes import PromptDemand
-    from guavamast.relay.refusal_history import RefusalHistory
+    from guavamast.relay.rejection_history import RejectionHistory
     from guavamast.relay.request_progress import RequestProgress
     from guavamast.relay.scheduling_client import PlacedRequest, ScheduledReply, SchedulingClient
     from guavamast.relay.scheduling_messages import PlacementReply
@@ -38,16 +38,16 @@
 
 
 @dataclass(frozen=True, slots=True, kw_only=True)
-class Placed:
+class PlacementDecision:
     """Decision on a request."""
 
     choice: Choice | None
     """Endpoint; None if there is none."""
-    later: ComeBack | None = None
+    rejection: Rejection | None = None
     """Rejection with the retry delay, if no endpoint has capacity in time."""
     work: PlacedRequest | None = None
     """Handle that reports progress to the scheduler; None where no scheduler is involved."""
-    scheduled: ScheduledReply | None = None
+    scheduler_reply: ScheduledReply | None = None
     """Reply of the scheduler that decided, which knows all work there."""
 
 
@@ -55,11 +55,11 @@
     """Selects endpoints for requests."""
 
     @abstractmethod
-    async def place(self, request: CallerRequest, progress: RequestProgress) -> Placed:
+    async def place(self, request: CallerRequest, progress: RequestProgress) -> PlacementDecision:
         """Return the next endpoint for a request, or its rejection."""
 
 
-class OwnPlacer(Placer):
+class LocalPlacer(Placer):
     """Places requests by this instance's own state, without a scheduler.
 
     Args:
@@ -67,7 +67,7 @@
         chooser: Selects endpoints.
         demand: Work requested in each length bucket.
         profiles: Speed of the engines.
-        refusals: Recently rejected requests.
+        rejections: Recently rejected requests.
         random: Spreads retry delays.
         read_time: Local clock.
     """
@@ -77,11 +77,11 @@
     def __init__(
         self,
         *,
-        knowledge: FleetKnowledge,
+        knowledge: FleetState,
         chooser: EndpointChooser,
         demand: PromptDemand,
         profiles: EngineProfiles,
-        refusals: RefusalHistory,
+        rejections: RejectionHistory,
         random: Random,
         read_time: Callable[[], float],
     ) -> None:
@@ -89,36 +89,36 @@
         self._chooser = chooser
         self._demand = demand
         self._profiles = profiles
-        self._admission = AdmissionControl(history=refusals, random=random)
+        self._admission = AdmissionControl(history=rejections, random=random)
         self._read_time = read_time
 
-    async def place(self, request: CallerRequest, progress: RequestProgress) -> Placed:
+    async def place(self, request: CallerRequest, progress: RequestProgress) -> PlacementDecision:
         """Return the endpoint with the least cost, or a rejection."""
         return self.decide(request, progress)
 
-    def decide(self, request: CallerRequest, progress: RequestProgress) -> Placed:
+    def decide(self, request: CallerRequest, progress: RequestProgress) -> PlacementDecision:
         """Return the endpoint with the least cost, or a rejection."""
         now = self._read_time()
-        wait_parameters = WaitTerms(
+        wait_parameters = WaitParameters(
             objective_s=progress.admitted.route.objective_s,
-            patient=progress.patient,
-            first=progress.first,
-            old_news=self._knowledge.peers.relayed,
+            latency_tolerant=progress.latency_tolerant,
+            most_urgent=progress.most_urgent,
+            loads_stale=self._knowledge.peers.aggregated,
         )
         choice = self._chooser.choose(
             self._build_placement(request, progress, now=now),
             self._knowledge.endpoints.list_ready(progress.service),
             exclude=progress.tried,
             now=now,
-            has_room=self._admission.find_filter(
+            has_room=self._admission.create_room_filter(
                 wait_parameters,
                 service=progress.service,
                 urgency=progress.admitted.urgency,
                 now=now,
             ),
         )
-        if choice is None or progress.sent > 0 or choice.forecast is None:
-            return Placed(choice=choice)
+        if choice is None or progress.sends > 0 or choice.forecast is None:
+            return PlacementDecision(choice=choice)
         rejection = self._admission.admit(
             choice.forecast,
             wait_parameters,
@@ -126,7 +126,7 @@
             urgency=progress.admitted.urgency,
             now=now,
         )
-        return Placed(choice=choice, later=rejection)
+        return PlacementDecision(choice=choice, rejection=rejection)
 
     def _build_placement(
         self, request: CallerRequest, progress: RequestProgress, *, now: float
@@ -135,16 +135,16 @@
             prompt_parts=request.prompt_parts,
             prompt_tokens=request.prompt_tokens,
             failure_domain=self._knowledge.failure_domain,
-            lane=progress.lane,
-            lane_shares=self._demand.compute_shares(),
+            bucket=progress.bucket,
+            bucket_shares=self._demand.compute_shares(),
             output_tokens=request.output_tokens,
-            memory_tokens=self._knowledge.find_memory(progress.service),
+            kv_capacity_tokens=self._knowledge.find_kv_capacity_tokens(progress.service),
             profile=self._profiles.find(progress.service, now=now),
             objective_s=progress.admitted.route.objective_s,
-            delicate=progress.delicate,
+            pause_sensitive=progress.pause_sensitive,
             shortest_pause_s=self._knowledge.find_shortest_pause(progress.service),
-            memory_limit=LATE_LIMIT if self._knowledge.peers.relayed else RECENT_LIMIT,
-            loads_late=self._knowledge.peers.relayed,
+            kv_limit=STALE_LOADS_LIMIT if self._knowledge.peers.aggregated else FRESH_LOADS_LIMIT,
+            loads_stale=self._knowledge.peers.aggregated,
         )
 
 
@@ -155,7 +155,7 @@
     request is then placed by this instance's own state and reported to the scheduler.
 
     Args:
-        own: Places requests without a scheduler.
+        local_placer: Places requests without a scheduler.
         client: Queries schedulers.
         groups: Endpoints of each group.
         knowledge: Endpoints and other instances.
@@ -168,25 +168,25 @@
     def __init__(
         self,
         *,
-        own: OwnPlacer,
+        local_placer: LocalPlacer,
         client: SchedulingClient,
         groups: EndpointGroups,
-        knowledge: FleetKnowledge,
+        knowledge: FleetState,
         loads: EndpointLoads,
         read_time: Callable[[], float],
     ) -> None:
-        self._local_placer = own
+        self._local_placer = local_placer
         self._client = client
         self._groups = groups
         self._knowledge = knowledge
         self._loads = loads
         self._read_time = read_time
 
-    async def place(self, request: CallerRequest, progress: RequestProgress) -> Placed:
+    async def place(self, request: CallerRequest, progress: RequestProgress) -> PlacementDecision:
         """Return the next endpoint for a request, or its rejection."""
-        if not self._knowledge.peers.relayed:
+        if not self._knowledge.peers.aggregated:
             return self._local_placer.decide(request, progress)
-        rejected: Placed | None = None
+        rejected: PlacementDecision | None = None
         key = request.shared_part or request.request_id
         for group in self._groups.rank(progress.service, key)[:MAX_GROUPS]:
             query = self._build_query(request, progress, group)
@@ -198,7 +198,7 @@
             )
             if placed is None:
                 return self._decide_locally(request, progress)
-            if placed.later is None:
+            if placed.rejection is None:
                 return placed
             rejected = _select_earlier_retry(rejected, placed)
         return rejected or self._decide_locally(request, progress)
@@ -207,31 +207,31 @@
         self, request: CallerRequest, progress: RequestProgress, group: str
     ) -> PlacementQuery:
         return PlacementQuery(
-            asker=self._client.asker,
+            requester=self._client.requester,
             number=self._client.next_number(),
             group=group,
             service=progress.service,
             prompt_parts=request.prompt_parts,
             prompt_tokens=request.prompt_tokens,
             output_tokens=request.output_tokens,
-            lane=progress.lane,
+            bucket=progress.bucket,
             objective_s=progress.admitted.route.objective_s,
-            delicate=progress.delicate,
-            patient=progress.patient,
-            first=progress.first,
+            pause_sensitive=progress.pause_sensitive,
+            latency_tolerant=progress.latency_tolerant,
+            most_urgent=progress.most_urgent,
             urgency=progress.admitted.urgency,
             failure_domain=self._knowledge.failure_domain,
             excluded=self._list_excluded(progress),
-            refusable=progress.sent == 0,
+            rejectable=progress.sends == 0,
         )
 
     def _list_excluded(self, progress: RequestProgress) -> tuple[str, ...]:
-        failing = self._loads.list_failing(least=FAILURE_THRESHOLD, now=self._read_time())
+        failing = self._loads.list_failing(min_failures=FAILURE_THRESHOLD, now=self._read_time())
         return tuple(progress.tried.union(failing))
 
     def _apply_reply(
         self, request: CallerRequest, query: PlacementQuery, scheduled_reply: ScheduledReply
-    ) -> Placed | None:
+    ) -> PlacementDecision | None:
         """Return the decision in a reply; None if it names no usable endpoint."""
         reply = scheduled_reply.reply
         record = self._knowledge.endpoints.find(reply.endpoint_id)
@@ -242,35 +242,43 @@
         choice = Choice(
             record=record,
             forecast=_build_forecast(query, reply),
-            unread_tokens=reply.uncached_tokens,
-            own_lane=reply.own_bucket,
+            uncached_tokens=reply.uncached_tokens,
+            own_bucket=reply.own_bucket,
             load=Load(
                 requests=reply.endpoint_requests, prefill_tokens=reply.endpoint_prefill_tokens
             ),
         )
         if reply.verdict is Verdict.REFUSED:
-            rejection = ComeBack(retry_after_s=reply.retry_after_s)
-            return Placed(choice=choice, later=rejection, scheduled=scheduled_reply)
-        work = _build_work(request, choice, number=query.number, pause_sensitive=query.delicate)
+            rejection = Rejection(retry_after_s=reply.retry_after_s)
+            return PlacementDecision(
+                choice=choice, rejection=rejection, scheduler_reply=scheduled_reply
+            )
+        work = _build_work(
+            request, choice, number=query.number, pause_sensitive=query.pause_sensitive
+        )
         tracked = self._client.track(query.group, work, granted=True)
-        return Placed(choice=choice, work=tracked, scheduled=scheduled_reply)
+        return PlacementDecision(choice=choice, work=tracked, scheduler_reply=scheduled_reply)
 
-    def _decide_locally(self, request: CallerRequest, progress: RequestProgress) -> Placed:
+    def _decide_locally(
+        self, request: CallerRequest, progress: RequestProgress
+    ) -> PlacementDecision:
         placed = self._local_placer.decide(request, progress)
-        if placed.choice is None or placed.later is not None:
+        if placed.choice is None or placed.rejection is not None:
             return placed
         number = self._client.next_number()
-        work = _build_work(request, placed.choice, number=number, pause_sensitive=progress.delicate)
+        work = _build_work(
+            request, placed.choice, number=number, pause_sensitive=progress.pause_sensitive
+        )
         group = self._groups.find_group(placed.choice.record)
         tracked = self._client.track(group, work, granted=False)
-        return Placed(choice=placed.choice, work=tracked)
+        return PlacementDecision(choice=placed.choice, work=tracked)
 
 
 def _build_forecast(query: PlacementQuery, reply: PlacementReply) -> Forecast | None:
     if query.prompt_tokens == 0:
         return None
     return Forecast(
-        start_ms=reply.start_ms, waiting_ms=reply.waiting_ms, reading_ms=reply.prefill_ms
+        start_ms=reply.start_ms, waiting_ms=reply.waiting_ms, prefill_ms=reply.prefill_ms
     )
 
 
@@ -282,15 +290,17 @@
         endpoint_id=choice.record.endpoint_id,
         phase=WorkPhase.WAITING,
         shared_part=request.shared_part,
-        uncached_tokens=choice.unread_tokens,
+        uncached_tokens=choice.uncached_tokens,
         kv_tokens=request.prompt_tokens + request.output_tokens,
         # On an endpoint of another length bucket it is late anyway; long prompts need not avoid it.
-        pause_sensitive=pause_sensitive and choice.own_lane,
+        pause_sensitive=pause_sensitive and choice.own_bucket,
     )
 
 
-def _select_earlier_retry(one: Placed | None, other: Placed) -> Placed:
+def _select_earlier_retry(
+    one: PlacementDecision | None, other: PlacementDecision
+) -> PlacementDecision:
     """Return the rejection with the shorter retry delay."""
-    if one is None or one.later is None or other.later is None:
+    if one is None or one.rejection is None or other.rejection is None:
         return other
-    return one if one.later.retry_after_s <= other.later.retry_after_s else other
+    return one if one.rejection.retry_after_s <= other.rejection.retry_after_s else other
--- a/src/guavamast/relay/scheduler_host.py
+++ b/src/guavamast/relay/scheduler_host.py
@@ -4,7 +4,7 @@
 
 from typing import TYPE_CHECKING
 
-from guavamast.relay.scheduler import GroupScheduler, ServiceFacts
+from guavamast.relay.scheduler import GroupScheduler, ServiceParameters
 from guavamast.relay.scheduling_messages import PlacementReply, Verdict
 
 if TYPE_CHECKING:
@@ -13,7 +13,7 @@
     from guavamast.relay.counters import Counters
     from guavamast.relay.endpoint_groups import EndpointGroups
     from guavamast.relay.engine_profile import EngineProfiles
-    from guavamast.relay.fleet_knowledge import FleetKnowledge
+    from guavamast.relay.fleet_state import FleetState
     from guavamast.relay.scheduling_messages import PlacementQuery, WorkReport, WorkUpdate
 
 
@@ -37,7 +37,7 @@
     def __init__(
         self,
         *,
-        knowledge: FleetKnowledge,
+        knowledge: FleetState,
         groups: EndpointGroups,
         profiles: EngineProfiles,
         counters: Counters,
@@ -55,9 +55,9 @@
         candidates = self._groups.list_members(query.service, query.group)
         if not candidates:
             return PlacementReply(number=query.number, verdict=Verdict.UNKNOWN)
-        facts = ServiceFacts(
+        facts = ServiceParameters(
             profile=self._profiles.find(query.service, now=now),
-            memory_tokens=self._knowledge.find_memory(query.service),
+            kv_capacity_tokens=self._knowledge.find_kv_capacity_tokens(query.service),
             shortest_pause_s=self._knowledge.find_shortest_pause(query.service),
         )
         scheduler = self._get_or_create(query.group, now=now)
@@ -70,12 +70,12 @@
         scheduler = self._schedulers.get(update.group)
         if scheduler is None:
             return
-        ended = scheduler.work.take_update(update, now=now)
+        ended = scheduler.work.apply_update(update, now=now)
         record = self._knowledge.endpoints.find(ended.endpoint_id) if ended is not None else None
         if ended is not None and record is not None:
             self._profiles.record_pause(
                 record.service,
-                unread_tokens=ended.max_prefill_tokens,
+                uncached_tokens=ended.max_prefill_tokens,
                 pause_ms=ended.longest_pause_s * 1000.0,
                 now=now,
             )
@@ -100,8 +100,8 @@
             dropped = scheduler.work.drop_expired(now=now)
             if dropped:
                 self._counters.add("grants_dropped_total", dropped)
-            scheduler.work.cache.keep_only(endpoint_ids)
-            scheduler.work.loads.keep_only(endpoint_ids)
+            scheduler.work.cache.retain(endpoint_ids)
+            scheduler.work.loads.retain(endpoint_ids)
             if scheduler.work.is_idle(now=now):
                 del self._schedulers[name]
         grants = sum(scheduler.work.count() for scheduler in self._schedulers.values())
--- a/src/guavamast/routes.py
+++ b/src/guavamast/routes.py
@@ -1,4 +1,4 @@
-"""The routes of an entry's HTTP listener."""
+"""Routes of an entry's HTTP listener."""
 
 from __future__ import annotations
 
@@ -19,8 +19,8 @@
     from guavamast.callers import CallerServices
 
 
-def make_caller_routes(services: CallerServices) -> list[tuple[str, type, dict[str, Any]]]:
-    """Return the routes of this module."""
+def build_caller_routes(services: CallerServices) -> list[tuple[str, type, dict[str, Any]]]:
+    """Return the callers' routes for chats, addresses, models and health."""
     arguments = {"services": services}
     return [
         ("/v1/chat/completions", ChatHandler, arguments),
@@ -31,8 +31,8 @@
     ]
 
 
-def make_application(routes: list[Any], services: CallerServices) -> Application:
-    """Return the application of all routes, unknown paths answered as coded errors."""
+def build_application(routes: list[Any], services: CallerServices) -> Application:
+    """Return an application with these routes; unknown paths get an error with a code."""
     return Application(
         routes,
         default_handler_class=UnknownPathHandler,
--- a/tests/burst_world.py
+++ b/tests/burst_simulation.py
@@ -9,23 +9,23 @@
 from typing import TYPE_CHECKING
 
 from guavamast.relay.caller_gate import Admitted
-from guavamast.relay.catalog import Catalog, Route, RouteKind, ServiceRule, WeightedService
+from guavamast.relay.catalog import Catalog, Route, RouteKind, ServiceSettings, WeightedService
 from guavamast.relay.endpoint_choice import EndpointChooser
 from guavamast.relay.endpoint_load import EndpointLoads, Work
 from guavamast.relay.engine_profile import EngineProfiles, Estimate, ProfileEstimates
-from guavamast.relay.fleet_knowledge import FleetKnowledge
+from guavamast.relay.fleet_state import FleetState
 from guavamast.relay.freshness import StoreClock
+from guavamast.relay.length_buckets import PromptDemand, find_bucket, is_latency_tolerant
 from guavamast.relay.peers import Peers
-from guavamast.relay.placing import OwnPlacer
+from guavamast.relay.placer import LocalPlacer
 from guavamast.relay.prompt_cache import PromptCache
-from guavamast.relay.prompt_lanes import PromptDemand, find_lane, is_patient
-from guavamast.relay.refusal_history import RefusalHistory
+from guavamast.relay.rejection_history import RejectionHistory
 from guavamast.relay.request_progress import begin_progress
-from guavamast.relay.scheduler import LEARNING_S, GroupScheduler, ServiceFacts
+from guavamast.relay.scheduler import LEARNING_S, GroupScheduler, ServiceParameters
 from guavamast.relay.scheduling_messages import PlacementQuery, Verdict, WorkPhase, WorkUpdate
-from guavamast.relay.store import CatalogReading, EndpointReading
-from tests.relay_facts import LIMITS, PROFILE, make_endpoint, make_request, make_route
-from tests.scheduling_world import GROUP, POOL, make_query
+from guavamast.relay.store import CatalogSnapshot, EndpointSnapshot
+from tests.relay_fixtures import LIMITS, PROFILE, build_endpoint, build_request, build_route
+from tests.scheduling_simulation import GROUP, POOL, make_query
 
 if TYPE_CHECKING:
     from guavamast.relay.endpoint_table import EndpointRecord
@@ -34,7 +34,7 @@
 SLOTS = 16
 MEMORY_TOKENS = 600_000
 OUTPUT_TOKENS = 100
-FACTS = ServiceFacts(profile=PROFILE, memory_tokens=MEMORY_TOKENS, shortest_pause_s=0.6)
+FACTS = ServiceParameters(profile=PROFILE, kv_capacity_tokens=MEMORY_TOKENS, shortest_pause_s=0.6)
 BEGIN_S = LEARNING_S + 1.0
 INSTANCES = 6
 HEARTBEAT_INTERVAL_S = 0.25
@@ -145,15 +145,15 @@
             prompt_parts=(),
             prompt_tokens=kind.prompt_tokens,
             output_tokens=OUTPUT_TOKENS,
-            lane=find_lane(
+            bucket=find_bucket(
                 kind.prompt_tokens,
                 objective_s=kind.objective_s,
                 shortest_s=self.shortest_s,
                 profile=PROFILE,
             ),
             objective_s=kind.objective_s,
-            patient=is_patient(kind.objective_s, shortest_s=self.shortest_s),
-            first=kind.urgency == 0,
+            latency_tolerant=is_latency_tolerant(kind.objective_s, shortest_s=self.shortest_s),
+            most_urgent=kind.urgency == 0,
             urgency=kind.urgency,
         )
 
@@ -165,16 +165,16 @@
 
     def report(self, event: Event) -> None:
         assert event.phase is not None
-        asker = self.make_query(event).asker
-        update = WorkUpdate(asker=asker, group=GROUP, number=event.number, phase=event.phase)
-        self.scheduler.work.take_update(update, now=event.due)
+        asker = self.make_query(event).requester
+        update = WorkUpdate(requester=asker, group=GROUP, number=event.number, phase=event.phase)
+        self.scheduler.work.apply_update(update, now=event.due)
 
 
 def make_catalog(kinds: list[Kind]) -> Catalog:
     """Return a configuration with a route for each kind."""
     service = WeightedService(service=POOL, weight=1.0)
     routes = [
-        make_route(
+        build_route(
             name=kind.name,
             path_prefix=f"/{kind.urgency}/",
             kind=RouteKind.STREAM,
@@ -186,8 +186,8 @@
         )
         for kind in kinds
     ]
-    rule = ServiceRule(
-        name=POOL, health_path="/", max_connections=100, prompt_cache_tokens=MEMORY_TOKENS
+    rule = ServiceSettings(
+        name=POOL, health_path="/", max_connections=100, kv_capacity_tokens=MEMORY_TOKENS
     )
     return Catalog(
         version=1, row_version=1, routes=routes, services=[rule], organisations=None, limits=LIMITS
@@ -201,7 +201,7 @@
         for name in ProfileEstimates.__dataclass_fields__
     }
     profiles = EngineProfiles()
-    profiles.take_peer("all", {POOL: ProfileEstimates(**estimates)})
+    profiles.replace_peer("all", {POOL: ProfileEstimates(**estimates)})
     return profiles
 
 
@@ -213,24 +213,26 @@
         self.random = Random(seed)
         self.loads = EndpointLoads()
         self.works: dict[int, Work] = {}
-        self.knowledge = FleetKnowledge(
+        self.knowledge = FleetState(
             failure_domain="a", peers=Peers(own_name="i0"), clock=StoreClock()
         )
-        self.knowledge.take_catalog(CatalogReading(catalog=make_catalog(kinds), reading=1.0))
-        self.knowledge.take_endpoints(EndpointReading(records=records, digest="d", reading=1.0))
+        self.knowledge.apply_catalog(CatalogSnapshot(catalog=make_catalog(kinds), store_time=1.0))
+        self.knowledge.apply_endpoints(
+            EndpointSnapshot(records=records, digest="d", store_time=1.0)
+        )
         self.profiles = build_profiles()
         self.demand = PromptDemand()
-        self.rejections = [RefusalHistory() for _ in range(INSTANCES)]
+        self.rejections = [RejectionHistory() for _ in range(INSTANCES)]
         self.last_exchange = 0.0
         self.placers = [self.build_placer(history, seed=seed) for history in self.rejections]
 
-    def build_placer(self, history: RefusalHistory, *, seed: int) -> OwnPlacer:
-        return OwnPlacer(
+    def build_placer(self, history: RejectionHistory, *, seed: int) -> LocalPlacer:
+        return LocalPlacer(
             knowledge=self.knowledge,
             chooser=EndpointChooser(loads=self.loads, cache=PromptCache(), random=Random(seed)),
             demand=self.demand,
             profiles=self.profiles,
-            refusals=history,
+            rejections=history,
             random=Random(seed),
             read_time=lambda: self.now,
         )
@@ -246,11 +248,11 @@
         self.exchange_heartbeats()
         kind = event.kind
         assert self.knowledge.catalog is not None
-        request = make_request(
+        request = build_request(
             request_id=str(event.number),
             prompt_tokens=kind.prompt_tokens,
             output_tokens=OUTPUT_TOKENS,
-            arrived=self.now,
+            received_at=self.now,
         )
         route = self.find_route(kind)
         progress = begin_progress(
@@ -262,19 +264,19 @@
                 urgency=kind.urgency,
             ),
             service=POOL,
-            shortest_s=self.knowledge.find_shortest_objective(POOL),
+            shortest_objective_s=self.knowledge.find_shortest_objective(POOL),
             profile=PROFILE,
-            first=kind.urgency == 0,
+            most_urgent=kind.urgency == 0,
         )
         placed = self.random.choice(self.placers).decide(request, progress)
         assert placed.choice is not None
-        if placed.later is not None:
-            return Decision(retry_after_s=placed.later.retry_after_s)
+        if placed.rejection is not None:
+            return Decision(retry_after_s=placed.rejection.retry_after_s)
         endpoint_id = placed.choice.record.endpoint_id
         self.works[event.number] = self.loads.begin(
             endpoint_id,
             prefill_tokens=kind.prompt_tokens,
-            memory_tokens=kind.prompt_tokens + OUTPUT_TOKENS,
+            kv_tokens=kind.prompt_tokens + OUTPUT_TOKENS,
         )
         return Decision(endpoint_id=endpoint_id)
 
@@ -286,7 +288,7 @@
             for number, sender in enumerate(self.rejections):
                 if sender is not receiver:
                     counts = sender.list_own(now=self.now)
-                    receiver.take_peer(f"i{number}", counts, now=self.now)
+                    receiver.replace_peer(f"i{number}", counts, now=self.now)
 
     def report(self, event: Event) -> None:
         if event.phase is WorkPhase.ENDED:
@@ -303,7 +305,7 @@
     ) -> None:
         self.random = Random(seed)
         records = [
-            make_endpoint(f"e{number}", service=POOL, slots=SLOTS) for number in range(ENGINES)
+            build_endpoint(f"e{number}", service=POOL, slots=SLOTS) for number in range(ENGINES)
         ]
         self.decider: Decider = (
             LocalDecider(records, kinds, seed=seed)
--- a/tests/relay_facts.py
+++ b/tests/relay_fixtures.py
@@ -33,7 +33,7 @@
 """Engine performance measured on a day of heavy load, with 64 concurrent requests."""
 
 
-def make_route(**changes: Any) -> Route:
+def build_route(**changes: Any) -> Route:
     """Return a route of a plain idempotent service, with changes."""
     values: dict[str, Any] = {
         "name": "status",
@@ -52,20 +52,20 @@
     return Route(**(values | changes))
 
 
-def make_catalog(*routes: Route, row_version: int = 5) -> Catalog:
+def build_catalog(*routes: Route, row_version: int = 5) -> Catalog:
     """Return a configuration with one organisation whose key is ``good``."""
     return Catalog(
         version=row_version * 10,
         row_version=row_version,
-        routes=list(routes) or [make_route()],
+        routes=list(routes) or [build_route()],
         services=[],
         organisations={"good": CallerOrganisation(name="bakery", urgency=None)},
         limits=LIMITS,
     )
 
 
-def make_request(**changes: Any) -> CallerRequest:
-    """Return a request to the route of `make_route`, with changes."""
+def build_request(**changes: Any) -> CallerRequest:
+    """Return a request to the route of `build_route`, with changes."""
     values: dict[str, Any] = {
         "request_id": "r1",
         "method": "GET",
@@ -75,16 +75,16 @@
         "body": b"",
         "has_body": False,
         "api_key": "good",
-        "patience_s": 1.5,
+        "timeout_s": 1.5,
         "prompt_parts": (),
         "prompt_tokens": 0,
         "output_tokens": 0,
-        "arrived": 100.0,
+        "received_at": 100.0,
     }
     return CallerRequest(**(values | changes))
 
 
-def make_endpoint(name: str, **changes: Any) -> EndpointRecord:
+def build_endpoint(name: str, **changes: Any) -> EndpointRecord:
     """Return a ready endpoint, with changes."""
     values: dict[str, Any] = {
         "endpoint_id": name,
@@ -95,11 +95,11 @@
         "failure_domain": "a",
         "slots": 6,
         "ready": True,
-        "born_ms": 1,
+        "started_ms": 1,
     }
     return EndpointRecord(**(values | changes))
 
 
-def make_parts(*entries: tuple[str, int]) -> tuple[PromptPart, ...]:
+def build_parts(*entries: tuple[str, int]) -> tuple[PromptPart, ...]:
     """Return prompt parts from ids and tokens."""
     return tuple(PromptPart(part_id=part_id, tokens=tokens) for part_id, tokens in entries)
--- a/tests/scheduling_world.py
+++ b/tests/scheduling_simulation.py
@@ -6,20 +6,20 @@
 from random import Random
 from typing import TYPE_CHECKING, Any
 
-from guavamast.relay.beats import Beat, InstanceState
-from guavamast.relay.catalog import Catalog, RouteKind, ServiceRule, WeightedService
+from guavamast.relay.catalog import Catalog, RouteKind, ServiceSettings, WeightedService
 from guavamast.relay.counters import Counters
 from guavamast.relay.engine_profile import EngineProfiles
-from guavamast.relay.fleet_knowledge import FleetKnowledge
+from guavamast.relay.fleet_state import FleetState
 from guavamast.relay.freshness import StoreClock
+from guavamast.relay.heartbeat_messages import Heartbeat, InstanceState
+from guavamast.relay.length_buckets import NO_DEMAND
 from guavamast.relay.messages import PromptPart
 from guavamast.relay.peers import FULL_MESH_INSTANCES, Peers
-from guavamast.relay.prompt_lanes import NO_DEMAND
 from guavamast.relay.scheduling import Scheduling
-from guavamast.relay.scheduling_messages import Asker, PlacementQuery
+from guavamast.relay.scheduling_messages import PlacementQuery, Requester
 from guavamast.relay.scheduling_wire import decode_scheduling
-from guavamast.relay.store import CatalogReading, EndpointReading, InstanceRecord
-from tests.relay_facts import LIMITS, make_endpoint, make_route
+from guavamast.relay.store import CatalogSnapshot, EndpointSnapshot, InstanceRecord
+from tests.relay_fixtures import LIMITS, build_endpoint, build_route
 
 if TYPE_CHECKING:
     from guavamast.relay.endpoint_table import EndpointRecord
@@ -34,7 +34,7 @@
 
 def make_pool_catalog() -> Catalog:
     """Return a configuration with one streaming route to a pool of engines."""
-    route = make_route(
+    route = build_route(
         name="answers",
         path_prefix="/answers/",
         kind=RouteKind.STREAM,
@@ -43,8 +43,8 @@
         timeout_s=10.0,
         longest_pause_s=0.6,
     )
-    rule = ServiceRule(
-        name=POOL, health_path="/", max_connections=100, prompt_cache_tokens=KV_CAPACITY_TOKENS
+    rule = ServiceSettings(
+        name=POOL, health_path="/", max_connections=100, kv_capacity_tokens=KV_CAPACITY_TOKENS
     )
     return Catalog(
         version=1,
@@ -56,25 +56,25 @@
     )
 
 
-def make_query(number: int, *, asker: str = "i1", **changes: Any) -> PlacementQuery:
+def make_query(number: int, *, requester: str = "i1", **changes: Any) -> PlacementQuery:
     """Return a query for a short prompt; keyword arguments replace its fields."""
     values: dict[str, Any] = {
-        "asker": Asker(instance=asker, incarnation=1),
+        "requester": Requester(instance=requester, incarnation=1),
         "number": number,
         "group": GROUP,
         "service": POOL,
         "prompt_parts": PROMPT_PARTS,
         "prompt_tokens": 1_000,
         "output_tokens": 200,
-        "lane": 0,
+        "bucket": 0,
         "objective_s": 0.3,
-        "delicate": False,
-        "patient": False,
-        "first": True,
+        "pause_sensitive": False,
+        "latency_tolerant": False,
+        "most_urgent": True,
         "urgency": 0,
         "failure_domain": "a",
         "excluded": (),
-        "refusable": True,
+        "rejectable": True,
     }
     return PlacementQuery(**(values | changes))
 
@@ -93,8 +93,8 @@
             processor_share=2.0 if number < 20 else 0.5,
         )
         self.peers = Peers(own_name=self.record.name)
-        self.knowledge = FleetKnowledge(failure_domain="a", peers=self.peers, clock=StoreClock())
-        self.knowledge.take_catalog(CatalogReading(catalog=make_pool_catalog(), reading=1.0))
+        self.knowledge = FleetState(failure_domain="a", peers=self.peers, clock=StoreClock())
+        self.knowledge.apply_catalog(CatalogSnapshot(catalog=make_pool_catalog(), store_time=1.0))
         self.profiles = EngineProfiles()
         self.counters = Counters()
         self.scheduling = Scheduling(
@@ -110,8 +110,8 @@
 
     def apply_endpoints(self, records: list[EndpointRecord], *, reading: float) -> None:
         """Apply a table of engines."""
-        self.knowledge.take_endpoints(
-            EndpointReading(records=records, digest=f"d{reading}", reading=reading)
+        self.knowledge.apply_endpoints(
+            EndpointSnapshot(records=records, digest=f"d{reading}", store_time=reading)
         )
 
 
@@ -130,7 +130,7 @@
         }
         self._names = {one.record.ip: name for name, one in self.instances.items()}
         self.engines = [
-            make_endpoint(f"e{number}", service=POOL, slots=8) for number in range(engines)
+            build_endpoint(f"e{number}", service=POOL, slots=8) for number in range(engines)
         ]
         for instance in self.instances.values():
             instance.apply_endpoints(self.engines, reading=1.0)
@@ -141,7 +141,7 @@
         for instance in self.instances.values():
             for other in self.instances.values():
                 if other.record.name not in self.silent:
-                    instance.peers.take(self._build_heartbeat(other), now=self.now)
+                    instance.peers.receive(self._build_heartbeat(other), now=self.now)
 
     def send(self, sender: InstanceRecord, data: bytes, address: tuple[str, int]) -> None:
         """Deliver a datagram in the next loop iteration."""
@@ -156,7 +156,7 @@
             held.append((message, source))
             return
         scheduling = self.instances[receiver].scheduling
-        asyncio.get_running_loop().call_soon(scheduling.take, message, source)
+        asyncio.get_running_loop().call_soon(scheduling.receive, message, source)
 
     def pause(self, name: str) -> None:
         """Pause an instance; datagrams to it wait in its socket."""
@@ -165,25 +165,25 @@
     def resume(self, name: str) -> None:
         """Resume an instance; it receives the datagrams that arrived meanwhile."""
         for message, source in self._held_messages.pop(name):
-            self.instances[name].scheduling.take(message, source)
+            self.instances[name].scheduling.receive(message, source)
 
     def find_scheduler(self, requester: str, group: str = GROUP) -> str:
         """Return the name of the instance that a requester selects as the scheduler of a group."""
         directory = self.instances[requester].scheduling.client.directory
         return directory.select(group, now=self.now).name
 
-    def _build_heartbeat(self, instance: SimulatedInstance) -> Beat:
-        return Beat(
+    def _build_heartbeat(self, instance: SimulatedInstance) -> Heartbeat:
+        return Heartbeat(
             record=instance.record,
             incarnation=1,
             sequence=int(self.now * 1000),
             state=InstanceState.SERVING,
-            store_answers=True,
+            store_reachable=True,
             catalog=None,
             endpoints=None,
             loads={},
             demand=NO_DEMAND,
-            refusals=[],
+            rejections=[],
             profiles={},
             sends=[],
         )
--- a/tests/test_entry.py
+++ b/tests/test_entry.py
@@ -8,22 +8,22 @@
 import unittest
 from pathlib import Path
 
-from guavamast.demo import confirm_text
+from guavamast.demo import apply_configuration
 from guavamast.entry import Entry
 from guavamast.entry_state import EntryState
+from guavamast.fleet_objects import Configuration, FailureDomain, Instance
 from guavamast.local_fleet import LocalFleet, reserve_ports, write_instance_settings
 from guavamast.placement import EndpointChooser
-from guavamast.world import Configuration, FailureDomain, Instance
-from tests._callers import Caller, expect_answer
+from tests._callers import Caller, build_expected_response
 from tests._waits import wait_until
 
 
 class EntryStateTest(unittest.TestCase):
     """The configuration in force at an entry."""
 
-    def test_versions_never_go_back(self) -> None:
-        # Two dispatchers tell different versions and the older one comes last. Taking it would send
-        # new work to an endpoint that has left.
+    def test_older_version_is_ignored(self) -> None:
+        # Two dispatchers send different versions and the older one arrives last. Applying it would
+        # send new work to an endpoint that has left.
         instance = Instance(
             name="i",
             failure_domain=FailureDomain(name="d", region="r"),
@@ -36,17 +36,17 @@
         self.assertEqual(state.configuration.version, 2)
 
 
-class LoneEntryTest(unittest.IsolatedAsyncioTestCase):
-    """An entry whose own dispatcher never tells it of anybody."""
+class DeadDispatcherTest(unittest.IsolatedAsyncioTestCase):
+    """An entry whose local dispatcher never reports another member."""
 
     async def test_seed_is_followed_when_the_own_dispatcher_is_dead(self) -> None:
-        # Callers of this entry are served a second after its start. Its own dispatcher died before
-        # it told of another member, so the entry follows a dispatcher that its settings name.
+        # The local dispatcher died before it reported another member. The entry follows a seed of
+        # its settings instead and serves callers a second after its start.
         asyncio.get_running_loop().set_debug(False)
         fleet = LocalFleet()
         await fleet.start()
         self.addAsyncCleanup(fleet.close)
-        await confirm_text(fleet.url, fleet.make_text())
+        await apply_configuration(fleet.url, fleet.build_text())
         dispatcher = fleet.dispatchers[0]
         with tempfile.TemporaryDirectory() as folder:
             (settings,) = write_instance_settings(
@@ -60,4 +60,4 @@
         self.addAsyncCleanup(entry.close)
         await wait_until(lambda: entry.state.configuration.version > 0)
         answer = await Caller(url=f"http://{entry.address}").stream("hello")
-        self.assertEqual(answer.text, expect_answer("hello"), answer.error)
+        self.assertEqual(answer.text, build_expected_response("hello"), answer.error)
--- a/tests/test_estimates.py
+++ b/tests/test_estimates.py
@@ -1,4 +1,4 @@
-"""Tests of what a keeper learns from releases."""
+"""Tests of the estimates that a keeper learns from releases."""
 
 from __future__ import annotations
 
@@ -6,7 +6,7 @@
 import unittest
 
 from guavamast.estimates import (
-    LENGTH_KEYS,
+    MAX_LENGTH_KEYS,
     WEIGHT_FLOOR,
     LengthEstimates,
     ReleaseRate,
@@ -46,13 +46,13 @@
 
 
 class LengthEstimatesTest(unittest.TestCase):
-    """Quantiles are near the true ones and follow a running request."""
+    """Quantiles are close to the true ones and are updated for a running request."""
 
     def setUp(self) -> None:
         self.lengths = LengthEstimates()
-        chance = random.Random(3)
-        self.samples = sorted(int(chance.lognormvariate(5.0, 1.0)) for _ in range(250))
-        for tokens in chance.sample(self.samples, len(self.samples)):
+        rng = random.Random(3)
+        self.samples = sorted(int(rng.lognormvariate(5.0, 1.0)) for _ in range(250))
+        for tokens in rng.sample(self.samples, len(self.samples)):
             self.lengths.observe(make_ask(), tokens)
 
     def test_quantiles(self) -> None:
@@ -67,7 +67,7 @@
             self.assertGreater(estimate, produced)
         self.assertEqual(self.lengths.estimate(make_ask(max_tokens=60), quantile=0.9), 60)
 
-    def test_new_organisation_takes_what_all_show_and_then_its_own(self) -> None:
+    def test_new_organisation_uses_shared_lengths_then_its_own(self) -> None:
         other = make_ask("other")
         before = self.lengths.estimate(other, quantile=0.5)
         self.assertAlmostEqual(before, self.samples[125], delta=0.25 * before)
@@ -76,13 +76,13 @@
         self.assertLess(self.lengths.estimate(other, quantile=0.5), 16)
 
     def test_memory_is_bounded(self) -> None:
-        for number in range(LENGTH_KEYS + 500):
+        for number in range(MAX_LENGTH_KEYS + 500):
             self.lengths.observe(make_ask(f"o{number}"), 10)
-        self.assertEqual(len(self.lengths), LENGTH_KEYS)
+        self.assertEqual(len(self.lengths), MAX_LENGTH_KEYS)
 
 
 class StragglerWeightTest(unittest.TestCase):
-    """A straggler loses share step by step and wins it back by good releases."""
+    """Slow releases gradually lower the weight and good releases raise it again."""
 
     def test_slow_releases_lower_it_and_good_ones_raise_it(self) -> None:
         weight = StragglerWeight(now=0.0)
@@ -99,9 +99,9 @@
             weight.observe(make_ask(), make_release(), now=0.0)
         self.assertEqual(weight.get(now=0.0), 1.0)
 
-    def test_failures_keep_a_trickle_and_silence_brings_probes(self) -> None:
-        # An endpoint that failed gets no more requests and nothing ever shows that it is well
-        # again: its weight must not reach 0, and must rise while nobody uses it.
+    def test_failures_keep_minimum_weight_and_idle_time_raises_it(self) -> None:
+        # Failure: an endpoint that failed gets no more requests, so nothing shows its recovery. Its
+        # weight must not reach 0 and must rise while the endpoint is idle.
         weight = StragglerWeight(now=0.0)
         for _ in range(20):
             weight.observe(make_ask(), make_release(failed=True), now=0.0)
@@ -110,7 +110,7 @@
 
 
 class ReleaseRateTest(unittest.TestCase):
-    """The rate follows releases while every slot is held."""
+    """The rate follows releases while all slots are held."""
 
     def test_steady_rate_and_stall(self) -> None:
         rate = ReleaseRate()
