--- a/tests/test_limits_properties.py
+++ b/tests/test_limits_properties.py
@@ -1,4 +1,4 @@
-"""Properties of the limits over several entries and one home."""
+"""Properties of the limits with several entries and one home dispatcher."""
 
 from __future__ import annotations
 
@@ -11,15 +11,15 @@
 
 from guavamast.allotments import BURST_S, PREFETCH_S, VALIDITY_S, Allotment, AllotmentDispatcher
 from guavamast.errors import ErrorCode
+from guavamast.fleet_objects import Contract, FailureDomain, Instance, Organisation
 from guavamast.limits import (
+    ASK_RETRY_INTERVAL_S,
     ASK_TIMEOUT_S,
     LOW_TOKENS_S,
-    REPEAT_S,
     AdmissionState,
     EntryLimiter,
 )
 from guavamast.members import Member, MembershipView, MemberState
-from guavamast.world import Contract, FailureDomain, Instance, Organisation
 
 ENTRIES = 4
 RATE = 3.0
@@ -53,8 +53,8 @@
 
 
 TICK_S = 0.05
-AHEAD_S = PREFETCH_S + LOW_TOKENS_S
-"""Seconds of their demand for which entries may hold tokens."""
+PREFETCHED_S = PREFETCH_S + LOW_TOKENS_S
+"""Seconds of their demand for which entries may hold prefetched tokens."""
 PHASES = st.lists(
     st.tuples(
         st.lists(st.sampled_from([0, 0, 1, 5]), min_size=ENTRIES, max_size=ENTRIES),
@@ -64,11 +64,11 @@
     min_size=1,
     max_size=5,
 )
-"""Requests at each entry in each tick, ticks of the phase, ticks that a request runs."""
+"""Requests at each entry per tick, duration of the phase and of a request in ticks."""
 
 
 class Fleet:
-    """Entries and one home with answers that come late, crossed or never."""
+    """Entries and one home whose answers arrive late, out of order or never."""
 
     def __init__(self, *, random: Random, delay_ticks: int, loss: float) -> None:
         self.random = random
@@ -112,7 +112,7 @@
 
 
 class LimitProperties(unittest.TestCase):
-    """The limits hold in every window of every history."""
+    """The limits hold in each time window of each generated history."""
 
     def check(self, fleet: Fleet, phases: list, factor: int) -> None:
         for demands, ticks, run_ticks in phases:
@@ -120,13 +120,13 @@
                 fleet.run(demands, run_ticks)
                 self.assertLessEqual(len(fleet.running), factor * CONCURRENT)
                 for seconds in (1.0, 5.0, 20.0):
-                    bound = factor * RATE * (seconds + BURST_S + AHEAD_S)
+                    bound = factor * RATE * (seconds + BURST_S + PREFETCHED_S)
                     self.assertLessEqual(fleet.count_admitted(seconds), bound)
 
     @example(phases=[([1, 1, 1, 1], 200, 1)], seed=1, delay_ticks=2)
     @example(phases=[([5, 0, 0, 0], 20, 200), ([0, 5, 5, 5], 200, 200)], seed=1, delay_ticks=2)
     @given(phases=PHASES, seed=st.integers(0, 99), delay_ticks=st.integers(1, 8))
-    def test_limits_hold_while_the_home_is_heard(
+    def test_limits_hold_while_the_home_answers(
         self, phases: list, seed: int, delay_ticks: int
     ) -> None:
         self.assertLess(delay_ticks * TICK_S, ASK_TIMEOUT_S)
@@ -139,14 +139,14 @@
         delay_ticks=st.integers(1, 100),
         loss=st.sampled_from([0.0, 0.3, 0.9]),
     )
-    def test_late_and_lost_answers_cost_at_most_the_even_parts(
+    def test_late_and_lost_answers_exceed_the_limit_by_at_most_the_even_shares(
         self, phases: list, seed: int, delay_ticks: int, loss: float
     ) -> None:
         """An organisation gets more than its limit.
 
-        An answer is lost or comes after a later one. The entry goes on with its old allotment or
-        falls back to its even part, while the home may already have given the part to others. The
-        even parts add up to one limit, so both together stay below two.
+        An answer is lost or overtaken by a later one. The entry keeps its old allotment or falls
+        back to its even share, while the home may already have allotted it to others. The even
+        shares add up to one limit, so the total stays within two limits.
         """
         fleet = Fleet(random=Random(seed), delay_ticks=delay_ticks, loss=loss)
         self.check(fleet, phases, 2)
@@ -180,7 +180,7 @@
             self.exchange(now=now)
         self.assertGreaterEqual(granted, 0.95 * RATE * 40)
 
-    def test_concurrency_is_refused_with_its_code(self) -> None:
+    def test_concurrency_is_rejected_with_its_code(self) -> None:
         for _ in range(CONCURRENT + 1):
             self.entry.admit(ORGANISATION, now=0.0)
         self.exchange(now=0.0)
@@ -195,11 +195,11 @@
         self.assertEqual(last.state, AdmissionState.REFUSED)
         self.assertEqual(last.code, ErrorCode.CONCURRENCY_LIMITED)
 
-    def test_unheard_home_leaves_an_even_part(self) -> None:
-        """The caller is refused, or an organisation gets its limit many times over.
+    def test_unreachable_home_leaves_an_even_share(self) -> None:
+        """All callers are rejected, or an organisation gets its limit many times over.
 
-        The home is cut off: no answer comes. Refusing all would be an outage, admitting all no
-        limit; the even parts of all entries add up to the limit.
+        The home is unreachable. Rejecting all requests would be an outage, and admitting all would
+        be no limit; the even shares of all entries add up to the limit.
         """
         self.entry.admit(ORGANISATION, now=0.0)
         self.entry.collect_asks(now=0.0)
@@ -209,15 +209,15 @@
             granted += self.entry.admit(ORGANISATION, now=now).granted
             self.entry.release(ORGANISATION.name, now=now)
             self.entry.collect_asks(now=now)
-        part = RATE / ENTRIES * 40
-        self.assertLessEqual(granted, part + 1)
-        self.assertGreaterEqual(granted, part * 0.9 - 1)
+        share = RATE / ENTRIES * 40
+        self.assertLessEqual(granted, share + 1)
+        self.assertGreaterEqual(granted, share * 0.9 - 1)
 
-    def test_running_requests_are_reported_after_their_part_ran_out(self) -> None:
-        """An organisation runs more at once than its limit.
+    def test_running_requests_are_reported_after_their_allotment_expired(self) -> None:
+        """An organisation runs more concurrent requests than its limit.
 
-        The entry's part ran out while the home could not be heard. If the next ask did not tell of
-        the requests that still run, the home would hand their part to others.
+        The entry's allotment expired while the home was unreachable. If the next ask did not
+        report the requests that still run, the home would allot their concurrency to others.
         """
         for _ in range(3):
             self.entry.admit(ORGANISATION, now=0.0)
@@ -236,17 +236,17 @@
         self.assertTrue(self.entry.admit(ORGANISATION, now=1.0).granted)
 
     def test_answer_to_an_older_ask_is_dropped(self) -> None:
-        """The entry admits more than its part.
+        """The entry admits more than its allotment.
 
-        An ask times out and is repeated; then the answer to the first comes, whose part the home
-        has given to others since.
+        An ask times out and is retried; then the answer to the first ask arrives, whose allotment
+        the home has given to others since.
         """
         for _ in range(CONCURRENT):
             self.entry.admit(ORGANISATION, now=0.0)
         (first,) = self.entry.collect_asks(now=0.0)
         late = self.home.ask(first, ORGANISATION, now=0.0)
-        self.entry.admit(ORGANISATION, now=REPEAT_S)
-        self.assertEqual(len(self.entry.collect_asks(now=REPEAT_S)), 1)
-        self.entry.record_allotment(late, now=REPEAT_S)
-        held = [self.entry.admit(ORGANISATION, now=REPEAT_S) for _ in range(CONCURRENT)]
+        self.entry.admit(ORGANISATION, now=ASK_RETRY_INTERVAL_S)
+        self.assertEqual(len(self.entry.collect_asks(now=ASK_RETRY_INTERVAL_S)), 1)
+        self.entry.record_allotment(late, now=ASK_RETRY_INTERVAL_S)
+        held = [self.entry.admit(ORGANISATION, now=ASK_RETRY_INTERVAL_S) for _ in range(CONCURRENT)]
         self.assertLessEqual(sum(each.granted for each in held), 2)
--- a/tests/test_membership_properties.py
+++ b/tests/test_membership_properties.py
@@ -1,4 +1,4 @@
-"""Properties of membership: the laws of the join."""
+"""Properties of membership: the algebraic laws of `join`."""
 
 from __future__ import annotations
 
@@ -7,10 +7,10 @@
 from hypothesis import given
 from hypothesis import strategies as st
 
+from guavamast.fleet_objects import FailureDomain, Instance
 from guavamast.member_records import join
 from guavamast.members import Member, MembershipView, MemberState
 from guavamast.membership import Membership
-from guavamast.world import FailureDomain, Instance
 
 
 def make_instance(name: str, *, region: str = "sierra", port: int = 1) -> Instance:
@@ -41,11 +41,11 @@
 
 
 def view_after(batches: list[list[Member]]) -> MembershipView:
-    """Return what an instance sees after it was told some batches."""
+    """Return the view of an instance after it merged some batches."""
     membership = Membership(me=make_instance("me"), incarnation=1, now=0.0)
     for batch in batches:
         membership.merge(batch, now=0.0)
-    return membership.make_view(now=0.0)
+    return membership.create_view(now=0.0)
 
 
 class JoinLawsTest(unittest.TestCase):
--- a/tests/test_platform_wire.py
+++ b/tests/test_platform_wire.py
@@ -1,4 +1,4 @@
-"""Tests of the adapter: what the platform sends is decoded once, whatever it holds."""
+"""Tests of the adapter's decoders with valid and arbitrary input from the platform."""
 
 from __future__ import annotations
 
@@ -16,7 +16,7 @@
 from guavamast.platform.request_headers import PlatformHeaders
 from guavamast.platform.settings import decode_settings
 from guavamast.relay.catalog import RouteKind
-from guavamast.relay.messages import PromptPart, SendTerms
+from guavamast.relay.messages import PromptPart, SendParameters
 
 SOURCE = Path(__file__).resolve().parent.parent / "src" / "guavamast"
 SETTINGS = {
@@ -53,7 +53,7 @@
 
 
 class SettingsTest(unittest.TestCase):
-    """Settings are read whole, or all findings are told."""
+    """Settings are decoded completely, or all findings are reported."""
 
     def test_settings_are_decoded(self) -> None:
         settings = decode_settings(SETTINGS, file="f")
@@ -61,7 +61,7 @@
         self.assertEqual(settings.peers.port, 7340)
         self.assertEqual(settings.revocation_s, 5.0)
 
-    def test_the_link_may_be_left_out_but_not_be_wrong(self) -> None:
+    def test_link_rate_is_optional_but_validated(self) -> None:
         self.assertEqual(decode_settings(SETTINGS, file="f").link_mbps, 0.0)
         wide = SETTINGS | {"limits": {"link_mbps": 100.0}}
         self.assertEqual(decode_settings(wide, file="f").link_mbps, 100.0)
@@ -77,7 +77,7 @@
 
 
 class EndpointWireTest(unittest.TestCase):
-    """A row names an endpoint, or none; it never stops the others from being read."""
+    """A row yields one endpoint or none; it never prevents the others from being decoded."""
 
     def test_states(self) -> None:
         for state, ready in (("ready", True), ("draining", False)):
@@ -87,7 +87,7 @@
         self.assertIsNone(decode_endpoint("i", ENDPOINT | {"state": "odd"}, row_version=3))
 
     @given(fields=JSON)
-    def test_rows_of_other_writers_name_none(self, fields: object) -> None:
+    def test_rows_of_unknown_shape_are_ignored(self, fields: object) -> None:
         self.assertIsNone(decode_endpoint("i", fields, row_version=1))
 
     @given(name=st.sampled_from(sorted(ENDPOINT)), value=JSON)
@@ -96,7 +96,7 @@
 
 
 class CatalogWireTest(unittest.TestCase):
-    """The operators' configuration becomes the product's types."""
+    """The operators' configuration is decoded into the relay's types."""
 
     def test_routes_services_and_keys(self) -> None:
         fields = {
@@ -132,27 +132,27 @@
 
 
 class RequestHeadersTest(unittest.TestCase):
-    """What is the relay's to set never comes from a caller, and keys never go on."""
+    """Headers that the relay sets never come from a caller, and keys are never forwarded."""
 
     def setUp(self) -> None:
         self.codec = PlatformHeaders()
 
-    def relay(self, *headers: tuple[str, str]) -> dict[str, str]:
-        request = self.codec.read_request(
+    def forward_headers(self, *headers: tuple[str, str]) -> dict[str, str]:
+        request = self.codec.decode_request(
             method="POST", target="/p", headers=list(headers), body=b"x", arrived=0.0
         )
-        terms = SendTerms(
+        terms = SendParameters(
             endpoint_id="i-1",
             organisation="bakery",
-            time_left_s=1.25,
+            remaining_s=1.25,
             urgency=2,
             resume_after=None,
         )
-        return {name.lower(): value for name, value in self.codec.write_request(request, terms)}
+        return {name.lower(): value for name, value in self.codec.encode_request(request, terms)}
 
     def test_callers_cannot_set_the_relays_headers(self) -> None:
         forged = ("X-Tenant", "X-Hold", "X-Pin-Ms", "X-Kv-Backup", "Kv-From", "Kv-Fetch")
-        sent = self.relay(
+        sent = self.forward_headers(
             *((name, "forged") for name in (*forged, "X-Expect-Instance", "X-Request-Urgency")),
             ("Authorization", "Bearer k"),
             ("X-Request-Deadline-Ms", "90000"),
@@ -168,8 +168,8 @@
         self.assertEqual(sent["x-request-deadline-ms"], "1250")
         self.assertEqual(sent["x-model"], "m")
 
-    def test_facts_of_a_request(self) -> None:
-        request = self.codec.read_request(
+    def test_request_headers_are_decoded(self) -> None:
+        request = self.codec.decode_request(
             method="POST",
             target="/p?q=1",
             headers=[
@@ -184,10 +184,10 @@
         parts = (PromptPart(part_id="5c", tokens=800), PromptPart(part_id="91", tokens=410))
         self.assertEqual(request.prompt_parts, parts)
         self.assertEqual((request.prompt_tokens, request.output_tokens), (1210, 80))
-        self.assertEqual((request.api_key, request.patience_s, request.path), ("k", 1.5, "/p"))
+        self.assertEqual((request.api_key, request.timeout_s, request.path), ("k", 1.5, "/p"))
 
-    def test_facts_of_an_answer(self) -> None:
-        head = self.codec.read_answer(
+    def test_response_headers_are_decoded(self) -> None:
+        head = self.codec.decode_response(
             200,
             [
                 ("X-Engine-Seal", "s"),
@@ -196,22 +196,24 @@
                 ("Content-Length", "5"),
             ],
         )
-        self.assertTrue(head.sealed)
+        self.assertTrue(head.signed)
         self.assertEqual((head.request_id, head.keep_alive_s), ("r", 3.0))
         self.assertEqual([name for name, _ in head.headers], ["X-Engine-Seal", "X-Attempt-Id"])
-        self.assertTrue(self.codec.read_answer(421, []).refused_unrun)
-        self.assertFalse(self.codec.read_answer(503, []).refused_unrun)
-        self.assertTrue(self.codec.read_answer(503, [("X-Not-Executed", "1")]).refused_unrun)
+        self.assertTrue(self.codec.decode_response(421, []).not_run)
+        self.assertFalse(self.codec.decode_response(503, []).not_run)
+        self.assertTrue(self.codec.decode_response(503, [("X-Not-Executed", "1")]).not_run)
 
 
 class BoundaryTest(unittest.TestCase):
-    """The platform's names stand in the adapter alone."""
+    """Names of the platform occur in the adapter only."""
 
     def list_modules(self) -> list[Path]:
         adapter = SOURCE / "platform"
-        starter = SOURCE / "commands.py"
+        commands = SOURCE / "commands.py"
         return [
-            path for path in SOURCE.rglob("*.py") if adapter not in path.parents and path != starter
+            path
+            for path in SOURCE.rglob("*.py")
+            if adapter not in path.parents and path != commands
         ]
 
     def test_nothing_imports_the_adapter(self) -> None:
--- a/tests/test_queues_properties.py
+++ b/tests/test_queues_properties.py
@@ -1,4 +1,4 @@
-"""Properties of the queue's parts that a keeper's histories reach too rarely."""
+"""Properties of the queue that generated histories of a keeper rarely reach."""
 
 from __future__ import annotations
 
@@ -7,10 +7,10 @@
 from hypothesis import given
 from hypothesis import strategies as st
 
-from guavamast._round_robin import QUANTUM, RoundRobin, Waiting
-from guavamast.queues import DEBT_CEILING, WORK_CEILING, Start, WaitingQueue
+from guavamast._round_robin import QUANTUM, RoundRobin, WaitingAsk
+from guavamast.fleet_objects import Configuration, ServiceClass
+from guavamast.queues import MAX_CREDIT, MAX_WORK, Start, WaitingQueue
 from guavamast.slots import Ask
-from guavamast.world import Configuration, ServiceClass
 
 COST_LIMIT = 5_000.0
 
@@ -32,9 +32,9 @@
     )
 
 
-def make_waiting(number: int, *, organisation: str, cost: float) -> Waiting:
+def make_waiting(number: int, *, organisation: str, cost: float) -> WaitingAsk:
     """Return a waiting ask of that cost."""
-    return Waiting(
+    return WaitingAsk(
         ask=make_ask(number, organisation=organisation),
         sequence=number,
         arrived_at=0.0,
@@ -45,7 +45,7 @@
 
 
 class RoundRobinPropertiesTest(unittest.TestCase):
-    """Organisations that always wait get the same work, whatever their asks cost."""
+    """Backlogged organisations get the same work, whatever their asks cost."""
 
     @given(
         st.lists(
@@ -56,21 +56,27 @@
     def test_backlogged_organisations_share_work(
         self, costs: list[list[float]], starts: int
     ) -> None:
-        robin = RoundRobin()
+        round_robin = RoundRobin()
         served = dict.fromkeys(map(str, range(len(costs))), 0.0)
         number = 0
-        for organisation, own in enumerate(costs):
+        for organisation, ask_costs in enumerate(costs):
             for _ in range(2):
                 number += 1
-                robin.add(make_waiting(number, organisation=str(organisation), cost=own[0]))
+                round_robin.add(
+                    make_waiting(number, organisation=str(organisation), cost=ask_costs[0])
+                )
         for _ in range(starts):
-            waiting = robin.take()
+            waiting = round_robin.pop_next()
             organisation = waiting.ask.organisation
             served[organisation] += waiting.cost
             number += 1
-            own = costs[int(organisation)]
-            robin.add(make_waiting(number, organisation=organisation, cost=own[number % len(own)]))
-            for deficit in robin.list_deficits():
+            ask_costs = costs[int(organisation)]
+            round_robin.add(
+                make_waiting(
+                    number, organisation=organisation, cost=ask_costs[number % len(ask_costs)]
+                )
+            )
+            for deficit in round_robin.list_deficits():
                 self.assertTrue(-COST_LIMIT < deficit <= QUANTUM)
         spread = max(served.values()) - min(served.values())
         self.assertLessEqual(spread, COST_LIMIT + 2 * QUANTUM)
@@ -94,23 +100,23 @@
 
 
 class WaitingQueuePropertiesTest(unittest.TestCase):
-    """What a class is owed stays bounded."""
+    """The credit of a class is bounded."""
 
     @given(
         st.lists(st.tuples(st.sampled_from(["high", "low"]), st.booleans()), max_size=60),
         st.sampled_from([0.1, 0.5, 1.0]),
     )
-    def test_debt_is_bounded(self, starts: list[tuple[str, bool]], share: float) -> None:
+    def test_credit_is_bounded(self, starts: list[tuple[str, bool]], share: float) -> None:
         queue = make_queue(share)
         for number, (name, strict) in enumerate([("low", True), *starts]):
             ask = make_ask(number, class_name=name)
             queue.add(ask, cost=1.0, latest_start=1e9, target_start=1e9, now=0.0)
             high = make_ask(number, organisation="other", class_name="high")
             queue.add(high, cost=1.0, latest_start=1e9, target_start=1e9, now=0.0)
-            start = queue.take(rate=1.0, slots=4, now=0.0, strict=strict)
+            start = queue.pop_next(rate=1.0, slots=4, now=0.0, strict=strict)
             self.assertFalse(strict and start.by_share)
             for service_class in queue.list_classes():
-                self.assertTrue(-WORK_CEILING <= service_class.debt <= DEBT_CEILING)
+                self.assertTrue(-MAX_WORK <= service_class.credit <= MAX_CREDIT)
 
     @given(
         st.lists(
@@ -131,18 +137,18 @@
                 ask = make_ask(number, class_name=name)
                 low_cost = cost if name == "low" else 1.0
                 queue.add(ask, cost=low_cost, latest_start=latest_start, target_start=0.5, now=0.0)
-            start = queue.take(rate=1.0, slots=slots, now=0.0)
+            start = queue.pop_next(rate=1.0, slots=slots, now=0.0)
             running += [start] if start.by_share else []
             gap = 0 if start.waiting.ask.class_name == "low" else gap + 1
             if len(running) < max(1.0, share * slots):
-                self.assertLessEqual(gap, (DEBT_CEILING + WORK_CEILING) / share + 1)
+                self.assertLessEqual(gap, (MAX_CREDIT + MAX_WORK) / share + 1)
             else:
                 gap = 0
             for _ in range(min(finished, len(running))):
                 queue.finish(running.pop(), cost=1.0)
             self.assertLess(len(running), max(1.0, share * slots) + 1)
 
-    def test_long_start_pays_its_work_and_gets_it_back_when_unused(self) -> None:
+    def test_long_start_is_charged_its_work_and_refunded_when_unused(self) -> None:
         queue = make_queue(0.5)
         for number in range(9):
             ask = make_ask(number, class_name="high")
@@ -152,13 +158,13 @@
         (low,) = [
             service_class for service_class in queue.list_classes() if service_class.tier == 2
         ]
-        start = queue.take(rate=1.0, slots=4, now=0.0)
+        start = queue.pop_next(rate=1.0, slots=4, now=0.0)
         while not start.by_share:
-            start = queue.take(rate=1.0, slots=4, now=0.0)
-        self.assertAlmostEqual(start.paid, 5.0)
-        debt = low.debt
+            start = queue.pop_next(rate=1.0, slots=4, now=0.0)
+        self.assertAlmostEqual(start.charged, 5.0)
+        credit = low.credit
         queue.finish(start, cost=0.0)
-        self.assertAlmostEqual(low.debt, debt + 5.0)
+        self.assertAlmostEqual(low.credit, credit + 5.0)
 
 
 if __name__ == "__main__":
--- a/tests/test_relay_caller_admission.py
+++ b/tests/test_relay_caller_admission.py
@@ -17,12 +17,12 @@
 from guavamast.relay.counters import Counters
 from guavamast.relay.decision_log import DecisionLog
 from guavamast.relay.endpoint_table import compute_digest
-from guavamast.relay.fleet_knowledge import FleetKnowledge
+from guavamast.relay.fleet_state import FleetState
 from guavamast.relay.freshness import StoreClock
 from guavamast.relay.peers import Peers
-from guavamast.relay.store import CatalogReading, EndpointReading, Store, StoreError
+from guavamast.relay.store import CatalogSnapshot, EndpointSnapshot, Store, StoreError
 from guavamast.relay.store_reader import StoreReader
-from tests.relay_facts import BOUNDS, make_catalog, make_endpoint, make_request, make_route
+from tests.relay_fixtures import BOUNDS, build_catalog, build_endpoint, build_request, build_route
 
 if TYPE_CHECKING:
     from collections.abc import Sequence
@@ -34,7 +34,7 @@
 START_S = 100.0
 
 
-class World(Store):
+class AdmissionSimulation(Store):
     """A simulated store and clock, with one instance that receives no updates from others."""
 
     def __init__(self) -> None:
@@ -43,11 +43,11 @@
         self.read_s = 0.004
         """Seconds from the store's clock reading until the response arrives."""
         self.reads = 0
-        self.catalog = make_catalog()
-        self.records = [make_endpoint("x"), make_endpoint("y")]
+        self.catalog = build_catalog()
+        self.records = [build_endpoint("x"), build_endpoint("y")]
         self._clock = StoreClock()
         peers = Peers(own_name="one")
-        self.knowledge = FleetKnowledge(failure_domain="a", peers=peers, clock=self._clock)
+        self.knowledge = FleetState(failure_domain="a", peers=peers, clock=self._clock)
         counters = Counters()
         self.reader = StoreReader(
             store=self,
@@ -62,7 +62,7 @@
         self.admission = CallerAdmission(
             gate=CallerGate(bounds=BOUNDS),
             bounds=BOUNDS,
-            knowledge=self.knowledge,
+            fleet_state=self.knowledge,
             reader=self.reader,
             read_time=lambda: self.now,
         )
@@ -71,16 +71,16 @@
         del text, row_version
         raise StoreError("no updates in this test")
 
-    async def read_catalog(self, *, known: Catalog | None) -> CatalogReading:
+    async def read_catalog(self, *, known: Catalog | None) -> CatalogSnapshot:
         catalog = self.catalog
         if known is not None and known.row_version == catalog.row_version:
             catalog = known
-        return CatalogReading(catalog=catalog, reading=await self._answer())
+        return CatalogSnapshot(catalog=catalog, store_time=await self._answer())
 
-    async def read_endpoints(self) -> EndpointReading:
+    async def read_endpoints(self) -> EndpointSnapshot:
         records = list(self.records)
         digest = compute_digest((one.endpoint_id, one.row_version) for one in records)
-        return EndpointReading(records=records, digest=digest, reading=await self._answer())
+        return EndpointSnapshot(records=records, digest=digest, store_time=await self._answer())
 
     async def read_instances(self) -> list[InstanceRecord]:
         return []
@@ -93,16 +93,16 @@
 
     def move_route(self) -> None:
         services = (WeightedService(service="annex", weight=1.0),)
-        self.replace_routes(make_route(services=services))
+        self.replace_routes(build_route(services=services))
 
     def replace_routes(self, *routes: Route) -> None:
-        self.catalog = make_catalog(*routes, row_version=self.catalog.row_version + 1)
+        self.catalog = build_catalog(*routes, row_version=self.catalog.row_version + 1)
 
     def change_endpoints(self, *records: EndpointRecord) -> None:
         self.records = list(records)
 
     async def admit(self, timeout_s: float = 1.5) -> Admitted | Denied:
-        request = make_request(arrived=self.now, patience_s=timeout_s)
+        request = build_request(received_at=self.now, timeout_s=timeout_s)
         return await self.admission.admit(request, until=self.now + timeout_s)
 
     async def _answer(self) -> float:
@@ -111,7 +111,7 @@
         if self.unavailable:
             raise StoreError("silent")
         store_time = self.now
-        self._clock.record(sent=self.now, reading=store_time)
+        self._clock.record(sent=self.now, store_time=store_time)
         self.now += self.read_s
         return store_time
 
@@ -126,7 +126,7 @@
     """Admission at an instance that receives no updates."""
 
     async def asyncSetUp(self) -> None:
-        self.simulation = World()
+        self.simulation = AdmissionSimulation()
         await self.simulation.admit()
 
     async def test_old_knowledge_is_read_again_before_a_request_goes(self) -> None:
@@ -150,7 +150,7 @@
         await asyncio.gather(*(self.simulation.admit() for _ in range(50)))
         self.assertEqual(self.simulation.reads - reads, 2)
 
-    async def test_old_knowledge_serves_while_the_store_is_away(self) -> None:
+    async def test_stale_state_is_used_while_the_store_is_unavailable(self) -> None:
         self.simulation.unavailable = True
         self.simulation.now += 3.0
         self.assertEqual(list_services(await self.simulation.admit()), ["portal"])
@@ -158,14 +158,14 @@
         await self.simulation.admit()
         self.assertEqual(self.simulation.reads, reads)
 
-    async def test_keys_are_refused_when_the_store_is_away_for_long(self) -> None:
+    async def test_keys_are_rejected_during_a_long_store_outage(self) -> None:
         self.simulation.unavailable = True
         self.simulation.now += 4.4
         decision = await self.simulation.admit()
         assert isinstance(decision, Denied)
         self.assertEqual((decision.status, decision.reason), (503, "old keys"))
 
-    async def test_a_slow_instance_sends_its_callers_back(self) -> None:
+    async def test_a_slow_instance_rejects_its_callers(self) -> None:
         """An instance that can't keep up rejects its callers with a retry delay.
 
         The store answers at once, but the instance processes each response so late that the tables
@@ -189,19 +189,19 @@
     """Checks after the connection is open, right before a request is sent."""
 
     async def asyncSetUp(self) -> None:
-        self.simulation = World()
+        self.simulation = AdmissionSimulation()
         decision = await self.simulation.admit()
         assert isinstance(decision, Admitted)
         self.admitted = decision
 
     def check(self, name: str = "x") -> str:
         """Return why the request must not be sent; empty if it may be."""
-        record = make_endpoint(name)
+        record = build_endpoint(name)
         try:
             self.simulation.admission.check_send(self.admitted, record, now=self.simulation.now)
         except AttemptFailed as failure:
             self.assertEqual(failure.kind, FailureKind.OUTDATED)
-            self.assertTrue(failure.unrun)
+            self.assertTrue(failure.not_run)
             return failure.detail
         return ""
 
@@ -224,8 +224,8 @@
         self.assertEqual(self.check(), "the configuration has changed")
 
     async def test_an_endpoint_that_leaves_is_seen(self) -> None:
-        gone = [make_endpoint("y")]
-        leaving = [make_endpoint("x", ready=False, row_version=9), make_endpoint("y")]
+        gone = [build_endpoint("y")]
+        leaving = [build_endpoint("x", ready=False, row_version=9), build_endpoint("y")]
         for records in (gone, leaving):
             self.simulation.change_endpoints(*records)
             await self.simulation.reader.endpoints.join()
@@ -261,7 +261,7 @@
         asyncio.run(self.simulate(steps))
 
     async def simulate(self, steps: list[tuple[float, float, bool]]) -> None:
-        simulation = World()
+        simulation = AdmissionSimulation()
         ended: dict[int, float] = {}
         for pause_s, read_s, moves in steps:
             if moves:
@@ -274,7 +274,7 @@
             if isinstance(decision, Denied):
                 continue
             try:
-                simulation.admission.check_send(decision, make_endpoint("x"), now=simulation.now)
+                simulation.admission.check_send(decision, build_endpoint("x"), now=simulation.now)
             except AttemptFailed:
                 continue
             self.assertLess(asked - ended.get(decision.catalog.row_version, asked), 2.0)
--- a/tests/test_relay_decisions.py
+++ b/tests/test_relay_decisions.py
@@ -8,46 +8,52 @@
 from hypothesis import given
 from hypothesis import strategies as st
 
-from guavamast.relay.attempt_budget import AttemptBudget, BudgetTerms
-from guavamast.relay.beats import Beat, InstanceState, MalformedBeat, decode_beat, encode_beat
-from guavamast.relay.caller_addresses import CallerPlace, choose_addresses
+from guavamast.relay.caller_addresses import CallerLocation, choose_addresses
 from guavamast.relay.caller_gate import Admitted, CallerGate, Denied
 from guavamast.relay.catalog import CallerOrganisation, Catalog, WeightedService
 from guavamast.relay.endpoint_load import Load
 from guavamast.relay.endpoint_table import EndpointTable
 from guavamast.relay.engine_profile import Estimate, ProfileEstimates
 from guavamast.relay.event_framing import EventFraming
-from guavamast.relay.freshness import Proof
+from guavamast.relay.freshness import FreshnessStamp
+from guavamast.relay.heartbeat_messages import (
+    Heartbeat,
+    InstanceState,
+    MalformedBeat,
+    decode_heartbeat,
+    encode_heartbeat,
+)
+from guavamast.relay.length_buckets import Demand
 from guavamast.relay.peers import (
     FORGET_AFTER_S,
-    MISSED_BEATS,
-    READER_KEY,
+    MISSED_HEARTBEATS,
+    READER_RANK_KEY,
     Peers,
-    compute_beat_interval,
+    compute_heartbeat_interval,
 )
 from guavamast.relay.prompt_cache import PromptSend
-from guavamast.relay.prompt_lanes import Demand
 from guavamast.relay.read_schedule import (
+    JITTER_S,
     LAST_RANK,
-    NEWS_WAIT_S,
     READ_INTERVAL_S,
-    SPREAD_S,
-    STEP_IN_S,
+    TAKEOVER_DELAY_S,
+    UPDATE_WAIT_S,
     ReadSchedule,
 )
-from guavamast.relay.refusal_history import RefusalCount
+from guavamast.relay.rejection_history import RejectionCount
+from guavamast.relay.retry_budget import RetryBudget, RetryBudgetSettings
 from guavamast.relay.store import InstanceRecord
 from guavamast.rendezvous import rank
-from tests.relay_facts import BOUNDS, make_catalog, make_endpoint, make_request, make_route
+from tests.relay_fixtures import BOUNDS, build_catalog, build_endpoint, build_request, build_route
 
 
 class CatalogTest(unittest.TestCase):
     """Routes are selected by host and longest prefix."""
 
     def test_longest_prefix_wins(self) -> None:
-        short = make_route(name="short", path_prefix="/a/")
-        long = make_route(name="long", path_prefix="/a/b/")
-        catalog = make_catalog(short, long)
+        short = build_route(name="short", path_prefix="/a/")
+        long = build_route(name="long", path_prefix="/a/b/")
+        catalog = build_catalog(short, long)
         self.assertEqual(catalog.find_route("portal.example:80", "/a/b/c"), long)
         self.assertEqual(catalog.find_route("PORTAL.example", "/a/b"), short)
         self.assertIsNone(catalog.find_route("portal.example", "/a"))
@@ -58,7 +64,7 @@
             WeightedService(service="x", weight=90.0),
             WeightedService(service="y", weight=10.0),
         )
-        route = make_route(services=services)
+        route = build_route(services=services)
         picks = [route.pick_service(f"r{number}") for number in range(2000)]
         self.assertEqual(picks, [route.pick_service(f"r{number}") for number in range(2000)])
         self.assertAlmostEqual(picks.count("y") / 2000, 0.1, delta=0.03)
@@ -73,7 +79,7 @@
         The caller sends its request at the very end of the idle limit; without a margin the
         instance would close the connection before the request arrives.
         """
-        limits = make_catalog().limits
+        limits = build_catalog().limits
         self.assertGreaterEqual(limits.close_idle_after_s, limits.idle_timeout_s + 0.5)
 
 
@@ -84,10 +90,10 @@
         self.gate = CallerGate(bounds=BOUNDS)
 
     def decide(self, age_s: float, **changes: object) -> Admitted | Denied:
-        return self.gate.decide(make_request(**changes), make_catalog(), age_s=age_s)
+        return self.gate.decide(build_request(**changes), build_catalog(), age_s=age_s)
 
     def test_no_configuration_defers(self) -> None:
-        decision = self.gate.decide(make_request(), None, age_s=0.0)
+        decision = self.gate.decide(build_request(), None, age_s=0.0)
         assert isinstance(decision, Denied)
         self.assertEqual(decision.status, 503)
 
@@ -104,7 +110,7 @@
         self.assertEqual(decision.status, 503)
         self.assertIsNotNone(decision.retry_after_s)
 
-    def test_unknown_is_said_by_a_recent_configuration_alone(self) -> None:
+    def test_only_a_recent_configuration_rejects_unknown_names(self) -> None:
         for changes, status in (({"api_key": "bad"}, 401), ({"target": "/none/"}, 404)):
             recent = self.decide(1.0, **changes)
             old = self.decide(2.0, **changes)
@@ -124,14 +130,14 @@
 
     def setUp(self) -> None:
         self.table = EndpointTable()
-        first = [make_endpoint("x"), make_endpoint("y"), make_endpoint("z", ready=False)]
-        self.table.apply(first, digest="1", returning=False)
+        first = [build_endpoint("x"), build_endpoint("y"), build_endpoint("z", ready=False)]
+        self.table.apply(first, digest="1", recovering=False)
 
     def list_ready(self) -> list[str]:
         return [record.endpoint_id for record in self.table.list_ready("portal")]
 
     def test_missing_and_leaving_endpoints_get_nothing(self) -> None:
-        self.table.apply([make_endpoint("x", ready=False)], digest="2", returning=False)
+        self.table.apply([build_endpoint("x", ready=False)], digest="2", recovering=False)
         self.assertEqual(self.list_ready(), [])
 
     def test_lapsed_endpoints_stay_until_they_had_time_to_return(self) -> None:
@@ -139,14 +145,14 @@
 
         All entries lapse during the outage; the first listing is empty although the endpoints run.
         """
-        self.table.apply([], digest="2", returning=True)
+        self.table.apply([], digest="2", recovering=True)
         self.assertEqual(self.list_ready(), ["x", "y"])
         self.assertTrue(self.table.has_lapsed)
-        self.table.apply([make_endpoint("y")], digest="3", returning=False)
+        self.table.apply([build_endpoint("y")], digest="3", recovering=False)
         self.assertEqual(self.list_ready(), ["y"])
 
     def test_an_endpoint_that_was_leaving_does_not_stay(self) -> None:
-        self.table.apply([], digest="2", returning=True)
+        self.table.apply([], digest="2", recovering=True)
         self.assertIsNone(self.table.find("z"))
 
 
@@ -154,9 +160,9 @@
     """Urgency is ordered by organisation first and by route second."""
 
     def test_order(self) -> None:
-        answer = make_route(name="answer", path_prefix="/a/", urgency=0)
-        summary = make_route(name="summary", path_prefix="/s/", urgency=2)
-        catalog = make_catalog(answer, summary)
+        answer = build_route(name="answer", path_prefix="/a/", urgency=0)
+        summary = build_route(name="summary", path_prefix="/s/", urgency=2)
+        catalog = build_catalog(answer, summary)
         first = CallerOrganisation(name="first", urgency=0)
         catalog = Catalog(
             version=1,
@@ -177,8 +183,8 @@
         self.assertEqual(order, [0, 1, 2, 3, 4])
 
     def test_more_pairs_than_engines_know_fall_back_to_the_first_rank(self) -> None:
-        routes = [make_route(path_prefix=f"/{n}/", urgency=n) for n in range(12)]
-        catalog = make_catalog(*routes)
+        routes = [build_route(path_prefix=f"/{n}/", urgency=n) for n in range(12)]
+        catalog = build_catalog(*routes)
         self.assertEqual(catalog.find_urgency(routes[3], None), 3)
         self.assertEqual(catalog.find_urgency(routes[11], None), 9)
 
@@ -194,8 +200,8 @@
     def test_every_window_keeps_the_allowance(
         self, instances: int, requests: list[float], tries: list[float]
     ) -> None:
-        terms = BudgetTerms(ratio=0.2, slack=20.0, window_s=10.0)
-        budget = AttemptBudget(terms=terms)
+        terms = RetryBudgetSettings(ratio=0.2, slack=20.0, window_s=10.0)
+        budget = RetryBudget(settings=terms)
         events = sorted([(at, False) for at in requests] + [(at, True) for at in tries])
         spent = []
         for at, is_retry in events:
@@ -217,14 +223,14 @@
 
     def test_ranks_step_in_one_after_the_other(self) -> None:
         for place in range(LAST_RANK):
-            bound = READ_INTERVAL_S + STEP_IN_S * place
+            bound = READ_INTERVAL_S + TAKEOVER_DELAY_S * place
             for age_s, due in ((bound - 0.01, False), (bound, True)):
-                found = self.schedule.is_due(age_s=age_s, rank=place, news=False, now=0.0)
+                found = self.schedule.is_due(age_s=age_s, rank=place, has_update=False, now=0.0)
                 self.assertEqual(found, due)
 
     def test_everyone_reads_before_keys_stop_being_accepted(self) -> None:
         for place in range(400):
-            self.assertTrue(self.schedule.is_due(age_s=2.0, rank=place, news=False, now=0.0))
+            self.assertTrue(self.schedule.is_due(age_s=2.0, rank=place, has_update=False, now=0.0))
 
     def test_everyone_reads_before_requests_are_held_for_it(self) -> None:
         """Guards against requests that wait for a read while all datagrams to an instance are lost.
@@ -236,28 +242,28 @@
             schedule = ReadSchedule(random=Random(1), bound_s=bound_s, count_instances=lambda: 14)
             for place in range(400):
                 age_s = bound_s - 0.2
-                self.assertTrue(schedule.is_due(age_s=age_s, rank=place, news=False, now=0.0))
+                self.assertTrue(schedule.is_due(age_s=age_s, rank=place, has_update=False, now=0.0))
 
-    def test_news_is_fetched_soon_but_not_by_all_together(self) -> None:
-        self.assertFalse(self.schedule.is_due(age_s=0.0, rank=9, news=True, now=5.0))
-        latest = 5.0 + NEWS_WAIT_S + SPREAD_S / 3
-        self.assertTrue(self.schedule.is_due(age_s=0.0, rank=9, news=True, now=latest + 0.01))
+    def test_an_update_is_fetched_soon_but_not_by_all_together(self) -> None:
+        self.assertFalse(self.schedule.is_due(age_s=0.0, rank=9, has_update=True, now=5.0))
+        latest = 5.0 + UPDATE_WAIT_S + JITTER_S / 3
+        self.assertTrue(self.schedule.is_due(age_s=0.0, rank=9, has_update=True, now=latest + 0.01))
 
-    def test_news_that_was_told_meanwhile_is_not_fetched(self) -> None:
+    def test_an_update_received_meanwhile_is_not_fetched(self) -> None:
         """Guards against one store read by each instance for a single change.
 
         An instance learns that another has a newer table, and receives the table itself a moment
         later. The next update starts a new wait.
         """
-        self.assertFalse(self.schedule.is_due(age_s=0.0, rank=9, news=True, now=5.0))
-        self.assertFalse(self.schedule.is_due(age_s=0.0, rank=9, news=False, now=5.05))
-        self.assertFalse(self.schedule.is_due(age_s=0.0, rank=9, news=False, now=5.2))
-        self.assertFalse(self.schedule.is_due(age_s=0.0, rank=9, news=True, now=6.0))
+        self.assertFalse(self.schedule.is_due(age_s=0.0, rank=9, has_update=True, now=5.0))
+        self.assertFalse(self.schedule.is_due(age_s=0.0, rank=9, has_update=False, now=5.05))
+        self.assertFalse(self.schedule.is_due(age_s=0.0, rank=9, has_update=False, now=5.2))
+        self.assertFalse(self.schedule.is_due(age_s=0.0, rank=9, has_update=True, now=6.0))
 
     def test_failed_reads_pause(self) -> None:
         self.schedule.record_failure(now=0.0)
-        self.assertFalse(self.schedule.is_due(age_s=9.0, rank=0, news=True, now=0.1))
-        self.assertTrue(self.schedule.is_due(age_s=9.0, rank=0, news=False, now=0.5))
+        self.assertFalse(self.schedule.is_due(age_s=9.0, rank=0, has_update=True, now=0.1))
+        self.assertTrue(self.schedule.is_due(age_s=9.0, rank=0, has_update=False, now=0.5))
 
 
 def build_record(name: str, domain: str = "a", region: str = "r") -> InstanceRecord:
@@ -283,25 +289,25 @@
 
 def build_heartbeat(
     name: str, *, incarnation: int = 1, sequence: int = 1, **changes: object
-) -> Beat:
+) -> Heartbeat:
     """Return a heartbeat of a serving instance, with changes."""
     values: dict[str, object] = {
         "record": build_record(name),
         "incarnation": incarnation,
         "sequence": sequence,
         "state": InstanceState.SERVING,
-        "store_answers": True,
-        "catalog": Proof(version="5", reading=1.25),
+        "store_reachable": True,
+        "catalog": FreshnessStamp(version="5", store_time=1.25),
         "endpoints": None,
         "loads": {"e": Load(requests=2, prefill_tokens=30)},
         "demand": Demand(work_ms=(1.5, 0.0, 30.0)),
         "profiles": {"pool": ESTIMATES},
-        "refusals": [
-            RefusalCount(service="pool", urgency=0, asked=2.5, sent_back=0.25, wait_ms=187.5)
+        "rejections": [
+            RejectionCount(service="pool", urgency=0, requests=2.5, rejected=0.25, wait_ms=187.5)
         ],
         "sends": [PromptSend(number=1, endpoint_id="e", part_id="p", tokens=30)],
     }
-    return Beat(**(values | changes))  # type: ignore[arg-type]
+    return Heartbeat(**(values | changes))  # type: ignore[arg-type]
 
 
 class PeersTest(unittest.TestCase):
@@ -310,71 +316,79 @@
     def setUp(self) -> None:
         self.peers = Peers(own_name="me")
 
-    def test_beats_survive_the_wire(self) -> None:
+    def test_heartbeats_round_trip(self) -> None:
         heartbeat = build_heartbeat("x")
-        self.assertEqual(decode_beat(encode_beat(heartbeat)), heartbeat)
+        self.assertEqual(decode_heartbeat(encode_heartbeat(heartbeat)), heartbeat)
 
     @given(data=st.binary(max_size=200))
     def test_any_other_datagram_is_refused(self, data: bytes) -> None:
         with self.assertRaises(MalformedBeat):
-            decode_beat(data)
+            decode_heartbeat(data)
 
-    def test_a_late_beat_of_a_former_process_changes_nothing(self) -> None:
-        self.assertTrue(self.peers.take(build_heartbeat("x", incarnation=2), now=0.0))
+    def test_a_late_heartbeat_of_a_former_process_changes_nothing(self) -> None:
+        self.assertTrue(self.peers.receive(build_heartbeat("x", incarnation=2), now=0.0))
         late = build_heartbeat("x", incarnation=1, sequence=99, state=InstanceState.LEAVING)
-        self.assertFalse(self.peers.take(late, now=0.1))
+        self.assertFalse(self.peers.receive(late, now=0.1))
         self.assertEqual([r.name for r in self.peers.list_serving(now=0.2)], ["x"])
 
-    def test_a_last_beat_that_relays_still_tell_is_no_sign_of_life(self) -> None:
+    def test_a_repeated_last_heartbeat_is_no_liveness_record(self) -> None:
         """Guards against callers that are sent to an instance that has ended.
 
         An aggregator still has the instance's last heartbeat and forwards it to one that has just
         declared the instance gone. The same heartbeat from the instance itself would count.
         """
         heartbeat = build_heartbeat("x", sequence=7)
-        self.peers.take(heartbeat, now=0.0)
-        later = MISSED_BEATS * compute_beat_interval(2) + 0.1
-        self.assertFalse(self.peers.take_sign(heartbeat.make_sign(), heartbeat.record, now=later))
+        self.peers.receive(heartbeat, now=0.0)
+        later = MISSED_HEARTBEATS * compute_heartbeat_interval(2) + 0.1
+        self.assertFalse(
+            self.peers.receive_liveness_record(
+                heartbeat.build_liveness_record(), heartbeat.record, now=later
+            )
+        )
         self.assertEqual(self.peers.list_live(now=later), [])
         newer = build_heartbeat("x", sequence=8)
-        self.assertTrue(self.peers.take_sign(newer.make_sign(), newer.record, now=later))
+        self.assertTrue(
+            self.peers.receive_liveness_record(
+                newer.build_liveness_record(), newer.record, now=later
+            )
+        )
 
-    def test_an_instance_whose_time_of_day_went_back_is_heard_again(self) -> None:
+    def test_an_instance_whose_clock_went_back_is_accepted_again(self) -> None:
         """Guards against ignoring an instance that restarted after its clock went back.
 
         Its first process started while the clock was three seconds ahead. The clock is corrected,
         the process is killed, and the next one has an earlier start time. Its heartbeats count as
         late ones of the first process only as long as the first may still be live.
         """
-        self.peers.take(build_heartbeat("x", incarnation=13_000, sequence=50), now=0.0)
+        self.peers.receive(build_heartbeat("x", incarnation=13_000, sequence=50), now=0.0)
         again = build_heartbeat("x", incarnation=12_500, sequence=1)
-        self.assertFalse(self.peers.take(again, now=0.5))
-        bound = MISSED_BEATS * compute_beat_interval(2)
-        self.assertTrue(self.peers.take(again, now=bound + 0.01))
+        self.assertFalse(self.peers.receive(again, now=0.5))
+        bound = MISSED_HEARTBEATS * compute_heartbeat_interval(2)
+        self.assertTrue(self.peers.receive(again, now=bound + 0.01))
         self.assertEqual([r.name for r in self.peers.list_serving(now=bound + 0.1)], ["x"])
 
     def test_instances_that_are_gone_for_good_are_forgotten(self) -> None:
         for name in ("x", "y"):
-            self.peers.take(build_heartbeat(name), now=0.0)
-        self.peers.take(build_heartbeat("y", sequence=9), now=50.0)
+            self.peers.receive(build_heartbeat(name), now=0.0)
+        self.peers.receive(build_heartbeat("y", sequence=9), now=50.0)
         self.assertEqual(self.peers.forget_silent(now=FORGET_AFTER_S), [])
         self.assertEqual(self.peers.forget_silent(now=FORGET_AFTER_S + 1.0), ["x"])
         self.assertEqual([record.name for record in self.peers.list_targets()], ["y"])
 
     def test_silent_and_leaving_instances_get_no_callers(self) -> None:
-        self.peers.take(build_heartbeat("x"), now=0.0)
-        self.peers.take(build_heartbeat("y", state=InstanceState.LEAVING), now=0.0)
-        bound = MISSED_BEATS * compute_beat_interval(3)
+        self.peers.receive(build_heartbeat("x"), now=0.0)
+        self.peers.receive(build_heartbeat("y", state=InstanceState.LEAVING), now=0.0)
+        bound = MISSED_HEARTBEATS * compute_heartbeat_interval(3)
         self.assertEqual([r.name for r in self.peers.list_serving(now=bound)], ["x"])
         self.assertEqual(self.peers.list_serving(now=bound + 0.01), [])
 
     def test_an_instance_that_the_store_turns_away_is_no_reader(self) -> None:
         for name in "abcdefgh":
-            self.peers.take(build_heartbeat(name, store_answers=False), now=0.0)
+            self.peers.receive(build_heartbeat(name, store_reachable=False), now=0.0)
         self.assertEqual(self.peers.rank_as_reader(now=0.1), 0)
         for name in "abcdefgh":
-            self.peers.take(build_heartbeat(name, sequence=2), now=0.1)
-        readers = rank(READER_KEY, [*"abcdefgh", "me"])
+            self.peers.receive(build_heartbeat(name, sequence=2), now=0.1)
+        readers = rank(READER_RANK_KEY, [*"abcdefgh", "me"])
         self.assertEqual(self.peers.rank_as_reader(now=0.2), readers.index("me"))
 
 
@@ -383,8 +397,8 @@
 
     def test_near_instances_first_and_never_none(self) -> None:
         records = [build_record("1", "a"), build_record("2", "a"), build_record("3", "b")]
-        near = CallerPlace(region="r", failure_domain="a")
-        alone = CallerPlace(region="r", failure_domain="b")
+        near = CallerLocation(region="r", failure_domain="a")
+        alone = CallerLocation(region="r", failure_domain="b")
         self.assertEqual(choose_addresses(near, records, []), ["1:80", "2:80"])
         self.assertEqual(choose_addresses(alone, records, []), ["1:80", "2:80", "3:80"])
         self.assertEqual(choose_addresses(alone, [], records[:1]), ["1:80"])
@@ -404,11 +418,11 @@
         framing = EventFraming()
         found = []
         for cut in [*cuts, len(data)]:
-            found.extend(framing.feed(data[:cut]))
+            found.extend(framing.append(data[:cut]))
             data = data[cut:]
         self.assertEqual([event.data for event in found], whole)
         self.assertEqual([event.event_id for event in found], [str(n) for n in range(len(whole))])
-        self.assertEqual(framing.take_rest(), b"id: 99\nda")
+        self.assertEqual(framing.drain(), b"id: 99\nda")
 
 
 if __name__ == "__main__":
--- a/tests/test_relay_exchange.py
+++ b/tests/test_relay_exchange.py
@@ -11,7 +11,6 @@
 from guavamast.platform.request_headers import PlatformHeaders
 from guavamast.platform.standins.engine import EngineStandIn
 from guavamast.relay.attempt import AttemptFailed, FailureKind
-from guavamast.relay.attempt_budget import AttemptBudget, BudgetTerms
 from guavamast.relay.caller_gate import Admitted
 from guavamast.relay.connection_pool import ConnectionPool
 from guavamast.relay.counters import Counters
@@ -20,17 +19,18 @@
 from guavamast.relay.endpoint_load import EndpointLoads
 from guavamast.relay.engine_profile import EngineProfiles
 from guavamast.relay.exchange import Exchanger
+from guavamast.relay.length_buckets import PromptDemand
 from guavamast.relay.loop_delay import LoopDelay
 from guavamast.relay.messages import ResponseWriter
-from guavamast.relay.placing import OwnPlacer, Placed
+from guavamast.relay.placer import LocalPlacer, PlacementDecision
 from guavamast.relay.prompt_cache import PromptCache
-from guavamast.relay.prompt_lanes import PromptDemand
-from guavamast.relay.refusal_history import RefusalHistory
+from guavamast.relay.rejection_history import RejectionHistory
 from guavamast.relay.relayer import Relayer
-from guavamast.relay.request_notes import RequestNotes
 from guavamast.relay.request_progress import RequestProgress, begin_progress
-from tests.relay_facts import PROFILE, make_endpoint, make_request, make_route
-from tests.test_relay_caller_admission import World
+from guavamast.relay.request_recorder import RequestRecorder
+from guavamast.relay.retry_budget import RetryBudget, RetryBudgetSettings
+from tests.relay_fixtures import PROFILE, build_endpoint, build_request, build_route
+from tests.test_relay_caller_admission import AdmissionSimulation
 
 if TYPE_CHECKING:
     from collections.abc import Callable
@@ -41,7 +41,7 @@
 class SlowPool(ConnectionPool):
     """A pool whose connections take long to acquire."""
 
-    def __init__(self, world: World) -> None:
+    def __init__(self, world: AdmissionSimulation) -> None:
         super().__init__()
         self._world = world
         self.delay_s = 0.0
@@ -61,11 +61,11 @@
     """A request is sent by the current configuration, however long the send is delayed."""
 
     async def asyncSetUp(self) -> None:
-        self.world = World()
+        self.world = AdmissionSimulation()
         self.engine = EngineStandIn(engine_id="x")
         port = await self.engine.listen()
         self.addAsyncCleanup(self.engine.stop)
-        self.record = make_endpoint("x", port=port)
+        self.record = build_endpoint("x", port=port)
         self.world.change_endpoints(self.record)
         self.pool = SlowPool(self.world)
         self.exchanger = self.make_exchanger()
@@ -79,10 +79,10 @@
             knowledge=knowledge,
             loads=EndpointLoads(),
             cache=PromptCache(),
-            budget=AttemptBudget(terms=BudgetTerms(ratio=0.2, slack=20.0, window_s=10.0)),
+            budget=RetryBudget(settings=RetryBudgetSettings(ratio=0.2, slack=20.0, window_s=10.0)),
             codec=PlatformHeaders(),
             pool=self.pool,
-            recorder=RequestNotes(
+            recorder=RequestRecorder(
                 log=log, counters=counters, knowledge=knowledge, loop_delay=LoopDelay()
             ),
             profiles=EngineProfiles(),
@@ -95,18 +95,23 @@
         admitted = await self.world.admit()
         assert isinstance(admitted, Admitted)
         headers = (("Host", "portal.example"), ("X-Attempt-Id", "r1"))
-        request = make_request(arrived=self.world.now, headers=headers)
+        request = build_request(received_at=self.world.now, headers=headers)
         progress = begin_progress(
-            request, admitted, service="portal", shortest_s=0.3, profile=PROFILE, first=True
+            request,
+            admitted,
+            service="portal",
+            shortest_objective_s=0.3,
+            profile=PROFILE,
+            most_urgent=True,
         )
-        choice = Choice(record=self.record, forecast=None, unread_tokens=0)
+        choice = Choice(record=self.record, forecast=None, uncached_tokens=0)
         writer = mock.create_autospec(ResponseWriter, instance=True, started=False)
-        await self.exchanger.run(request, writer, progress, Placed(choice=choice))
+        await self.exchanger.run(request, writer, progress, PlacementDecision(choice=choice))
         return progress
 
-    def make_placer(self) -> OwnPlacer:
+    def make_placer(self) -> LocalPlacer:
         """Return a placer that uses this instance's own data."""
-        return OwnPlacer(
+        return LocalPlacer(
             knowledge=self.world.knowledge,
             chooser=EndpointChooser(
                 loads=EndpointLoads(),
@@ -115,7 +120,7 @@
             ),
             demand=PromptDemand(),
             profiles=EngineProfiles(),
-            refusals=RefusalHistory(),
+            rejections=RejectionHistory(),
             random=Random(1),
             read_time=lambda: self.world.now,
         )
@@ -137,21 +142,21 @@
         )
         headers = (("Host", "portal.example"), ("X-Attempt-Id", "r1"))
         writer = mock.create_autospec(ResponseWriter, instance=True, started=False)
-        request = make_request(arrived=self.world.now, headers=headers, patience_s=60.0)
+        request = build_request(received_at=self.world.now, headers=headers, timeout_s=60.0)
         await relayer.relay(request, writer)
         return writer
 
-    async def test_a_request_that_was_held_up_goes_by_the_new_route(self) -> None:
+    async def test_a_delayed_request_uses_the_new_route(self) -> None:
         """Guards against a request failing because its data went stale before the send.
 
         While its connection is acquired, the route moves to another service and the staleness bound
         passes. The request is admitted again and runs at the route's new service.
         """
-        self.world.replace_routes(make_route(timeout_s=30.0))
+        self.world.replace_routes(build_route(timeout_s=30.0))
         annex = EngineStandIn(engine_id="z")
         port = await annex.listen()
         self.addAsyncCleanup(annex.stop)
-        moved = make_endpoint("z", service="annex", port=port)
+        moved = build_endpoint("z", service="annex", port=port)
         self.pool.on_acquire.append(self.world.move_route)
         self.pool.on_acquire.append(lambda: self.world.change_endpoints(self.record, moved))
         self.pool.delay_s = 1.7
@@ -159,9 +164,9 @@
         self.assertEqual(writer.send.call_args.args[0], 200)
         self.assertEqual((len(self.engine.runs), len(annex.runs)), (0, 1))
 
-    async def test_a_request_whose_route_is_gone_by_then_is_refused_as_not_run(self) -> None:
-        self.world.replace_routes(make_route(timeout_s=30.0))
-        other = make_route(path_prefix="/other/")
+    async def test_a_delayed_request_without_route_is_rejected_as_not_run(self) -> None:
+        self.world.replace_routes(build_route(timeout_s=30.0))
+        other = build_route(path_prefix="/other/")
         self.pool.on_acquire.append(lambda: self.world.replace_routes(other))
         self.pool.delay_s = 1.7
         writer = await self.relay()
@@ -169,10 +174,10 @@
         self.assertEqual(self.engine.runs, [])
 
     async def test_a_request_is_sent(self) -> None:
-        self.assertEqual((await self.run_attempt()).sent, 1)
+        self.assertEqual((await self.run_attempt()).sends, 1)
         self.assertEqual(len(self.engine.runs), 1)
 
-    async def test_a_request_held_up_on_its_way_is_not_sent_by_old_knowledge(self) -> None:
+    async def test_a_delayed_request_is_not_sent_with_stale_data(self) -> None:
         """Guards against a send to an endpoint that was selected too long ago.
 
         Acquiring the connection takes longer than the staleness bound, in which the endpoint may
@@ -183,7 +188,7 @@
             with self.assertRaises(AttemptFailed) as caught:
                 await self.run_attempt()
             self.assertEqual(caught.exception.kind, FailureKind.OUTDATED)
-            self.assertTrue(caught.exception.unrun)
+            self.assertTrue(caught.exception.not_run)
         self.assertEqual(self.engine.runs, [])
 
 
--- a/tests/test_relay_stream_timing.py
+++ b/tests/test_relay_stream_timing.py
@@ -6,14 +6,14 @@
 
 from guavamast.relay.catalog import RouteKind
 from guavamast.relay.stream_timing import Lateness, StreamTiming
-from tests.relay_facts import make_route
+from tests.relay_fixtures import build_route
 
 
 class StreamTimingTest(unittest.TestCase):
     """A stream is late by its first event or its longest pause, from whichever endpoint."""
 
     def setUp(self) -> None:
-        self.route = make_route(kind=RouteKind.STREAM, objective_s=0.25, longest_pause_s=0.12)
+        self.route = build_route(kind=RouteKind.STREAM, objective_s=0.25, longest_pause_s=0.12)
         self.timing = StreamTiming(received_at=10.0)
 
     def record_events(self, *times: float) -> None:
@@ -25,7 +25,7 @@
         self.assertIsNone(self.timing.classify_lateness(self.route, took_s=0.41))
         self.assertAlmostEqual(self.timing.first_event_s or 0.0, 0.2)
 
-    def test_a_long_pause_is_named_with_what_was_read_meanwhile(self) -> None:
+    def test_a_long_pause_is_the_cause_and_records_uncached_tokens(self) -> None:
         self.record_events(10.1, 10.2, 10.35, 10.4)
         self.assertEqual(self.timing.classify_lateness(self.route, took_s=0.4), Lateness.PAUSE)
         self.assertAlmostEqual(self.timing.longest_pause_s, 0.15)
--- a/tests/test_relay_table_watch.py
+++ b/tests/test_relay_table_watch.py
@@ -11,7 +11,7 @@
 from guavamast.relay.read_schedule import READ_INTERVAL_S, TICK_S, ReadSchedule
 from guavamast.relay.store_reader import SharedRead
 from guavamast.relay.table_watch import CatalogWatch
-from tests.test_relay_caller_admission import World
+from tests.test_relay_caller_admission import AdmissionSimulation
 
 EVENT_TIMEOUT_S = 20.0
 """Timeout in seconds for an immediate event, generous for a busy machine."""
@@ -23,9 +23,9 @@
     def __init__(self) -> None:
         super().__init__(random=Random(1), bound_s=60.0, count_instances=lambda: 14)
 
-    def is_due(self, *, age_s: float, rank: int, news: bool, now: float) -> bool:
+    def is_due(self, *, age_s: float, rank: int, has_update: bool, now: float) -> bool:
         del age_s, rank, now
-        return news
+        return has_update
 
     def compute_pause(self, *, age_s: float, has_update: bool) -> float:
         del age_s, has_update
@@ -36,7 +36,7 @@
     """The watch sleeps while no read can be due, and wakes for updates."""
 
     async def asyncSetUp(self) -> None:
-        self.simulation = World()
+        self.simulation = AdmissionSimulation()
         self.reads = 0
         self.was_read = asyncio.Event()
         self.watch = CatalogWatch(
@@ -57,13 +57,13 @@
         self.was_read.set()
         return True
 
-    async def test_news_wakes_it(self) -> None:
+    async def test_update_wakes_the_watch(self) -> None:
         """A changed configuration is read although the next round is far away."""
         self.simulation.knowledge.newer_catalog_known = True
         self.watch.wake_for_update()
         await asyncio.wait_for(self.was_read.wait(), EVENT_TIMEOUT_S)
 
-    async def test_a_beat_without_news_does_not(self) -> None:
+    async def test_heartbeat_without_update_does_not_wake_the_watch(self) -> None:
         self.watch.wake_for_update()
         await asyncio.sleep(0.05)
         self.assertEqual(self.reads, 0)
