--- a/src/guavamast/relay/freshness.py
+++ b/src/guavamast/relay/freshness.py
@@ -1,4 +1,4 @@
-"""Ages of the tables that an instance holds, measured by the store's monotonic clock.
+"""Ages of the tables that an instance holds, by the store's monotonic clock.
 
 Clocks here are in seconds and keep running while the machine is suspended.
 """
--- a/src/guavamast/slot_links.py
+++ b/src/guavamast/slot_links.py
@@ -336,7 +336,7 @@
 
     async def _watch_silence(self) -> None:
         # Without this, asks at a frozen keeper whose connection stays open wait until their
-        # deadlines. Silence is measured only while asks wait there, when a healthy keeper sends
+        # deadlines. Silence counts only while asks wait there, when a healthy keeper sends
         # a probe twice a second.
         silent_since = None
         while True:
